--- a/src/main/java/brassbank/ServeCommand.java
+++ b/src/main/java/brassbank/ServeCommand.java
@@ -7,7 +7,7 @@
 import brassbank.config.ConfigException;
 import brassbank.grizzly.GrizzlyNetwork;
 import brassbank.handover.Handover;
-import brassbank.handover.Holding;
+import brassbank.handover.HandoverState;
 import brassbank.log.Console;
 import brassbank.log.Format;
 import brassbank.log.Log;
@@ -136,33 +136,33 @@
   /** Without the file of locks the proxy serves all the same, and no upgrade is seen. */
   private static void succeed(Proxy proxy, Config config, Clock clock) {
     try {
-      Handover.begin(
+      Handover.start(
           config.handover(),
           new Handover.Process() {
             @Override
-            public boolean able(boolean first) {
-              return proxy.able(first);
+            public boolean isReadyToServe(boolean first) {
+              return proxy.isReadyToServe(first);
             }
 
             @Override
-            public void accept(boolean on, Runnable done) {
-              proxy.accept(on, done);
+            public void setAccepting(boolean on, Runnable done) {
+              proxy.setAccepting(on, done);
             }
 
             @Override
-            public void holds(Consumer<Holding> told) {
-              proxy.holds(told);
+            public void captureState(Consumer<HandoverState> told) {
+              proxy.captureState(told);
             }
 
             @Override
-            public void predecessor(long number, Holding holding) {
-              proxy.predecessor(number, holding);
+            public void updatePredecessor(long number, HandoverState holding) {
+              proxy.updatePredecessor(number, holding);
             }
           },
           clock);
     } catch (IOException e) {
       LOG.error("handover-impossible", e);
-      proxy.accept(true, () -> {});
+      proxy.setAccepting(true, () -> {});
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/brassbank/handover/Handover.java
+++ b/src/main/java/brassbank/handover/Handover.java
@@ -14,20 +14,20 @@
 
 /**
  * Looks at the locks on a thread of its own, so that no file keeps the loop waiting, and has the
- * listener turned on and off as {@link Succession} says. What is told to others is what holds: the
- * listener is off before the lock says so, and the lock is held before it is on.
+ * listener turned on and off as {@link HandoverStateMachine} says. What is told to others is what
+ * holds: the listener is off before the lock says so, and the lock is held before it is on.
  */
 public final class Handover {
   private static final Log LOG = Log.of("handover");
 
   /** How often the locks are looked at: for twice this at most nobody accepts in a hand-over. */
-  public static final long PAUSE_MILLIS = 20;
+  public static final long POLL_INTERVAL_MILLIS = 20;
 
   /** How long a busy loop may take to turn the listener off, before the others go on. */
   private static final long DOOR_MILLIS = 2_000;
 
   /** A predecessor that does not tell what it holds by then is older, or hangs; microseconds. */
-  public static final long IMAGE_PATIENCE = 1_000_000;
+  public static final long STATE_TIMEOUT_MICROS = 1_000_000;
 
   private static final int NUMBERING_TRIES = 100;
 
@@ -38,29 +38,29 @@
      *
      * @param first whether no other process takes connections, so that it should not wait long
      */
-    boolean able(boolean first);
+    boolean isReadyToServe(boolean first);
 
     /**
      * Takes connections from now on, or none.
      *
      * @param done runs once that holds, on any thread
      */
-    void accept(boolean on, Runnable done);
+    void setAccepting(boolean accepting, Runnable done);
 
     /** Has what the process holds told, on any thread. */
-    void holds(Consumer<Holding> told);
+    void captureState(Consumer<HandoverState> consumer);
 
     /** What a predecessor with this number holds now; nothing once it is gone. */
-    void predecessor(long number, Holding holding);
+    void updatePredecessor(long number, HandoverState state);
   }
 
   private final Process process;
   private final Clock clock;
   private final Locks locks;
   private final Images images;
-  private final AtomicReference<Holding> held = new AtomicReference<>();
+  private final AtomicReference<HandoverState> held = new AtomicReference<>();
   private final long began;
-  private final Succession succession = new Succession();
+  private final HandoverStateMachine succession = new HandoverStateMachine();
 
   private Handover(Process process, Clock clock, Locks locks, Images images) {
     this.process = process;
@@ -81,7 +81,7 @@
    *     it is not there
    * @throws IOException where the file of locks cannot be had
    */
-  public static void begin(Path file, Process process, Clock clock)
+  public static void start(Path file, Process process, Clock clock)
       throws IOException, InterruptedException {
     Locks locks = open(file);
     Images images = new Images(file, locks.number());
@@ -102,7 +102,7 @@
         if (i == NUMBERING_TRIES) {
           throw e;
         }
-        TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS / 4);
+        TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS / 4);
       }
     }
   }
@@ -115,7 +115,7 @@
         } catch (IOException | RuntimeException e) {
           LOG.error("handover-failed", e);
         }
-        TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -123,19 +123,20 @@
   }
 
   private void step() throws IOException, InterruptedException {
-    Succession.Phase before = succession.phase();
+    HandoverStateMachine.Phase before = succession.phase();
     long now = now();
-    Succession.View view = locks.view();
+    HandoverStateMachine.View view = locks.view();
     boolean told = pass(now);
-    boolean able = before.ready() || (told && process.able(!view.predecessorAccepts()));
-    Succession.Phase phase = succession.step(now, view, able);
-    if (before.accepts() && !phase.accepts()) {
+    boolean able =
+        before.isReady() || (told && process.isReadyToServe(!view.predecessorAccepting()));
+    HandoverStateMachine.Phase phase = succession.step(now, view, able);
+    if (before.isAccepting() && !phase.isAccepting()) {
       door(false);
     }
     while (!locks.tell(phase)) {
       TimeUnit.MILLISECONDS.sleep(1);
     }
-    if (!before.accepts() && phase.accepts()) {
+    if (!before.isAccepting() && phase.isAccepting()) {
       door(true);
     }
     if (phase != before) {
@@ -150,28 +151,28 @@
    */
   private boolean pass(long now) throws IOException {
     if (locks.succeeded()) {
-      process.holds(held::set);
-      Holding holding = held.get();
+      process.captureState(held::set);
+      HandoverState holding = held.get();
       if (holding != null) {
         images.write(holding);
       }
     }
     List<Long> alive = locks.predecessors();
     for (long predecessor : alive) {
-      Holding holding = images.read(predecessor);
+      HandoverState holding = images.read(predecessor);
       if (holding != null) {
-        process.predecessor(predecessor, holding);
+        process.updatePredecessor(predecessor, holding);
       }
     }
     for (long dead : images.gone(alive)) {
-      process.predecessor(dead, Holding.NOTHING);
+      process.updatePredecessor(dead, HandoverState.EMPTY);
     }
-    return now - began >= IMAGE_PATIENCE || alive.stream().allMatch(images::knows);
+    return now - began >= STATE_TIMEOUT_MICROS || alive.stream().allMatch(images::knows);
   }
 
   private void door(boolean on) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
-    process.accept(on, done::countDown);
+    process.setAccepting(on, done::countDown);
     if (!done.await(DOOR_MILLIS, TimeUnit.MILLISECONDS)) {
       LOG.warn("door-late", value("on", on));
     }
--- a/src/main/java/brassbank/handover/Holding.java
+++ b/src/main/java/brassbank/handover/HandoverState.java
@@ -8,18 +8,20 @@
 /**
  * What a process holds, as its successor must know it.
  *
- * @param descriptors as many as it may hold from now on, of whatever kind
+ * @param descriptorLimit as many as it may hold from now on, of whatever kind
  * @param standby whether operators have sent its clients away: its successor stays so
- * @param ids of the flows that wait or stand there, as their clients have them: an id is one flow's
+ * @param flowIds of the flows that wait or stand there, as their clients have them: an id is one
+ *     flow's
  * @param targets the list as it was last told, so that what one process was told binds the other
- * @param standing its connections
+ * @param connections its connections
  */
-public record Holding(
-    int descriptors,
+public record HandoverState(
+    int descriptorLimit,
     boolean standby,
-    Set<String> ids,
+    Set<String> flowIds,
     List<TargetList.Entry> targets,
-    List<Standing> standing) {
+    List<Standing> connections) {
   /** What a process holds that is gone. */
-  public static final Holding NOTHING = new Holding(0, false, Set.of(), List.of(), List.of());
+  public static final HandoverState EMPTY =
+      new HandoverState(0, false, Set.of(), List.of(), List.of());
 }
--- a/src/main/java/brassbank/handover/Succession.java
+++ b/src/main/java/brassbank/handover/HandoverStateMachine.java
@@ -7,7 +7,7 @@
  * <p>No clock, no thread, no I/O; called from one thread. All times are microseconds of the
  * caller's clock. A step costs O(1).
  */
-public final class Succession {
+public final class HandoverStateMachine {
   /** What this process does; the two locks that it holds follow from it. */
   public enum Phase {
     /** It cannot serve yet. */
@@ -31,12 +31,12 @@
     }
 
     /** Whether the process tells others that it could serve. */
-    public boolean ready() {
+    public boolean isReady() {
       return ready;
     }
 
     /** Whether it accepts, and tells others so. */
-    public boolean accepts() {
+    public boolean isAccepting() {
       return accepts;
     }
   }
@@ -44,10 +44,10 @@
   /**
    * What the locks of the others say.
    *
-   * @param predecessorAccepts an earlier process takes connections
+   * @param predecessorAccepting an earlier process takes connections
    * @param successorReady a later process could serve, or does
    */
-  public record View(boolean predecessorAccepts, boolean successorReady) {}
+  public record View(boolean predecessorAccepting, boolean successorReady) {}
 
   /**
    * A predecessor that has not let go by then hangs, and accepts nothing either: whoever waits for
@@ -79,7 +79,7 @@
       case READY -> {
         if (view.successorReady()) {
           phase = Phase.SUCCEEDED;
-        } else if (!view.predecessorAccepts() || now - readySince >= PATIENCE) {
+        } else if (!view.predecessorAccepting() || now - readySince >= PATIENCE) {
           phase = Phase.ACCEPTING;
         }
       }
--- a/src/main/java/brassbank/handover/Image.java
+++ b/src/main/java/brassbank/handover/Image.java
@@ -25,11 +25,11 @@
 
   private Image() {}
 
-  static byte[] of(Holding holding) {
+  static byte[] of(HandoverState holding) {
     StringBuilder body = new StringBuilder();
-    line(body, "descriptors", holding.descriptors());
+    line(body, "descriptors", holding.descriptorLimit());
     line(body, "standby", holding.standby());
-    holding.ids().stream().limit(MOST_CONNECTIONS).forEach(id -> line(body, "id", id));
+    holding.flowIds().stream().limit(MOST_CONNECTIONS).forEach(id -> line(body, "id", id));
     for (TargetList.Entry entry : holding.targets()) {
       line(
           body,
@@ -43,7 +43,7 @@
           entry.weight(),
           entry.sinceMillis());
     }
-    holding.standing().stream()
+    holding.connections().stream()
         .limit(MOST_CONNECTIONS)
         .forEach(
             one ->
@@ -83,7 +83,7 @@
   }
 
   /** What such bytes say; throws IllegalArgumentException where they are damaged or foreign. */
-  static Holding read(byte[] bytes) {
+  static HandoverState read(byte[] bytes) {
     int end = 0;
     while (end < bytes.length && bytes[end] != '\n') {
       end++;
@@ -124,7 +124,7 @@
     if (Math.max(ids.size(), Math.max(targets.size(), standing.size())) > MOST_CONNECTIONS) {
       throw new IllegalArgumentException("too many lines");
     }
-    return new Holding(descriptors, standby, ids, targets, standing);
+    return new HandoverState(descriptors, standby, ids, targets, standing);
   }
 
   private static TargetList.Entry target(String[] fields) {
--- a/src/main/java/brassbank/handover/Images.java
+++ b/src/main/java/brassbank/handover/Images.java
@@ -24,7 +24,7 @@
 
   private final Path locks;
   private final long number;
-  private Holding written;
+  private HandoverState written;
 
   /** What was read last of each predecessor's. */
   private final Map<Long, byte[]> seen = new HashMap<>();
@@ -39,7 +39,7 @@
   }
 
   /** Writes what this process holds, where that has changed. */
-  void write(Holding holding) throws IOException {
+  void write(HandoverState holding) throws IOException {
     if (holding.equals(written)) {
       return;
     }
@@ -54,7 +54,7 @@
    *
    * @return null where there is nothing new, or nothing that can be read
    */
-  Holding read(long predecessor) throws IOException {
+  HandoverState read(long predecessor) throws IOException {
     byte[] bytes;
     try {
       if (Files.size(file(predecessor)) > Image.MOST_BYTES) {
--- a/src/main/java/brassbank/handover/Locks.java
+++ b/src/main/java/brassbank/handover/Locks.java
@@ -82,8 +82,8 @@
   }
 
   /** What the others say. */
-  Succession.View view() throws IOException {
-    return new Succession.View(
+  HandoverStateMachine.View view() throws IOException {
+    return new HandoverStateMachine.View(
         held(ACCEPTING, ACCEPTING + number), held(READY + number + 1, READY + MOST_NUMBER));
   }
 
@@ -118,10 +118,10 @@
    *
    * @return whether it is said; where another's probe is in the way, it is to be said again
    */
-  boolean tell(Succession.Phase phase) throws IOException {
-    ready = told(ready, READY, phase.ready());
-    accepting = told(accepting, ACCEPTING, phase.accepts());
-    return (ready != null) == phase.ready() && (accepting != null) == phase.accepts();
+  boolean tell(HandoverStateMachine.Phase phase) throws IOException {
+    ready = told(ready, READY, phase.isReady());
+    accepting = told(accepting, ACCEPTING, phase.isAccepting());
+    return (ready != null) == phase.isReady() && (accepting != null) == phase.isAccepting();
   }
 
   private FileLock told(FileLock lock, long area, boolean wanted) throws IOException {
--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -12,7 +12,7 @@
 import brassbank.forward.Dispatcher;
 import brassbank.front.Front;
 import brassbank.handover.DescriptorShare;
-import brassbank.handover.Holding;
+import brassbank.handover.HandoverState;
 import brassbank.lifecycle.State;
 import brassbank.log.Log;
 import brassbank.management.Management;
@@ -156,7 +156,7 @@
    *
    * @param first whether no other process takes them: then an old list is better than none
    */
-  public boolean able(boolean first) {
+  public boolean isReadyToServe(boolean first) {
     net.execute(
         () -> {
           this.first = first;
@@ -171,7 +171,7 @@
    *
    * @param done runs on the loop's thread once that holds
    */
-  public void accept(boolean on, Runnable done) {
+  public void setAccepting(boolean on, Runnable done) {
     net.execute(
         () -> {
           share.needs(on, net.needs(dispatcher.waiting()));
@@ -199,7 +199,7 @@
   }
 
   /** Sends the clients away and lives on; any thread may call. */
-  public void standby() {
+  public void enterStandby() {
     net.execute(() -> dispatcher.report(new Happening.StandbyAsked()));
   }
 
@@ -208,7 +208,7 @@
    *
    * @param told hears on the loop's thread whether the clients are sent away now
    */
-  public void standby(Consumer<Boolean> told) {
+  public void requestStandby(Consumer<Boolean> told) {
     Operation operation = new Operation(decider, dispatcher, net, fleet);
     net.execute(
         () -> {
@@ -219,18 +219,18 @@
   }
 
   /** Takes clients again; any thread may call. */
-  public void active() {
+  public void activate() {
     net.execute(() -> dispatcher.report(new Happening.ActiveAsked()));
   }
 
   /** Has told what this process holds, on the loop's thread; any thread may call. */
-  public void holds(Consumer<Holding> told) {
+  public void captureState(Consumer<HandoverState> told) {
     net.execute(
         () -> {
           share.needs(net.isOpen(), net.needs(dispatcher.waiting()));
           net.limit(share.limit());
           told.accept(
-              new Holding(
+              new HandoverState(
                   share.limit(),
                   decider.state() == State.DRAINING || decider.state() == State.STANDBY,
                   front.ids(),
@@ -240,16 +240,17 @@
   }
 
   /** What a predecessor with this number holds now; any thread may call. */
-  public void predecessor(long number, Holding holding) {
+  public void updatePredecessor(long number, HandoverState holding) {
     net.execute(
         () -> {
-          share.predecessor(number, holding.descriptors());
+          share.predecessor(number, holding.descriptorLimit());
           net.limit(share.limit());
           // A process that already serves hears its operators itself.
-          standby = !net.isOpen() && (holding.standby() || (standby && holding.descriptors() == 0));
-          front.elsewhere(number, holding.ids());
+          standby =
+              !net.isOpen() && (holding.standby() || (standby && holding.descriptorLimit() == 0));
+          front.elsewhere(number, holding.flowIds());
           dispatcher.report(
-              new Happening.Predecessor(number, holding.targets(), holding.standing()));
+              new Happening.Predecessor(number, holding.targets(), holding.connections()));
         });
   }
 
--- a/src/main/java/brassbank/sim/proxy/ProxyNode.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyNode.java
@@ -3,8 +3,8 @@
 import brassbank.config.Config;
 import brassbank.config.ConfigException;
 import brassbank.handover.Handover;
-import brassbank.handover.Holding;
-import brassbank.handover.Succession;
+import brassbank.handover.HandoverState;
+import brassbank.handover.HandoverStateMachine;
 import brassbank.membership.Joining;
 import brassbank.membership.Member;
 import brassbank.membership.View;
@@ -210,16 +210,16 @@
   private final class Process {
     private final long number = ++lives;
     private final Program program = new Program(machine, name, RUNTIME, sockets);
-    private final Succession succession = new Succession();
-    private final Map<Long, Holding> seen = new LinkedHashMap<>();
+    private final HandoverStateMachine succession = new HandoverStateMachine();
+    private final Map<Long, HandoverState> seen = new LinkedHashMap<>();
     private final long began = world.now();
     private Proxy proxy;
 
     /** What its locks say. */
-    private Succession.Phase told = Succession.Phase.WAITING;
+    private HandoverStateMachine.Phase told = HandoverStateMachine.Phase.WAITING;
 
     /** What its file says; null while there is none. */
-    private Holding holding;
+    private HandoverState holding;
 
     /** Runs each time it begins to take connections. */
     private Runnable yes = () -> {};
@@ -281,42 +281,42 @@
 
     /** What {@code Handover} does with locks and files, at its pace. */
     private void look() {
-      Succession.Phase before = succession.phase();
-      boolean accepted = others(false).stream().anyMatch(one -> one.told.accepts());
-      boolean succeeded = others(true).stream().anyMatch(one -> one.told.ready());
+      HandoverStateMachine.Phase before = succession.phase();
+      boolean accepted = others(false).stream().anyMatch(one -> one.told.isAccepting());
+      boolean succeeded = others(true).stream().anyMatch(one -> one.told.isReady());
       boolean knows = pass();
-      boolean able = before.ready() || (knows && proxy.able(!accepted));
-      Succession.Phase phase =
-          succession.step(world.now(), new Succession.View(accepted, succeeded), able);
-      if (before.accepts() && !phase.accepts()) {
-        proxy.accept(false, () -> told = phase);
+      boolean able = before.isReady() || (knows && proxy.isReadyToServe(!accepted));
+      HandoverStateMachine.Phase phase =
+          succession.step(world.now(), new HandoverStateMachine.View(accepted, succeeded), able);
+      if (before.isAccepting() && !phase.isAccepting()) {
+        proxy.setAccepting(false, () -> told = phase);
       } else {
         told = phase;
-        if (!before.accepts() && phase.accepts()) {
+        if (!before.isAccepting() && phase.isAccepting()) {
           world.tell(new Event.DoorHeld(name, number));
-          proxy.accept(true, () -> yes.run());
+          proxy.setAccepting(true, () -> yes.run());
         }
       }
-      program.later(Handover.PAUSE_MILLIS * MILLI, this::look);
+      program.later(Handover.POLL_INTERVAL_MILLIS * MILLI, this::look);
     }
 
     private boolean pass() {
       if (!others(true).isEmpty()) {
-        proxy.holds(held -> holding = held);
+        proxy.captureState(held -> holding = held);
       }
       List<Process> before = others(false);
       for (Process one : before) {
         if (one.holding != null && one.holding != seen.put(one.number, one.holding)) {
-          proxy.predecessor(one.number, one.holding);
+          proxy.updatePredecessor(one.number, one.holding);
         }
       }
       for (long known : List.copyOf(seen.keySet())) {
         if (before.stream().noneMatch(one -> one.number == known)) {
           seen.remove(known);
-          proxy.predecessor(known, Holding.NOTHING);
+          proxy.updatePredecessor(known, HandoverState.EMPTY);
         }
       }
-      return world.now() - began >= Handover.IMAGE_PATIENCE
+      return world.now() - began >= Handover.STATE_TIMEOUT_MICROS
           || before.stream().allMatch(one -> seen.containsKey(one.number));
     }
   }
@@ -439,7 +439,7 @@
       return;
     }
     if (joining != null && joining.shares()) {
-      proxy.standby(
+      proxy.requestStandby(
           yes -> {
             if (yes) {
               away(awayFor);
@@ -450,7 +450,7 @@
       return;
     }
     away(awayFor);
-    proxy.standby();
+    proxy.enterStandby();
   }
 
   /** Its clients are sent away from here on. */
@@ -464,7 +464,7 @@
             awayFor,
             () -> {
               if (serving() && program == life) {
-                proxy.active();
+                proxy.activate();
                 world.tell(new Event.ProxyCalledBack(name));
                 world.front().calledBack(name);
               }
--- a/src/test/java/brassbank/handover/SuccessionTest.java
+++ b/src/test/java/brassbank/handover/HandoverStateMachineTest.java
@@ -1,9 +1,9 @@
 package brassbank.handover;
 
-import static brassbank.handover.Succession.Phase.ACCEPTING;
-import static brassbank.handover.Succession.Phase.READY;
-import static brassbank.handover.Succession.Phase.SUCCEEDED;
-import static brassbank.handover.Succession.Phase.WAITING;
+import static brassbank.handover.HandoverStateMachine.Phase.ACCEPTING;
+import static brassbank.handover.HandoverStateMachine.Phase.READY;
+import static brassbank.handover.HandoverStateMachine.Phase.SUCCEEDED;
+import static brassbank.handover.HandoverStateMachine.Phase.WAITING;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -11,12 +11,15 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class SuccessionTest {
-  private static final Succession.View ALONE = new Succession.View(false, false);
-  private static final Succession.View BEHIND = new Succession.View(true, false);
-  private static final Succession.View BEFORE = new Succession.View(false, true);
+class HandoverStateMachineTest {
+  private static final HandoverStateMachine.View ALONE =
+      new HandoverStateMachine.View(false, false);
+  private static final HandoverStateMachine.View BEHIND =
+      new HandoverStateMachine.View(true, false);
+  private static final HandoverStateMachine.View BEFORE =
+      new HandoverStateMachine.View(false, true);
 
-  private final Succession succession = new Succession();
+  private final HandoverStateMachine succession = new HandoverStateMachine();
 
   @Test
   void acceptsOnceItIsAbleAndNoPredecessorDoes() {
@@ -31,8 +34,8 @@
   @Test
   void waitsForAPredecessorThatHangsNoLongerThanItsYesAllows() {
     succession.step(0, BEHIND, true);
-    assertThat(succession.step(Succession.PATIENCE - 1, BEHIND, true)).isEqualTo(READY);
-    assertThat(succession.step(Succession.PATIENCE, BEHIND, true)).isEqualTo(ACCEPTING);
+    assertThat(succession.step(HandoverStateMachine.PATIENCE - 1, BEHIND, true)).isEqualTo(READY);
+    assertThat(succession.step(HandoverStateMachine.PATIENCE, BEHIND, true)).isEqualTo(ACCEPTING);
   }
 
   @Test
@@ -49,13 +52,13 @@
   void neverTwoAcceptAndWhoeverLivesDoesSoSoon() {
     for (int seed = 0; seed < 2_000; seed++) {
       Random random = new Random(seed);
-      List<Succession> all = new ArrayList<>();
+      List<HandoverStateMachine> all = new ArrayList<>();
       List<Boolean> alive = new ArrayList<>();
       List<Boolean> able = new ArrayList<>();
       int none = 0;
       for (int step = 0; step < 300; step++) {
         if (all.size() < 4 && random.nextInt(20) == 0) {
-          all.add(new Succession());
+          all.add(new HandoverStateMachine());
           alive.add(true);
           able.add(false);
         }
@@ -68,29 +71,36 @@
           able.set(i, able.get(i) || random.nextInt(10) == 0);
           if (alive.get(i)) {
             boolean predecessor =
-                held(all, alive, 0, me).stream().anyMatch(Succession.Phase::accepts);
+                held(all, alive, 0, me).stream().anyMatch(HandoverStateMachine.Phase::isAccepting);
             boolean successor =
-                held(all, alive, me + 1, all.size()).stream().anyMatch(Succession.Phase::ready);
+                held(all, alive, me + 1, all.size()).stream()
+                    .anyMatch(HandoverStateMachine.Phase::isReady);
             all.get(i)
-                .step(step * 20_000L, new Succession.View(predecessor, successor), able.get(i));
+                .step(
+                    step * 20_000L,
+                    new HandoverStateMachine.View(predecessor, successor),
+                    able.get(i));
           }
           long accepting =
-              held(all, alive, 0, all.size()).stream().filter(Succession.Phase::accepts).count();
+              held(all, alive, 0, all.size()).stream()
+                  .filter(HandoverStateMachine.Phase::isAccepting)
+                  .count();
           assertThat(accepting).as("seed " + seed + " step " + step).isLessThanOrEqualTo(1);
         }
         boolean someoneAble =
-            held(all, alive, 0, all.size()).stream().anyMatch(Succession.Phase::ready);
+            held(all, alive, 0, all.size()).stream().anyMatch(HandoverStateMachine.Phase::isReady);
         boolean someoneAccepts =
-            held(all, alive, 0, all.size()).stream().anyMatch(Succession.Phase::accepts);
+            held(all, alive, 0, all.size()).stream()
+                .anyMatch(HandoverStateMachine.Phase::isAccepting);
         none = someoneAble && !someoneAccepts ? none + 1 : 0;
         assertThat(none).as("seed " + seed + " step " + step).isLessThan(6);
       }
     }
   }
 
-  private static List<Succession.Phase> held(
-      List<Succession> all, List<Boolean> alive, int from, int to) {
-    List<Succession.Phase> held = new ArrayList<>();
+  private static List<HandoverStateMachine.Phase> held(
+      List<HandoverStateMachine> all, List<Boolean> alive, int from, int to) {
+    List<HandoverStateMachine.Phase> held = new ArrayList<>();
     for (int i = from; i < to; i++) {
       if (alive.get(i)) {
         held.add(all.get(i).phase());
--- a/src/test/java/brassbank/handover/ImageTest.java
+++ b/src/test/java/brassbank/handover/ImageTest.java
@@ -28,15 +28,15 @@
           1.5,
           12);
 
-  private static final Holding HOLDING =
-      new Holding(200, true, Set.of("9b1f"), List.of(TARGET), STANDING);
+  private static final HandoverState HOLDING =
+      new HandoverState(200, true, Set.of("9b1f"), List.of(TARGET), STANDING);
 
   private final byte[] bytes = Image.of(HOLDING);
 
   @Test
   void whatIsWrittenIsRead() {
     assertThat(Image.read(bytes)).isEqualTo(HOLDING);
-    Holding none = new Holding(60, false, Set.of(), List.of(), List.of());
+    HandoverState none = new HandoverState(60, false, Set.of(), List.of(), List.of());
     assertThat(Image.read(Image.of(none))).isEqualTo(none);
   }
 
@@ -63,7 +63,7 @@
     sum.update(body.getBytes(StandardCharsets.ISO_8859_1));
     String rest = body.length() + " " + Long.toHexString(sum.getValue()) + "\n" + body;
     assertThat(Image.read(("brassbank-image 1 " + rest).getBytes(StandardCharsets.ISO_8859_1)))
-        .isEqualTo(new Holding(200, false, Set.of(), List.of(), STANDING.subList(0, 1)));
+        .isEqualTo(new HandoverState(200, false, Set.of(), List.of(), STANDING.subList(0, 1)));
     assertThatThrownBy(
             () -> Image.read(("brassbank-image 2 " + rest).getBytes(StandardCharsets.ISO_8859_1)))
         .hasMessage("not of this version");
