--- a/src/main/java/brassbank/handover/DescriptorShare.java
+++ b/src/main/java/brassbank/handover/DescriptorShare.java
@@ -4,66 +4,79 @@
 import java.util.Map;
 
 /**
- * How many descriptors this process may hold, where the limit is one for all processes of a proxy.
- * A predecessor says how many it may hold and never raises that while a successor takes the
- * clients; the successor has the rest. What a process needs to start is kept back at all times,
- * since it cannot ask before it runs.
+ * Computes how many file descriptors this process may hold when one limit applies to all processes
+ * of a proxy together.
  *
- * <p>No clock, no thread, no I/O; called from one thread. O(predecessors) each.
+ * <p>A predecessor publishes the number of descriptors it may hold, and never raises that number
+ * while a successor accepts clients. The successor may use what remains of the limit. The
+ * descriptors that a process needs to start are held back at all times, because a starting process
+ * cannot request them before it runs.
+ *
+ * <p>Not thread-safe. Performs no I/O and reads no clock. Each call costs O(predecessors).
  */
 public final class DescriptorShare {
-  /** What a starting runtime holds until it has read what the others hold; 20 to 36 were seen. */
-  static final int START = 48;
+  /**
+   * Descriptors that a starting runtime may hold before it has read the limits of the other
+   * processes. Starts were observed to use 20 to 36.
+   */
+  static final int STARTUP_DESCRIPTORS = 48;
 
   private final boolean shared;
-  private final Map<Long, Integer> predecessors = new HashMap<>();
-  private int sockets;
+  private final Map<Long, Integer> predecessorLimits = new HashMap<>();
+  private int totalLimit;
   private int ceiling;
 
   /**
-   * The share of a process that starts.
+   * Creates the share of a starting process.
    *
-   * @param sockets the limit for all processes together
-   * @param shared whether there may be others
+   * @param totalLimit the limit for all processes together
+   * @param shared whether other processes of the same proxy may exist
    */
-  public DescriptorShare(int sockets, boolean shared) {
-    this.sockets = sockets;
+  public DescriptorShare(int totalLimit, boolean shared) {
+    this.totalLimit = totalLimit;
     this.shared = shared;
-    // Until it takes clients: it does not know yet what others hold.
-    ceiling = shared ? START : Integer.MAX_VALUE;
+    // Until the process accepts clients, the limits of the other processes may still be unknown.
+    ceiling = shared ? STARTUP_DESCRIPTORS : Integer.MAX_VALUE;
   }
 
-  /** The limit for all together has changed. */
-  public void sockets(int limit) {
-    sockets = limit;
+  /** Sets the limit for all processes together. */
+  public void setTotalLimit(int limit) {
+    totalLimit = limit;
   }
 
-  /** So many may a predecessor hold from now on; 0 once it is gone. */
-  public void predecessor(long number, int descriptors) {
-    if (descriptors > 0) {
-      predecessors.put(number, descriptors);
+  /**
+   * Sets how many descriptors a predecessor may hold from now on.
+   *
+   * @param number the predecessor's process number
+   * @param limit its limit; 0 removes a predecessor that has stopped
+   */
+  public void setPredecessorLimit(long number, int limit) {
+    if (limit > 0) {
+      predecessorLimits.put(number, limit);
     } else {
-      predecessors.remove(number);
+      predecessorLimits.remove(number);
     }
   }
 
   /**
-   * What this process needs now.
+   * Updates what this process needs now.
    *
-   * @param open whether it takes clients; one that does not only ever needs less
+   * @param accepting whether the process accepts clients; while it does not, its limit only falls
+   * @param descriptors how many descriptors it needs, ignored while it accepts clients
    */
-  public void needs(boolean open, int descriptors) {
-    ceiling = open ? Integer.MAX_VALUE : Math.min(ceiling, descriptors);
+  public void updateNeed(boolean accepting, int descriptors) {
+    ceiling = accepting ? Integer.MAX_VALUE : Math.min(ceiling, descriptors);
   }
 
-  /** How many descriptors this process may hold. */
+  /** Returns how many descriptors this process may hold. */
   public int limit() {
     if (!shared) {
-      return sockets;
+      return totalLimit;
     }
-    int others = predecessors.values().stream().mapToInt(Integer::intValue).sum();
-    // What a predecessor says includes what it keeps in reserve: that is enough for a third start.
-    int rest = sockets - (others > 0 ? others : START);
-    return Math.min(ceiling, Math.max(START, rest));
+    int others = predecessorLimits.values().stream().mapToInt(Integer::intValue).sum();
+    // The limit that a predecessor publishes includes its own reserve, which is large enough for
+    // a third process to start. Without a predecessor the reserve is held back here.
+    int remaining = totalLimit - (others > 0 ? others : STARTUP_DESCRIPTORS);
+    return Math.min(ceiling, Math.max(STARTUP_DESCRIPTORS, remaining));
   }
 }
--- a/src/main/java/brassbank/handover/Handover.java
+++ b/src/main/java/brassbank/handover/Handover.java
@@ -13,79 +13,93 @@
 import java.util.function.Consumer;
 
 /**
- * Looks at the locks on a thread of its own, so that no file keeps the loop waiting, and has the
- * listener turned on and off as {@link HandoverStateMachine} says. What is told to others is what
- * holds: the listener is off before the lock says so, and the lock is held before it is on.
+ * Polls the lock file on a thread of its own, so that file access never blocks the event loop, and
+ * turns the listener on and off as {@link HandoverStateMachine} decides.
+ *
+ * <p>What a process announces to the others is always true: the listener is off before its lock is
+ * released, and the lock is held before the listener is turned on.
  */
 public final class Handover {
   private static final Log LOG = Log.of("handover");
 
-  /** How often the locks are looked at: for twice this at most nobody accepts in a hand-over. */
+  /**
+   * The interval at which the locks are polled. During a handover no process accepts connections
+   * for at most twice this time.
+   */
   public static final long POLL_INTERVAL_MILLIS = 20;
 
-  /** How long a busy loop may take to turn the listener off, before the others go on. */
-  private static final long DOOR_MILLIS = 2_000;
+  /** How long the handover waits for a busy event loop to switch the listener. */
+  private static final long LISTENER_SWITCH_TIMEOUT_MILLIS = 2_000;
 
-  /** A predecessor that does not tell what it holds by then is older, or hangs; microseconds. */
+  /**
+   * How long a starting process waits for the states of its predecessors. A predecessor that has
+   * not published its state by then runs an older program or hangs.
+   */
   public static final long STATE_TIMEOUT_MICROS = 1_000_000;
 
-  private static final int NUMBERING_TRIES = 100;
+  private static final int MAX_OPEN_ATTEMPTS = 100;
 
-  /** The process, as its hand-over sees it. Called on the hand-over's thread. */
+  /** The process that takes part in the handover. Its methods run on the handover's thread. */
   public interface Process {
     /**
-     * Whether it could serve.
+     * Returns whether the process could serve clients.
      *
-     * @param first whether no other process takes connections, so that it should not wait long
+     * @param noneAccepting whether no predecessor accepts connections, in which case the process
+     *     should not wait long for better data
      */
-    boolean isReadyToServe(boolean first);
+    boolean isReadyToServe(boolean noneAccepting);
 
     /**
-     * Takes connections from now on, or none.
+     * Starts or stops accepting connections.
      *
-     * @param done runs once that holds, on any thread
+     * @param done runs on any thread once the change is in effect
      */
     void setAccepting(boolean accepting, Runnable done);
 
-    /** Has what the process holds told, on any thread. */
+    /** Passes the current state of the process to the consumer, on any thread. */
     void captureState(Consumer<HandoverState> consumer);
 
-    /** What a predecessor with this number holds now; nothing once it is gone. */
+    /**
+     * Receives the current state of a predecessor.
+     *
+     * @param number the predecessor's process number
+     * @param state its state; {@link HandoverState#EMPTY} once it has stopped
+     */
     void updatePredecessor(long number, HandoverState state);
   }
 
   private final Process process;
   private final Clock clock;
-  private final Locks locks;
-  private final Images images;
-  private final AtomicReference<HandoverState> held = new AtomicReference<>();
-  private final long began;
-  private final HandoverStateMachine succession = new HandoverStateMachine();
+  private final LockFile locks;
+  private final ImageStore images;
+  private final AtomicReference<HandoverState> capturedState = new AtomicReference<>();
+  private final long startedMicros;
+  private final HandoverStateMachine stateMachine = new HandoverStateMachine();
 
-  private Handover(Process process, Clock clock, Locks locks, Images images) {
+  private Handover(Process process, Clock clock, LockFile locks, ImageStore images) {
     this.process = process;
     this.clock = clock;
     this.locks = locks;
     this.images = images;
-    began = now();
+    startedMicros = nowMicros();
   }
 
-  private long now() {
+  private long nowMicros() {
     return TimeUnit.NANOSECONDS.toMicros(clock.nanos());
   }
 
   /**
-   * Begins to look.
+   * Opens the lock file and starts the polling thread.
    *
-   * @param file the file of locks, in a folder that all processes on the listener share; made where
-   *     it is not there
-   * @throws IOException where the file of locks cannot be had
+   * @param file the lock file, in a folder that all processes on the listener share; created if it
+   *     does not exist
+   * @throws IOException if the lock file cannot be opened or locked
    */
   public static void start(Path file, Process process, Clock clock)
       throws IOException, InterruptedException {
-    Locks locks = open(file);
-    Images images = new Images(file, locks.number());
-    images.clean(locks.predecessors());
+    LockFile locks = openLocks(file);
+    ImageStore images = new ImageStore(file, locks.number());
+    images.deleteStale(locks.livePredecessors());
     Handover handover = new Handover(process, clock, locks, images);
     LOG.info("numbered", value("number", locks.number()));
     Thread thread = new Thread(handover::run, "handover");
@@ -93,13 +107,13 @@
     thread.start();
   }
 
-  /** Another process that has just started may be at its numbering. */
-  private static Locks open(Path path) throws IOException, InterruptedException {
+  /** Retries while another starting process holds the lock that guards the numbering. */
+  private static LockFile openLocks(Path path) throws IOException, InterruptedException {
     for (int i = 1; ; i++) {
       try {
-        return Locks.open(path);
+        return LockFile.open(path);
       } catch (IOException e) {
-        if (i == NUMBERING_TRIES) {
+        if (i == MAX_OPEN_ATTEMPTS) {
           throw e;
         }
         TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS / 4);
@@ -123,21 +137,22 @@
   }
 
   private void step() throws IOException, InterruptedException {
-    HandoverStateMachine.Phase before = succession.phase();
-    long now = now();
+    HandoverStateMachine.Phase before = stateMachine.phase();
+    long nowMicros = nowMicros();
     HandoverStateMachine.View view = locks.view();
-    boolean told = pass(now);
-    boolean able =
-        before.isReady() || (told && process.isReadyToServe(!view.predecessorAccepting()));
-    HandoverStateMachine.Phase phase = succession.step(now, view, able);
+    boolean predecessorsKnown = exchangeStates(nowMicros);
+    boolean readyToServe =
+        before.isReady()
+            || (predecessorsKnown && process.isReadyToServe(!view.predecessorAccepting()));
+    HandoverStateMachine.Phase phase = stateMachine.step(nowMicros, view, readyToServe);
     if (before.isAccepting() && !phase.isAccepting()) {
-      door(false);
+      switchListener(false);
     }
-    while (!locks.tell(phase)) {
+    while (!locks.announce(phase)) {
       TimeUnit.MILLISECONDS.sleep(1);
     }
     if (!before.isAccepting() && phase.isAccepting()) {
-      door(true);
+      switchListener(true);
     }
     if (phase != before) {
       LOG.info("handover", value("phase", phase));
@@ -145,35 +160,37 @@
   }
 
   /**
-   * Tells successors what this process holds, and the process what its predecessors do.
+   * Publishes the state of this process if it has a successor, and passes the states of its
+   * predecessors to the process.
    *
-   * @return whether it knows that of all of them, or has waited long enough for it
+   * @return whether the states of all predecessors are known, or the time to wait for them is over
    */
-  private boolean pass(long now) throws IOException {
-    if (locks.succeeded()) {
-      process.captureState(held::set);
-      HandoverState holding = held.get();
-      if (holding != null) {
-        images.write(holding);
+  private boolean exchangeStates(long nowMicros) throws IOException {
+    if (locks.hasSuccessor()) {
+      process.captureState(capturedState::set);
+      HandoverState state = capturedState.get();
+      if (state != null) {
+        images.write(state);
       }
     }
-    List<Long> alive = locks.predecessors();
-    for (long predecessor : alive) {
-      HandoverState holding = images.read(predecessor);
-      if (holding != null) {
-        process.updatePredecessor(predecessor, holding);
+    List<Long> live = locks.livePredecessors();
+    for (long predecessor : live) {
+      HandoverState state = images.readIfChanged(predecessor);
+      if (state != null) {
+        process.updatePredecessor(predecessor, state);
       }
     }
-    for (long dead : images.gone(alive)) {
-      process.updatePredecessor(dead, HandoverState.EMPTY);
+    for (long stopped : images.removeStopped(live)) {
+      process.updatePredecessor(stopped, HandoverState.EMPTY);
     }
-    return now - began >= STATE_TIMEOUT_MICROS || alive.stream().allMatch(images::knows);
+    return nowMicros - startedMicros >= STATE_TIMEOUT_MICROS
+        || live.stream().allMatch(images::hasRead);
   }
 
-  private void door(boolean on) throws InterruptedException {
+  private void switchListener(boolean on) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     process.setAccepting(on, done::countDown);
-    if (!done.await(DOOR_MILLIS, TimeUnit.MILLISECONDS)) {
+    if (!done.await(LISTENER_SWITCH_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
       LOG.warn("door-late", value("on", on));
     }
   }
--- a/src/main/java/brassbank/handover/HandoverState.java
+++ b/src/main/java/brassbank/handover/HandoverState.java
@@ -6,14 +6,15 @@
 import java.util.Set;
 
 /**
- * What a process holds, as its successor must know it.
+ * The state that a process publishes for its successor.
  *
- * @param descriptorLimit as many as it may hold from now on, of whatever kind
- * @param standby whether operators have sent its clients away: its successor stays so
- * @param flowIds of the flows that wait or stand there, as their clients have them: an id is one
- *     flow's
- * @param targets the list as it was last told, so that what one process was told binds the other
- * @param connections its connections
+ * @param descriptorLimit how many file descriptors of any kind the process may hold from now on
+ * @param standby whether operators have put the process on standby, which its successor keeps
+ * @param flowIds the ids, as chosen by the clients, of the flows that are pending or established in
+ *     the process; the successor must not accept a second flow with one of them
+ * @param targets the target list that discovery last reported to the process, so that a status
+ *     reported to one process also binds the other
+ * @param connections the established connections of the process
  */
 public record HandoverState(
     int descriptorLimit,
@@ -21,7 +22,7 @@
     Set<String> flowIds,
     List<TargetList.Entry> targets,
     List<Standing> connections) {
-  /** What a process holds that is gone. */
+  /** The state of a process that has stopped. */
   public static final HandoverState EMPTY =
       new HandoverState(0, false, Set.of(), List.of(), List.of());
 }
--- a/src/main/java/brassbank/handover/HandoverStateMachine.java
+++ b/src/main/java/brassbank/handover/HandoverStateMachine.java
@@ -1,85 +1,90 @@
 package brassbank.handover;
 
 /**
- * Who takes the connections of a listening socket that several processes hold: never two of them at
- * once, and one of them always but for the moment of a hand-over.
+ * Decides which of several processes that share one listening socket accepts its connections: never
+ * two processes at once, and always one of them except for the moment of a handover.
  *
- * <p>No clock, no thread, no I/O; called from one thread. All times are microseconds of the
- * caller's clock. A step costs O(1).
+ * <p>Not thread-safe. Performs no I/O and reads no clock; all times are microseconds of the
+ * caller's clock. Each step costs O(1).
  */
 public final class HandoverStateMachine {
-  /** What this process does; the two locks that it holds follow from it. */
+  /** The phase of this process. The locks that the process holds follow from it. */
   public enum Phase {
-    /** It cannot serve yet. */
+    /** The process cannot serve clients yet. */
     WAITING(false, false),
 
-    /** It could serve, and waits until no predecessor accepts any more. */
+    /** The process could serve clients and waits until no predecessor accepts connections. */
     READY(true, false),
 
-    /** It takes the socket's connections. */
+    /** The process accepts the connections of the listening socket. */
     ACCEPTING(true, true),
 
-    /** A successor takes them; what this one has accepted it carries on. */
+    /** A successor accepts connections; this process serves those it has accepted. */
     SUCCEEDED(true, false);
 
     private final boolean ready;
-    private final boolean accepts;
+    private final boolean accepting;
 
-    Phase(boolean ready, boolean accepts) {
+    Phase(boolean ready, boolean accepting) {
       this.ready = ready;
-      this.accepts = accepts;
+      this.accepting = accepting;
     }
 
-    /** Whether the process tells others that it could serve. */
+    /** Returns whether the process announces to the others that it could serve clients. */
     public boolean isReady() {
       return ready;
     }
 
-    /** Whether it accepts, and tells others so. */
+    /** Returns whether the process accepts connections, and announces so to the others. */
     public boolean isAccepting() {
-      return accepts;
+      return accepting;
     }
   }
 
   /**
-   * What the locks of the others say.
+   * What the locks of the other processes indicate.
    *
-   * @param predecessorAccepting an earlier process takes connections
-   * @param successorReady a later process could serve, or does
+   * @param predecessorAccepting whether an earlier process accepts connections
+   * @param successorReady whether a later process could serve clients, or does
    */
   public record View(boolean predecessorAccepting, boolean successorReady) {}
 
   /**
-   * A predecessor that has not let go by then hangs, and accepts nothing either: whoever waits for
-   * it must say yes within 6 s of its start.
+   * How long a ready process waits for its predecessor. A predecessor that still holds its lock
+   * after that hangs, and accepts no connections either. The bound keeps a successor within the 6 s
+   * after its start in which it must report that it is serving.
    */
-  static final long PATIENCE = 1_500_000;
+  static final long PREDECESSOR_TIMEOUT_MICROS = 1_500_000;
 
   private Phase phase = Phase.WAITING;
-  private long readySince;
+  private long readySinceMicros;
 
-  /** What this process does now. */
+  /** Returns the current phase. */
   public Phase phase() {
     return phase;
   }
 
   /**
-   * What this process is to do from now on.
+   * Advances the phase by at most one transition.
    *
-   * @param able whether it could serve
+   * @param nowMicros the current time
+   * @param view what the locks of the other processes indicate
+   * @param readyToServe whether this process could serve clients
+   * @return the phase from now on
    */
-  public Phase step(long now, View view, boolean able) {
+  public Phase step(long nowMicros, View view, boolean readyToServe) {
     switch (phase) {
       case WAITING -> {
-        if (able) {
+        if (readyToServe) {
           phase = Phase.READY;
-          readySince = now;
+          readySinceMicros = nowMicros;
         }
       }
       case READY -> {
         if (view.successorReady()) {
           phase = Phase.SUCCEEDED;
-        } else if (!view.predecessorAccepting() || now - readySince >= PATIENCE) {
+        } else if (!view.predecessorAccepting()
+            || nowMicros - readySinceMicros >= PREDECESSOR_TIMEOUT_MICROS) {
           phase = Phase.ACCEPTING;
         }
       }
@@ -90,12 +95,12 @@
       }
       case SUCCEEDED -> {
         if (!view.successorReady()) {
-          // Its successors have died: nobody else lets clients in.
+          // All successors have stopped, so that no other process accepts connections.
           phase = Phase.READY;
-          readySince = now;
+          readySinceMicros = nowMicros;
         }
       }
-      default -> throw new IllegalStateException("no such phase: " + phase);
+      default -> throw new IllegalStateException("unexpected phase: " + phase);
     }
     return phase;
   }
--- a/src/main/java/brassbank/handover/package-info.java
+++ b/src/main/java/brassbank/handover/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The upgrade in place: which of several processes on one inherited listening socket takes its
- * connections. {@link brassbank.handover.HandoverStateMachine} decides on values alone; the locks
- * and the thread that looks at them stand beside it. docs/handover.md has the design.
+ * The upgrade in place: several processes inherit one listening socket, and this package decides
+ * which of them accepts its connections. {@link brassbank.handover.HandoverStateMachine} decides on
+ * values alone; {@link brassbank.handover.Handover} polls the lock file on a thread of its own and
+ * exchanges state files between the processes. docs/handover.md describes the design.
  */
 package brassbank.handover;
--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -174,7 +174,7 @@
   public void setAccepting(boolean on, Runnable done) {
     net.execute(
         () -> {
-          share.needs(on, net.needs(dispatcher.waiting()));
+          share.updateNeed(on, net.needs(dispatcher.waiting()));
           net.limit(share.limit());
           if (on) {
             front.opened(first);
@@ -227,7 +227,7 @@
   public void captureState(Consumer<HandoverState> told) {
     net.execute(
         () -> {
-          share.needs(net.isOpen(), net.needs(dispatcher.waiting()));
+          share.updateNeed(net.isOpen(), net.needs(dispatcher.waiting()));
           net.limit(share.limit());
           told.accept(
               new HandoverState(
@@ -243,7 +243,7 @@
   public void updatePredecessor(long number, HandoverState holding) {
     net.execute(
         () -> {
-          share.predecessor(number, holding.descriptorLimit());
+          share.setPredecessorLimit(number, holding.descriptorLimit());
           net.limit(share.limit());
           // A process that already serves hears its operators itself.
           standby =
@@ -271,7 +271,7 @@
   public void reload(Config next, RelayLimits limits, Joining joining) {
     net.execute(
         () -> {
-          share.sockets(next.sockets());
+          share.setTotalLimit(next.sockets());
           net.limit(share.limit());
           relay.configure(limits);
           settings = next.settings();
--- a/src/test/java/brassbank/handover/DescriptorShareTest.java
+++ b/src/test/java/brassbank/handover/DescriptorShareTest.java
@@ -6,49 +6,55 @@
 import org.junit.jupiter.api.Test;
 
 class DescriptorShareTest {
-  private static final int SOCKETS = 384;
+  private static final int TOTAL_LIMIT = 384;
 
   @Test
-  void aProxyThatIsNeverUpgradedHasAll() {
-    assertThat(new DescriptorShare(SOCKETS, false).limit()).isEqualTo(SOCKETS);
+  void aProxyThatIsNeverUpgradedMayHoldAllDescriptors() {
+    assertThat(new DescriptorShare(TOTAL_LIMIT, false).limit()).isEqualTo(TOTAL_LIMIT);
   }
 
-  /** The old one's clients leave one by one and come to the new one. */
+  /** The predecessor's clients leave one by one and reconnect to the successor. */
   @Test
-  void twoNeverHoldMoreThanOneMayAndTheNewOneGetsWhatTheOldOneGivesUp() {
+  void twoProcessesStayWithinTheLimitAndTheSuccessorGetsWhatThePredecessorReleases() {
     for (int seed = 0; seed < 200; seed++) {
       Random random = new Random(seed);
-      DescriptorShare old = new DescriptorShare(SOCKETS, true);
-      DescriptorShare next = new DescriptorShare(SOCKETS, true);
-      assertThat(next.limit()).as("before it knows").isEqualTo(DescriptorShare.START);
-      old.needs(true, 0);
-      assertThat(old.limit() + DescriptorShare.START).as("to start").isLessThanOrEqualTo(SOCKETS);
-      int holds = 60 + random.nextInt(old.limit() - 60);
-      next.predecessor(1, old.limit());
-      next.needs(true, 0);
-      while (holds > 60) {
-        holds -= random.nextInt(10);
-        old.needs(false, holds + random.nextInt(20));
-        assertThat(old.limit()).isGreaterThanOrEqualTo(Math.min(holds, old.limit()));
-        // What was read last may be old: it was more.
-        assertThat(old.limit() + next.limit()).as("seed " + seed).isLessThanOrEqualTo(SOCKETS);
+      DescriptorShare predecessor = new DescriptorShare(TOTAL_LIMIT, true);
+      DescriptorShare successor = new DescriptorShare(TOTAL_LIMIT, true);
+      assertThat(successor.limit())
+          .as("before it has read the predecessor's limit")
+          .isEqualTo(DescriptorShare.STARTUP_DESCRIPTORS);
+      predecessor.updateNeed(true, 0);
+      assertThat(predecessor.limit() + DescriptorShare.STARTUP_DESCRIPTORS)
+          .as("descriptors held back for a start")
+          .isLessThanOrEqualTo(TOTAL_LIMIT);
+      int held = 60 + random.nextInt(predecessor.limit() - 60);
+      successor.setPredecessorLimit(1, predecessor.limit());
+      successor.updateNeed(true, 0);
+      while (held > 60) {
+        held -= random.nextInt(10);
+        predecessor.updateNeed(false, held + random.nextInt(20));
+        assertThat(predecessor.limit()).isGreaterThanOrEqualTo(Math.min(held, predecessor.limit()));
+        // The limit that was read last may be outdated; it was higher then.
+        assertThat(predecessor.limit() + successor.limit())
+            .as("seed " + seed)
+            .isLessThanOrEqualTo(TOTAL_LIMIT);
         if (random.nextBoolean()) {
-          next.predecessor(1, old.limit());
+          successor.setPredecessorLimit(1, predecessor.limit());
         }
       }
-      next.predecessor(1, 0);
-      assertThat(next.limit()).isEqualTo(SOCKETS - DescriptorShare.START);
+      successor.setPredecessorLimit(1, 0);
+      assertThat(successor.limit()).isEqualTo(TOTAL_LIMIT - DescriptorShare.STARTUP_DESCRIPTORS);
     }
   }
 
   @Test
-  void whoTakesTheDoorBackHasAllAgain() {
-    DescriptorShare old = new DescriptorShare(SOCKETS, true);
-    old.needs(true, 0);
-    int before = old.limit();
-    old.needs(false, 100);
-    assertThat(old.limit()).isEqualTo(100);
-    old.needs(true, 100);
-    assertThat(old.limit()).isEqualTo(before);
+  void aProcessThatAcceptsClientsAgainRegainsItsFullLimit() {
+    DescriptorShare share = new DescriptorShare(TOTAL_LIMIT, true);
+    share.updateNeed(true, 0);
+    int before = share.limit();
+    share.updateNeed(false, 100);
+    assertThat(share.limit()).isEqualTo(100);
+    share.updateNeed(true, 100);
+    assertThat(share.limit()).isEqualTo(before);
   }
 }
--- a/src/test/java/brassbank/handover/HandoverStateMachineTest.java
+++ b/src/test/java/brassbank/handover/HandoverStateMachineTest.java
@@ -12,100 +12,109 @@
 import org.junit.jupiter.api.Test;
 
 class HandoverStateMachineTest {
-  private static final HandoverStateMachine.View ALONE =
+  private static final HandoverStateMachine.View NO_OTHER_ACTIVE =
       new HandoverStateMachine.View(false, false);
-  private static final HandoverStateMachine.View BEHIND =
+  private static final HandoverStateMachine.View PREDECESSOR_ACCEPTING =
       new HandoverStateMachine.View(true, false);
-  private static final HandoverStateMachine.View BEFORE =
+  private static final HandoverStateMachine.View SUCCESSOR_READY =
       new HandoverStateMachine.View(false, true);
 
-  private final HandoverStateMachine succession = new HandoverStateMachine();
+  private final HandoverStateMachine machine = new HandoverStateMachine();
 
   @Test
-  void acceptsOnceItIsAbleAndNoPredecessorDoes() {
-    assertThat(succession.step(0, BEHIND, false)).isEqualTo(WAITING);
-    assertThat(succession.step(20, BEHIND, true)).isEqualTo(READY);
-    assertThat(succession.step(40, BEHIND, true)).isEqualTo(READY);
-    assertThat(succession.step(60, ALONE, true)).isEqualTo(ACCEPTING);
-    assertThat(succession.step(80, BEFORE, true)).isEqualTo(SUCCEEDED);
-    assertThat(succession.step(100, BEFORE, true)).isEqualTo(SUCCEEDED);
+  void acceptsOnceItIsReadyAndNoPredecessorAccepts() {
+    assertThat(machine.step(0, PREDECESSOR_ACCEPTING, false)).isEqualTo(WAITING);
+    assertThat(machine.step(20, PREDECESSOR_ACCEPTING, true)).isEqualTo(READY);
+    assertThat(machine.step(40, PREDECESSOR_ACCEPTING, true)).isEqualTo(READY);
+    assertThat(machine.step(60, NO_OTHER_ACTIVE, true)).isEqualTo(ACCEPTING);
+    assertThat(machine.step(80, SUCCESSOR_READY, true)).isEqualTo(SUCCEEDED);
+    assertThat(machine.step(100, SUCCESSOR_READY, true)).isEqualTo(SUCCEEDED);
   }
 
   @Test
-  void waitsForAPredecessorThatHangsNoLongerThanItsYesAllows() {
-    succession.step(0, BEHIND, true);
-    assertThat(succession.step(HandoverStateMachine.PATIENCE - 1, BEHIND, true)).isEqualTo(READY);
-    assertThat(succession.step(HandoverStateMachine.PATIENCE, BEHIND, true)).isEqualTo(ACCEPTING);
+  void stopsWaitingForAHungPredecessorAfterTheTimeout() {
+    machine.step(0, PREDECESSOR_ACCEPTING, true);
+    assertThat(
+            machine.step(
+                HandoverStateMachine.PREDECESSOR_TIMEOUT_MICROS - 1, PREDECESSOR_ACCEPTING, true))
+        .isEqualTo(READY);
+    assertThat(
+            machine.step(
+                HandoverStateMachine.PREDECESSOR_TIMEOUT_MICROS, PREDECESSOR_ACCEPTING, true))
+        .isEqualTo(ACCEPTING);
   }
 
   @Test
-  void takesTheDoorBackWhenItsSuccessorsHaveDied() {
-    succession.step(0, ALONE, true);
-    succession.step(20, ALONE, true);
-    succession.step(40, BEFORE, true);
-    assertThat(succession.step(60, ALONE, true)).isEqualTo(READY);
-    assertThat(succession.step(80, ALONE, true)).isEqualTo(ACCEPTING);
+  void acceptsAgainOnceAllItsSuccessorsHaveStopped() {
+    machine.step(0, NO_OTHER_ACTIVE, true);
+    machine.step(20, NO_OTHER_ACTIVE, true);
+    machine.step(40, SUCCESSOR_READY, true);
+    assertThat(machine.step(60, NO_OTHER_ACTIVE, true)).isEqualTo(READY);
+    assertThat(machine.step(80, NO_OTHER_ACTIVE, true)).isEqualTo(ACCEPTING);
   }
 
-  /** Processes start, become able and die at any moment, and look at each other in any order. */
+  /** Processes start, become ready and stop at any moment, and observe each other in any order. */
   @Test
-  void neverTwoAcceptAndWhoeverLivesDoesSoSoon() {
+  void atMostOneProcessAcceptsAndALiveReadyProcessAcceptsSoon() {
     for (int seed = 0; seed < 2_000; seed++) {
       Random random = new Random(seed);
-      List<HandoverStateMachine> all = new ArrayList<>();
+      List<HandoverStateMachine> machines = new ArrayList<>();
       List<Boolean> alive = new ArrayList<>();
-      List<Boolean> able = new ArrayList<>();
-      int none = 0;
+      List<Boolean> readyToServe = new ArrayList<>();
+      int stepsWithoutAcceptor = 0;
       for (int step = 0; step < 300; step++) {
-        if (all.size() < 4 && random.nextInt(20) == 0) {
-          all.add(new HandoverStateMachine());
+        if (machines.size() < 4 && random.nextInt(20) == 0) {
+          machines.add(new HandoverStateMachine());
           alive.add(true);
-          able.add(false);
+          readyToServe.add(false);
         }
-        for (int i = 0; i < all.size(); i++) {
-          int me = i;
-          // The last one to live is left alone: with nobody there, nobody accepts.
-          if (random.nextInt(60) == 0 && alive.stream().filter(a -> a).count() > 1) {
+        for (int i = 0; i < machines.size(); i++) {
+          int index = i;
+          // The last live process is never stopped, because some process has to accept.
+          if (random.nextInt(60) == 0 && alive.stream().filter(live -> live).count() > 1) {
             alive.set(i, false);
           }
-          able.set(i, able.get(i) || random.nextInt(10) == 0);
+          readyToServe.set(i, readyToServe.get(i) || random.nextInt(10) == 0);
           if (alive.get(i)) {
-            boolean predecessor =
-                held(all, alive, 0, me).stream().anyMatch(HandoverStateMachine.Phase::isAccepting);
-            boolean successor =
-                held(all, alive, me + 1, all.size()).stream()
+            boolean predecessorAccepting =
+                phasesOfLive(machines, alive, 0, index).stream()
+                    .anyMatch(HandoverStateMachine.Phase::isAccepting);
+            boolean successorReady =
+                phasesOfLive(machines, alive, index + 1, machines.size()).stream()
                     .anyMatch(HandoverStateMachine.Phase::isReady);
-            all.get(i)
+            machines
+                .get(i)
                 .step(
                     step * 20_000L,
-                    new HandoverStateMachine.View(predecessor, successor),
-                    able.get(i));
+                    new HandoverStateMachine.View(predecessorAccepting, successorReady),
+                    readyToServe.get(i));
           }
           long accepting =
-              held(all, alive, 0, all.size()).stream()
+              phasesOfLive(machines, alive, 0, machines.size()).stream()
                   .filter(HandoverStateMachine.Phase::isAccepting)
                   .count();
           assertThat(accepting).as("seed " + seed + " step " + step).isLessThanOrEqualTo(1);
         }
-        boolean someoneAble =
-            held(all, alive, 0, all.size()).stream().anyMatch(HandoverStateMachine.Phase::isReady);
-        boolean someoneAccepts =
-            held(all, alive, 0, all.size()).stream()
+        boolean anyReady =
+            phasesOfLive(machines, alive, 0, machines.size()).stream()
+                .anyMatch(HandoverStateMachine.Phase::isReady);
+        boolean anyAccepting =
+            phasesOfLive(machines, alive, 0, machines.size()).stream()
                 .anyMatch(HandoverStateMachine.Phase::isAccepting);
-        none = someoneAble && !someoneAccepts ? none + 1 : 0;
-        assertThat(none).as("seed " + seed + " step " + step).isLessThan(6);
+        stepsWithoutAcceptor = anyReady && !anyAccepting ? stepsWithoutAcceptor + 1 : 0;
+        assertThat(stepsWithoutAcceptor).as("seed " + seed + " step " + step).isLessThan(6);
       }
     }
   }
 
-  private static List<HandoverStateMachine.Phase> held(
-      List<HandoverStateMachine> all, List<Boolean> alive, int from, int to) {
-    List<HandoverStateMachine.Phase> held = new ArrayList<>();
+  private static List<HandoverStateMachine.Phase> phasesOfLive(
+      List<HandoverStateMachine> machines, List<Boolean> alive, int from, int to) {
+    List<HandoverStateMachine.Phase> phases = new ArrayList<>();
     for (int i = from; i < to; i++) {
       if (alive.get(i)) {
-        held.add(all.get(i).phase());
+        phases.add(machines.get(i).phase());
       }
     }
-    return held;
+    return phases;
   }
 }
