--- a/src/jmh/java/brassbank/relay/RelayBenchmark.java
+++ b/src/jmh/java/brassbank/relay/RelayBenchmark.java
@@ -104,7 +104,7 @@
     public void start(Loop loop) {}
 
     @Override
-    public Listener listen(InetSocketAddress address, Consumer<Channel> taker) {
+    public Listener listen(InetSocketAddress address, boolean first, Consumer<Channel> taker) {
       accepted = taker;
       return on -> {};
     }
