--- a/src/main/java/brassbank/decide/Decider.java
+++ b/src/main/java/brassbank/decide/Decider.java
@@ -7,7 +7,7 @@
 import ashspar.Balancer;
 import ashspar.Policy;
 import ashspar.limits.LimitsSnapshot;
-import brassbank.lifecycle.Departure;
+import brassbank.lifecycle.DrainSchedule;
 import brassbank.lifecycle.Event;
 import brassbank.lifecycle.Lifecycle;
 import brassbank.lifecycle.State;
@@ -39,7 +39,7 @@
   private static final long REJOIN_PAUSE = 300 * MILLI;
 
   /** An outcome that the module is still to be told. */
-  private record Owed(Entry entry, Ending ending, boolean closed) {}
+  private record Owed(Entry entry, Outcome ending, boolean closed) {}
 
   private Balancer.Settings settings;
   private final FlowClock clock;
@@ -53,8 +53,8 @@
   private List<Decision> out = new ArrayList<>();
   private long now;
   private final Lifecycle lifecycle = new Lifecycle();
-  private boolean listed;
-  private long taken;
+  private boolean hasTargetList;
+  private long newFlowCount;
 
   /** Null where all targets are this proxy's to ask. */
   private Subset subset;
@@ -81,7 +81,7 @@
   public List<Decision> pick(Flow flow) {
     now = clock.now();
     Balancer.require(ledger.get(flow.id()) == null, "flow " + flow.id() + " is known");
-    if (lifecycle.refuses(now)) {
+    if (lifecycle.refusesClients(now)) {
       return List.of(new Decision.FixedResponse(flow.id(), retryMillis()));
     }
     if (settings.classes().stream().noneMatch(c -> c.name().equals(flow.flowClass()))) {
@@ -94,16 +94,16 @@
             flow.group(),
             flow.flowClass(),
             flow.tenant(),
-            Math.max(0, flow.leftMicros()),
-            flow.hint(),
-            flow.retry(),
+            Math.max(0, flow.remainingMicros()),
+            flow.loadHint(),
+            flow.isRetry(),
             false,
-            flow.returning());
-    taken += flow.retry() || flow.returning() ? 0 : 1;
+            flow.isReconnecting());
+    newFlowCount += flow.isRetry() || flow.isReconnecting() ? 0 : 1;
     Entry entry = new Entry(flow, request, now + request.left(), settings);
     ledger.enter(entry);
     alarms.set(entry.deadline + settings.rules().answerSlack(), Alarms.Kind.ANSWER_DUE, flow.id());
-    if (flow.at() != null) {
+    if (flow.resumeTarget() != null) {
       rejoin(entry);
     } else {
       module.request(now, request);
@@ -115,61 +115,63 @@
   }
 
   /** Something has happened; what is decided on it comes back. */
-  public List<Decision> report(Happening happening) {
+  public List<Decision> report(NetworkEvent happening) {
     now = clock.now();
-    if (happening instanceof Happening.Up up) {
+    if (happening instanceof NetworkEvent.FlowEstablished up) {
       up(up.flow());
-    } else if (happening instanceof Happening.Load load) {
+    } else if (happening instanceof NetworkEvent.LoadReported load) {
       Entry entry = ledger.standing(load.flow());
       if (entry != null) {
         entry.load = load.load();
         note(entry, Balancer.NoteKind.LOAD, load.load());
       }
-    } else if (happening instanceof Happening.Asked asked) {
+    } else if (happening instanceof NetworkEvent.RequestRelayed asked) {
       asked(ledger.standing(asked.flow()));
-    } else if (happening instanceof Happening.Answered answered) {
+    } else if (happening instanceof NetworkEvent.ResponseRelayed answered) {
       answered(ledger.standing(answered.flow()));
-    } else if (happening instanceof Happening.Ended ended) {
+    } else if (happening instanceof NetworkEvent.ForwardEnded ended) {
       ended(ended);
-    } else if (happening instanceof Happening.ClientLeft left) {
+    } else if (happening instanceof NetworkEvent.ClientDisconnected left) {
       left(left.flow());
-    } else if (happening instanceof Happening.Probed probed) {
+    } else if (happening instanceof NetworkEvent.ProbeCompleted probed) {
       module.probed(
-          now, probed.target(), probed.ending().status, probed.elapsedMicros(), probed.report());
-    } else if (happening instanceof Happening.Listed listed) {
-      this.listed = true;
-      list(listed.list(), listed.list().whole() ? Balancer.ListKind.FULL : Balancer.ListKind.DELTA);
-    } else if (happening instanceof Happening.FetchFailed) {
+          now, probed.target(), probed.outcome().status, probed.elapsedMicros(), probed.report());
+    } else if (happening instanceof NetworkEvent.TargetsListed listed) {
+      this.hasTargetList = true;
+      list(
+          listed.list(),
+          listed.list().isSnapshot() ? Balancer.ListKind.FULL : Balancer.ListKind.DELTA);
+    } else if (happening instanceof NetworkEvent.FetchFailed) {
       module.servers(now, Balancer.ListKind.FAILED, List.of());
-    } else if (happening instanceof Happening.Configured configured) {
+    } else if (happening instanceof NetworkEvent.SettingsChanged configured) {
       settings(configured.settings());
       module.settings(now, settings);
-    } else if (happening instanceof Happening.Stopping stopping) {
-      leave(lifecycle.stop(now, stopping.by()));
-    } else if (happening instanceof Happening.StandbyAsked) {
-      leave(lifecycle.on(Event.STANDBY, now));
-    } else if (happening instanceof Happening.ActiveAsked) {
-      lifecycle.on(Event.ACTIVE, now);
-    } else if (happening instanceof Happening.Predecessor predecessor) {
-      if (!listed && !predecessor.targets().isEmpty()) {
+    } else if (happening instanceof NetworkEvent.StopRequested stopping) {
+      leave(lifecycle.stop(now, stopping.deadlineMicros()));
+    } else if (happening instanceof NetworkEvent.StandbyRequested) {
+      leave(lifecycle.handle(Event.STANDBY, now));
+    } else if (happening instanceof NetworkEvent.ActivationRequested) {
+      lifecycle.handle(Event.ACTIVE, now);
+    } else if (happening instanceof NetworkEvent.PredecessorReported predecessor) {
+      if (!hasTargetList && !predecessor.targets().isEmpty()) {
         // Its list is newer than the one that this process was started with.
         list(new TargetList(0, true, predecessor.targets()), Balancer.ListKind.CACHED);
       }
-      predecessors.holds(now, settings, predecessor.process(), predecessor.standing());
-    } else if (happening instanceof Happening.Succeeded succeeded) {
-      lifecycle.succeeded(succeeded.yes());
-    } else if (happening instanceof Happening.Shared shared) {
+      predecessors.holds(now, settings, predecessor.processId(), predecessor.connections());
+    } else if (happening instanceof NetworkEvent.SuccessorChanged succeeded) {
+      lifecycle.setSuccessorPresent(succeeded.isPresent());
+    } else if (happening instanceof NetworkEvent.BudgetShareChanged shared) {
       module.share(
           now,
           new Balancer.Share(
-              shared.part(),
-              shared.base(),
-              shared.turn(),
-              shared.of(),
+              shared.share(),
+              shared.baseShare(),
+              shared.rank(),
+              shared.participants(),
               clock.ofNanos(shared.untilNanos())));
-    } else if (happening instanceof Happening.Serving) {
-      lifecycle.on(Event.SERVING, now);
-    } else if (happening instanceof Happening.Peers peers) {
+    } else if (happening instanceof NetworkEvent.ServingStarted) {
+      lifecycle.handle(Event.SERVING, now);
+    } else if (happening instanceof NetworkEvent.SubsetChanged peers) {
       subset = peers.subset();
       module.own(now, subset == null ? null : subset.of(group.peers()));
     }
@@ -191,33 +193,33 @@
   }
 
   /** Flows without a final answer, and standing connections. */
-  public int open() {
+  public int openFlowCount() {
     return ledger.size();
   }
 
   /** Flows that have come in so far, to be served for the first time. */
-  public long taken() {
-    return taken;
+  public long newFlowCount() {
+    return newFlowCount;
   }
 
   /** Whether clients are taken: none is before any target is known. */
-  public boolean admits() {
-    return lifecycle.admits() && !group.isEmpty();
+  public boolean admitsClients() {
+    return lifecycle.admitsClients() && !group.isEmpty();
   }
 
   /** Whether any target is known, so that clients could be served. */
-  public boolean ready() {
+  public boolean hasTargets() {
     return !group.isEmpty();
   }
 
   /** Whether the whole list has come from discovery, so that what is known is no old one. */
-  public boolean listed() {
-    return listed;
+  public boolean hasTargetList() {
+    return hasTargetList;
   }
 
   /** Whether the clients are to go elsewhere. */
-  public boolean leaving() {
-    return lifecycle.state().leaving();
+  public boolean isLeaving() {
+    return lifecycle.state().isLeaving();
   }
 
   /** What the proxy is now. */
@@ -253,32 +255,32 @@
       return;
     }
     entry.stage = Entry.Stage.UP;
-    if (entry.flow.at() != null) {
+    if (entry.flow.resumeTarget() != null) {
       module.resumed(now, entry.request, entry.target.name());
     } else {
       module.accepted(now, flow, entry.forwards - 1, entry.target.name(), now - entry.sentAt);
     }
   }
 
-  private void ended(Happening.Ended ended) {
+  private void ended(NetworkEvent.ForwardEnded ended) {
     Entry entry = ledger.get(ended.flow());
     if (entry == null || entry.stage == Entry.Stage.HELD) {
       return;
     }
     if (entry.stage == Entry.Stage.UP) {
-      if (ended.ending() == Ending.RESET) {
+      if (ended.outcome() == Outcome.RESET) {
         LOG.info("connection-broken", flow(entry.flow.id()), target(entry.target.name()));
       }
       ledger.close(entry);
-      outcome(entry, ended.ending(), true);
+      outcome(entry, ended.outcome(), true);
     } else {
       LOG.info(
           "forward-ended",
           flow(entry.flow.id()),
           target(entry.target.name()),
-          value("ending", ended.ending()));
+          value("ending", ended.outcome()));
       entry.stage = Entry.Stage.HELD;
-      outcome(entry, ended.ending(), false);
+      outcome(entry, ended.outcome(), false);
     }
   }
 
@@ -289,21 +291,21 @@
     }
     ledger.close(entry);
     if (entry.stage == Entry.Stage.UP) {
-      outcome(entry, Ending.CANCELLED, true);
+      outcome(entry, Outcome.CANCELLED, true);
       return;
     }
-    if (entry.flow.at() == null) {
+    if (entry.flow.resumeTarget() == null) {
       module.lapsed(now, flow);
     }
     if (entry.stage == Entry.Stage.OUT) {
       out.add(new Decision.Cancel(flow));
-      outcome(entry, Ending.CANCELLED, true);
+      outcome(entry, Outcome.CANCELLED, true);
     }
   }
 
   /** The one place where a forward's outcome reaches the module. */
-  private void outcome(Entry entry, Ending ending, boolean closed) {
-    if (entry.flow.at() != null && entry.stage != Entry.Stage.UP) {
+  private void outcome(Entry entry, Outcome ending, boolean closed) {
+    if (entry.flow.resumeTarget() != null && entry.stage != Entry.Stage.UP) {
       if (!closed) {
         retryRejoin(entry, ending);
       }
@@ -337,7 +339,7 @@
 
   /** Goes to the connection's own target; the module hears of it once it stands again. */
   private void rejoin(Entry entry) {
-    Target target = group.get(entry.flow.at());
+    Target target = group.get(entry.flow.resumeTarget());
     if (target != null) {
       forward(entry, target, entry.deadline);
     } else {
@@ -345,9 +347,9 @@
     }
   }
 
-  private void retryRejoin(Entry entry, Ending ending) {
+  private void retryRejoin(Entry entry, Outcome ending) {
     boolean again =
-        ending == Ending.CONNECT_FAILED
+        ending == Outcome.CONNECT_FAILED
             && now + REJOIN_PAUSE < entry.deadline
             && entry.forwards < entry.settings.limits().maxAttempts();
     if (again) {
@@ -397,7 +399,7 @@
       return;
     }
     if (alarm.kind() == Alarms.Kind.LEAVE) {
-      if (alarm.subject() == lifecycle.number()) {
+      if (alarm.subject() == lifecycle.drainNumber()) {
         step();
       }
       return;
@@ -412,7 +414,7 @@
           LOG.info("forward-unanswered", flow(entry.flow.id()), target(entry.target.name()));
           entry.stage = Entry.Stage.HELD;
           out.add(new Decision.Cancel(entry.flow.id()));
-          outcome(entry, Ending.TIMED_OUT, false);
+          outcome(entry, Outcome.TIMED_OUT, false);
         }
       }
       case ANSWER_DUE -> {
@@ -429,7 +431,7 @@
             LOG.info("connection-silent", flow(entry.flow.id()), target(entry.target.name()));
             ledger.close(entry);
             out.add(new Decision.Move(entry.flow.id()));
-            outcome(entry, Ending.RESET, true);
+            outcome(entry, Outcome.RESET, true);
           } else {
             entry.watched = true;
             alarms.set(entry.askedAt + UNANSWERED_LIMIT, Alarms.Kind.UNANSWERED, entry.flow.id());
@@ -450,7 +452,7 @@
    * not be told that trying again is harmless, unless it is.
    */
   private void giveUp(Entry entry) {
-    if (entry.flow.at() == null) {
+    if (entry.flow.resumeTarget() == null) {
       module.giveUp(now, entry.flow.id());
     }
     if (ledger.get(entry.flow.id()) != entry) {
@@ -470,7 +472,7 @@
   private long retryMillis() {
     Balancer.Limits limits = settings.limits();
     return limits.retryAfter()
-        ? Math.min(lifecycle.comeBackAfter(now), limits.maxRetryAfter()) / MILLI
+        ? Math.min(lifecycle.retryDelayMicros(now), limits.maxRetryAfter()) / MILLI
         : 0;
   }
 
@@ -478,7 +480,7 @@
    * Whether a forward that was decided earlier may still be sent to its target: one that has begun
    * to leave while its connect was under way takes nothing new.
    */
-  public boolean serves(String target) {
+  public boolean isServing(String target) {
     return group.serves(target);
   }
 
@@ -488,12 +490,12 @@
   }
 
   /** How many connections of predecessors the module is told of. */
-  int counted() {
+  int predecessorConnectionCount() {
     return predecessors.counted();
   }
 
   /** The connections that stand here. */
-  public List<Standing> standing() {
+  public List<EstablishedConnection> establishedConnections() {
     return ledger.standing();
   }
 
@@ -501,14 +503,14 @@
 
   private void leave(boolean begun) {
     if (begun) {
-      Departure departure = lifecycle.departure();
+      DrainSchedule departure = lifecycle.drainSchedule();
       LOG.info(
           "departure-planned",
           value("state", lifecycle.state()),
           value("flows", ledger.size()),
           value("from_ms", departure.untilFirst(now, ledger.size()) / MILLI),
           value("to_ms", departure.untilEnd(now) / MILLI));
-      alarms.set(now, Alarms.Kind.LEAVE, lifecycle.number());
+      alarms.set(now, Alarms.Kind.LEAVE, lifecycle.drainNumber());
     }
   }
 
@@ -519,18 +521,18 @@
    */
   private void step() {
     List<Entry> going = ledger.toSendAway();
-    Departure.Step step = lifecycle.step(now, going.size(), ledger.size());
+    DrainSchedule.Step step = lifecycle.step(now, going.size(), ledger.size());
     if (step == null) {
       return;
     }
     going.stream().limit(step.count()).forEach(this::sendAway);
-    if (lifecycle.refuses(now)) {
+    if (lifecycle.refusesClients(now)) {
       ledger.all().forEach(this::sendAway);
     }
-    if (lifecycle.departure() == null) {
+    if (lifecycle.drainSchedule() == null) {
       LOG.info("drained");
     } else {
-      alarms.set(step.next(), Alarms.Kind.LEAVE, lifecycle.number());
+      alarms.set(step.next(), Alarms.Kind.LEAVE, lifecycle.drainNumber());
     }
   }
 
@@ -545,7 +547,7 @@
   private void moveAway(Entry entry) {
     ledger.close(entry);
     out.add(new Decision.Move(entry.flow.id()));
-    owed.add(new Owed(entry, Ending.CANCELLED, true));
+    owed.add(new Owed(entry, Outcome.CANCELLED, true));
   }
 
   // ------------------------------------------------------------- target group
@@ -593,7 +595,7 @@
       ledger.close(entry);
       if (entry.stage == Entry.Stage.OUT) {
         out.add(new Decision.Cancel(id));
-        owed.add(new Owed(entry, Ending.CANCELLED, true));
+        owed.add(new Owed(entry, Outcome.CANCELLED, true));
       }
       return true;
     }
@@ -604,7 +606,7 @@
       if (entry != null && entry.stage == Entry.Stage.OUT && entry.forwards == attempt + 1) {
         entry.stage = Entry.Stage.HELD;
         out.add(new Decision.Cancel(id));
-        owed.add(new Owed(entry, Ending.CANCELLED, false));
+        owed.add(new Owed(entry, Outcome.CANCELLED, false));
       }
     }
 
--- a/src/main/java/brassbank/decide/Entry.java
+++ b/src/main/java/brassbank/decide/Entry.java
@@ -62,18 +62,18 @@
 
   /** The module's number of the last forward; a resumed connection is 0, however often tried. */
   int attempt() {
-    return flow.at() != null ? 0 : forwards - 1;
+    return flow.resumeTarget() != null ? 0 : forwards - 1;
   }
 
   /** What another process of the same proxy must know of a connection that stands. */
-  Standing asStanding() {
-    return new Standing(
+  EstablishedConnection asStanding() {
+    return new EstablishedConnection(
         flow.id(),
         flow.key(),
         flow.flowClass(),
         flow.tenant(),
         flow.group(),
-        flow.hint(),
+        flow.loadHint(),
         target.name(),
         load);
   }
--- a/src/main/java/brassbank/decide/Standing.java
+++ b/src/main/java/brassbank/decide/EstablishedConnection.java
@@ -6,16 +6,16 @@
  * @param id its number in the process that holds it
  * @param tenant or null
  * @param group what it shares work with, or null
- * @param hint its client's guess at its load, 0 for none
+ * @param loadHint its client's guess at its load, 0 for none
  * @param target the name of its target
  * @param load as the target told it last, NaN where it has not
  */
-public record Standing(
+public record EstablishedConnection(
     long id,
     String key,
     String flowClass,
     String tenant,
     String group,
-    double hint,
+    double loadHint,
     String target,
     double load) {}
--- a/src/main/java/brassbank/decide/Flow.java
+++ b/src/main/java/brassbank/decide/Flow.java
@@ -5,9 +5,9 @@
  *
  * @param id this proxy's own number for it, never used twice
  * @param group what the flow shares work with, or null
- * @param leftMicros how long the client will still wait
- * @param hint a guess at its load, 0 for none
- * @param at the target that held the connection before this proxy started, or null
+ * @param remainingMicros how long the client will still wait
+ * @param loadHint a guess at its load, 0 for none
+ * @param resumeTarget the target that held the connection before this proxy started, or null
  */
 public record Flow(
     long id,
@@ -15,8 +15,8 @@
     String flowClass,
     String tenant,
     String group,
-    long leftMicros,
-    double hint,
-    boolean retry,
-    boolean returning,
-    String at) {}
+    long remainingMicros,
+    double loadHint,
+    boolean isRetry,
+    boolean isReconnecting,
+    String resumeTarget) {}
--- a/src/main/java/brassbank/decide/Ledger.java
+++ b/src/main/java/brassbank/decide/Ledger.java
@@ -50,8 +50,8 @@
   }
 
   /** The connections that stand. */
-  List<Standing> standing() {
-    List<Standing> standing = new ArrayList<>();
+  List<EstablishedConnection> standing() {
+    List<EstablishedConnection> standing = new ArrayList<>();
     for (Entry entry : entries.values()) {
       if (entry.stage == Entry.Stage.UP) {
         standing.add(entry.asStanding());
--- a/src/main/java/brassbank/decide/Ending.java
+++ b/src/main/java/brassbank/decide/Outcome.java
@@ -3,7 +3,7 @@
 import ashspar.Balancer;
 
 /** How a forward or a probe ended; whether it has run follows PROTOCOL's table. */
-public enum Ending {
+public enum Outcome {
   /** Served to its end, or a probe that was answered. */
   SERVED(Balancer.Status.OK),
   /** The target answered with an error, or with a line that means nothing here. */
@@ -21,7 +21,7 @@
 
   final Balancer.Status status;
 
-  Ending(Balancer.Status status) {
+  Outcome(Balancer.Status status) {
     this.status = status;
   }
 }
--- a/src/main/java/brassbank/decide/Predecessors.java
+++ b/src/main/java/brassbank/decide/Predecessors.java
@@ -15,33 +15,41 @@
   private final Balancer module;
 
   /** What each of them holds, by its flows' ids. */
-  private final Map<Long, Map<Long, Standing>> shadows = new HashMap<>();
+  private final Map<Long, Map<Long, EstablishedConnection>> shadows = new HashMap<>();
 
   Predecessors(Balancer module) {
     this.module = module;
   }
 
   /** What the process holds from now on; nothing, where it has ended. */
-  void holds(long now, Balancer.Settings settings, long process, List<Standing> standing) {
-    Map<Long, Standing> before = shadows.computeIfAbsent(process, p -> new LinkedHashMap<>());
-    Map<Long, Standing> next = new LinkedHashMap<>();
+  void holds(
+      long now, Balancer.Settings settings, long process, List<EstablishedConnection> standing) {
+    Map<Long, EstablishedConnection> before =
+        shadows.computeIfAbsent(process, p -> new LinkedHashMap<>());
+    Map<Long, EstablishedConnection> next = new LinkedHashMap<>();
     standing.forEach(one -> next.put(one.id(), one));
-    for (Standing gone : before.values()) {
+    for (EstablishedConnection gone : before.values()) {
       if (!next.containsKey(gone.id())) {
         module.outcome(
             now,
             new Balancer.Outcome(
-                shadow(process, gone), 0, gone.target(), Ending.SERVED.status, 0, true, List.of()));
+                shadow(process, gone),
+                0,
+                gone.target(),
+                Outcome.SERVED.status,
+                0,
+                true,
+                List.of()));
       }
     }
     before.keySet().retainAll(next.keySet());
-    for (Standing one : standing) {
+    for (EstablishedConnection one : standing) {
       // A class that these settings do not know is none that the module could count.
       if (settings.classes().stream().noneMatch(c -> c.name().equals(one.flowClass()))) {
         continue;
       }
       long id = shadow(process, one);
-      Standing known = before.put(one.id(), one);
+      EstablishedConnection known = before.put(one.id(), one);
       if (known == null) {
         module.resumed(
             now,
@@ -52,7 +60,7 @@
                 one.flowClass(),
                 one.tenant(),
                 0,
-                one.hint(),
+                one.loadHint(),
                 false,
                 true,
                 false),
@@ -68,7 +76,7 @@
   }
 
   /** An id that no flow of this process's own has. */
-  private static long shadow(long process, Standing one) {
+  private static long shadow(long process, EstablishedConnection one) {
     return (process << 40) + one.id();
   }
 
--- a/src/main/java/brassbank/decide/TargetGroup.java
+++ b/src/main/java/brassbank/decide/TargetGroup.java
@@ -68,7 +68,7 @@
             "target-changed",
             target(entry.name()),
             value("status", entry.status()),
-            value("since_ms", entry.sinceMillis()));
+            value("since_ms", entry.startUnixMillis()));
       }
       if (entry.status() == TargetList.Status.DELETED) {
         group.remove(entry.name());
@@ -86,7 +86,7 @@
               entry.group(),
               state(entry.status()),
               entry.weight(),
-              clock.ofUnixMillis(entry.sinceMillis())));
+              clock.ofUnixMillis(entry.startUnixMillis())));
     }
     return entries;
   }
--- a/src/main/java/brassbank/decide/TargetList.java
+++ b/src/main/java/brassbank/decide/TargetList.java
@@ -11,9 +11,9 @@
 /**
  * The target group as discovery sends it: all of it, or the entries that have changed.
  *
- * @param whole true where a target that is missing has been removed
+ * @param isSnapshot true where a target that is missing has been removed
  */
-public record TargetList(long index, boolean whole, List<Entry> entries) {
+public record TargetList(long index, boolean isSnapshot, List<Entry> entries) {
 
   public TargetList {
     entries = List.copyOf(entries);
@@ -35,7 +35,7 @@
       int group,
       Status status,
       double weight,
-      long sinceMillis) {}
+      long startUnixMillis) {}
 
   /** Reads discovery's form; throws IllegalArgumentException on what is malformed. */
   public static TargetList parse(JsonObject json) {
--- a/src/main/java/brassbank/discovery/Discovery.java
+++ b/src/main/java/brassbank/discovery/Discovery.java
@@ -2,7 +2,7 @@
 
 import static brassbank.log.Field.value;
 
-import brassbank.decide.Happening;
+import brassbank.decide.NetworkEvent;
 import brassbank.decide.TargetList;
 import brassbank.forward.Dispatcher;
 import brassbank.log.Log;
@@ -19,7 +19,7 @@
  * Keeps the target group up to date: a watch that is renewed whenever it ends or falls silent, and
  * fetches of the whole list. While neither works, the list that the module has still holds.
  */
-public final class Discovery implements Dispatcher.Group {
+public final class Discovery implements Dispatcher.TargetSource {
   private static final Log LOG = Log.of("discovery");
 
   /** Far more than a list of targets needs. */
@@ -72,7 +72,7 @@
    * Asks at another address from now on. Its versions need not be those of the old one, so that the
    * whole list is taken; what the module has holds until that has come.
    */
-  public void move(InetSocketAddress to) {
+  public void changeAddress(InetSocketAddress to) {
     if (to.equals(address)) {
       return;
     }
@@ -121,19 +121,19 @@
 
   private void take(Call call, String object) {
     TargetList list = read(object);
-    if (list == null || (!list.whole() && list.index() < index)) {
+    if (list == null || (!list.isSnapshot() && list.index() < index)) {
       lost();
       call.fail(list == null ? "a line that is no list" : "older than the list");
       return;
     }
-    gap &= !list.whole();
+    gap &= !list.isSnapshot();
     heard(list);
     watching.worked();
   }
 
   private void heard(TargetList list) {
     index = list.index();
-    dispatcher.report(new Happening.Listed(list));
+    dispatcher.report(new NetworkEvent.TargetsListed(list));
   }
 
   private Call list() {
@@ -164,7 +164,7 @@
               return;
             }
             LOG.warn("list-missing", value("reason", why));
-            dispatcher.report(new Happening.FetchFailed());
+            dispatcher.report(new NetworkEvent.FetchFailed());
             if (gap) {
               listing.ended(call, why);
             } else {
--- a/src/main/java/brassbank/forward/Client.java
+++ b/src/main/java/brassbank/forward/Client.java
@@ -5,10 +5,10 @@
 /** A flow's client, as its front speaks to it. Exactly one of the three answers is given. */
 public interface Client {
   /** The first line for a target, which says how long the proxy will wait. */
-  String opening(long remainingMillis);
+  String openingLine(long remainingMillis);
 
   /** Served: passes the target's line on, and hands the client's link over. */
-  Link up(String line);
+  Link establish(String line);
 
   /** Refused: trying again is harmless, after so many milliseconds if not 0. */
   void refuse(long retryMillis);
@@ -17,8 +17,8 @@
   void fail();
 
   /** The last line for a client that is to come again. */
-  String farewell();
+  String farewellLine();
 
-  /** The connection that stood after {@link #up} is over. */
-  void over();
+  /** The connection that stood after {@link #establish} is over. */
+  void flowEnded();
 }
--- a/src/main/java/brassbank/forward/Dispatcher.java
+++ b/src/main/java/brassbank/forward/Dispatcher.java
@@ -7,10 +7,10 @@
 import ashspar.Balancer;
 import brassbank.decide.Decider;
 import brassbank.decide.Decision;
-import brassbank.decide.Ending;
 import brassbank.decide.Flow;
 import brassbank.decide.FlowClock;
-import brassbank.decide.Happening;
+import brassbank.decide.NetworkEvent;
+import brassbank.decide.Outcome;
 import brassbank.decide.Target;
 import brassbank.log.Log;
 import brassbank.net.Link;
@@ -37,7 +37,7 @@
   private static final long MILLI = 1_000;
 
   /** What keeps the target group up to date. */
-  public interface Group {
+  public interface TargetSource {
     void watch(boolean on);
 
     void fetch();
@@ -54,9 +54,9 @@
   private boolean carrying;
 
   /** Flows that hold a client's descriptor and will need a target's. */
-  private int waiting;
+  private int flowsAwaitingTarget;
 
-  private Group group;
+  private TargetSource group;
   private Loop.Timer timer;
   private long armedFor = Long.MAX_VALUE;
 
@@ -77,37 +77,37 @@
   }
 
   /** Begins with what the facade decided when it was made. */
-  public void start(Group targetGroup) {
+  public void start(TargetSource targetGroup) {
     group = targetGroup;
     tick();
   }
 
   /** The settings have changed; what is under way goes on by the old ones. */
-  public void settings(
+  public void configure(
       Balancer.Settings settings, long connect, long idle, List<String> reportFields) {
     connectMicros = connect;
     prober.settings(connect, idle, reportFields);
-    report(new Happening.Configured(settings));
+    report(new NetworkEvent.SettingsChanged(settings));
   }
 
   /** Whether clients are taken. */
-  public boolean admits() {
-    return decider.admits();
+  public boolean admitsClients() {
+    return decider.admitsClients();
   }
 
   /** Whether the clients are to go elsewhere. */
-  public boolean leaving() {
-    return decider.leaving();
+  public boolean isLeaving() {
+    return decider.isLeaving();
   }
 
   /** How many flows will need a target's descriptor, and do not hold it yet. */
-  public int waiting() {
-    return waiting;
+  public int flowsAwaitingTarget() {
+    return flowsAwaitingTarget;
   }
 
   /** A front's new flow; the client is told its answer. */
   public void submit(Flow flow, Client client) {
-    if (net.full(waiting)) {
+    if (net.full(flowsAwaitingTarget)) {
       // Without a descriptor there is nothing to decide: refused while there is room to say so.
       // Flows that wait count with the target's descriptor that each of them will need: where all
       // targets failed for a while, those that had been taken met the limit together afterwards.
@@ -121,12 +121,12 @@
   }
 
   /** A client has left before it had its answer. */
-  public void clientLeft(long flow) {
+  public void clientDisconnected(long flow) {
     Session session = over(flow);
     if (session != null && session.forward != null) {
       session.forward.cancel();
     }
-    report(new Happening.ClientLeft(flow));
+    report(new NetworkEvent.ClientDisconnected(flow));
   }
 
   /** The one place where a flow's session ends; null where it has ended before. */
@@ -139,7 +139,7 @@
   }
 
   /** Tells the facade what has happened, which is twice for each line that is answered. */
-  public void report(Happening happening) {
+  public void report(NetworkEvent happening) {
     List<Decision> decided = List.of();
     try {
       decided = decider.report(happening);
@@ -149,8 +149,8 @@
     carryOut(decided);
   }
 
-  private void probed(Target target, Ending ending, long elapsedMicros, List<Double> report) {
-    report(new Happening.Probed(target.name(), ending, elapsedMicros, report));
+  private void probed(Target target, Outcome ending, long elapsedMicros, List<Double> report) {
+    report(new NetworkEvent.ProbeCompleted(target.name(), ending, elapsedMicros, report));
   }
 
   private void tick() {
@@ -227,7 +227,7 @@
       Session session = over(move.flow());
       if (session != null) {
         // The flow's id is free once its connection has ended, and no sooner.
-        session.pair.farewell(session.client.farewell(), session.client::over);
+        session.pair.farewell(session.client.farewellLine(), session.client::flowEnded);
       }
     } else if (decision instanceof Decision.Probe probe) {
       prober.probe(probe.target());
@@ -255,25 +255,25 @@
     private boolean waits;
 
     /** Told again and again, from the first line on. */
-    private Happening.Asked asked;
+    private NetworkEvent.RequestRelayed asked;
 
-    private Happening.Answered answered;
+    private NetworkEvent.ResponseRelayed answered;
 
     /** How the connection has ended if the target ends it now: its last line may say. */
-    private Ending ending = Ending.RESET;
+    private Outcome ending = Outcome.RESET;
 
     Session(Flow opened, Client client) {
       this.flow = opened.id();
       this.practice = opened.tenant();
       this.client = client;
-      this.resumed = opened.at() != null;
+      this.resumed = opened.resumeTarget() != null;
     }
 
     /** Whether it waits for a target, so that its second descriptor is still to come. */
     void waits(boolean now) {
       if (now != waits) {
         waits = now;
-        waiting += now ? 1 : -1;
+        flowsAwaitingTarget += now ? 1 : -1;
       }
     }
 
@@ -289,29 +289,29 @@
     /** The first line, or null where it must not be sent any longer. */
     private String opening(Decision.Forward decided) {
       long now = clock.now();
-      boolean late = now > decided.sendBy() || !(resumed || decider.serves(target));
-      return late ? null : client.opening(Math.max(0, (decided.until() - now) / MILLI));
+      boolean late = now > decided.sendBy() || !(resumed || decider.isServing(target));
+      return late ? null : client.openingLine(Math.max(0, (decided.until() - now) / MILLI));
     }
 
     @Override
     public void up(String line, Link targetLink) {
       forward = null;
-      pair = relay.pair(flow, practice, client.up(line), targetLink, this);
-      report(new Happening.Up(flow));
+      pair = relay.pair(flow, practice, client.establish(line), targetLink, this);
+      report(new NetworkEvent.FlowEstablished(flow));
       pair.start();
     }
 
     @Override
-    public void ended(Ending how) {
+    public void ended(Outcome how) {
       waits(true);
-      report(new Happening.Ended(flow, how));
+      report(new NetworkEvent.ForwardEnded(flow, how));
     }
 
     @Override
     public void asked() {
       if (asked == null) {
-        asked = new Happening.Asked(flow);
-        answered = new Happening.Answered(asked.flow());
+        asked = new NetworkEvent.RequestRelayed(flow);
+        answered = new NetworkEvent.ResponseRelayed(asked.flow());
       }
       report(asked);
     }
@@ -323,31 +323,31 @@
 
     @Override
     public void bye() {
-      ending = Ending.SERVED;
+      ending = Outcome.SERVED;
     }
 
     @Override
     public void moving() {
-      ending = Ending.CANCELLED;
+      ending = Outcome.CANCELLED;
     }
 
     @Override
     public String gaveUp(Side side, Verdict.Reason reason) {
       if (over(flow) != null) {
-        client.over();
+        client.flowEnded();
       }
       // A client that is too slow is no news of its target; a target that does not read is.
       report(
           side == Side.CLIENT
-              ? new Happening.ClientLeft(flow)
-              : new Happening.Ended(flow, Ending.TIMED_OUT));
-      return client.farewell();
+              ? new NetworkEvent.ClientDisconnected(flow)
+              : new NetworkEvent.ForwardEnded(flow, Outcome.TIMED_OUT));
+      return client.farewellLine();
     }
 
     @Override
     public void load(String text) {
       try {
-        report(new Happening.Load(flow, LoadReport.number(text)));
+        report(new NetworkEvent.LoadReported(flow, LoadReport.number(text)));
       } catch (IllegalArgumentException e) {
         LOG.warn("load-bad", flow(flow), target(target), value("text", text));
       }
@@ -356,12 +356,12 @@
     @Override
     public void ended(boolean byClient, boolean reset) {
       if (over(flow) != null) {
-        client.over();
+        client.flowEnded();
       }
-      if (byClient && ending == Ending.RESET) {
-        report(new Happening.ClientLeft(flow));
+      if (byClient && ending == Outcome.RESET) {
+        report(new NetworkEvent.ClientDisconnected(flow));
       } else {
-        report(new Happening.Ended(flow, ending));
+        report(new NetworkEvent.ForwardEnded(flow, ending));
       }
     }
   }
--- a/src/main/java/brassbank/forward/Forward.java
+++ b/src/main/java/brassbank/forward/Forward.java
@@ -4,7 +4,7 @@
 import static brassbank.log.Field.target;
 import static brassbank.log.Field.value;
 
-import brassbank.decide.Ending;
+import brassbank.decide.Outcome;
 import brassbank.decide.Target;
 import brassbank.log.Log;
 import brassbank.net.Link;
@@ -25,7 +25,7 @@
     /** The target serves: from here on its link is the listener's. */
     void up(String line, Link target);
 
-    void ended(Ending ending);
+    void ended(Outcome ending);
   }
 
   private final Net net;
@@ -59,7 +59,7 @@
     link = connected;
     String line = opening.get();
     if (line == null) {
-      end(Ending.CONNECT_FAILED);
+      end(Outcome.CONNECT_FAILED);
       return;
     }
     // Only a line whose last byte has been written may have run.
@@ -68,7 +68,7 @@
 
   @Override
   public void failed(Throwable cause) {
-    end(Ending.CONNECT_FAILED);
+    end(Outcome.CONNECT_FAILED);
   }
 
   @Override
@@ -77,10 +77,10 @@
     if (!sent) {
       // Whatever this answers, it is not our line, which never goes out now.
       LOG.warn("answer-early", flow(flow), target(target.name()));
-      end(Ending.CONNECT_FAILED);
+      end(Outcome.CONNECT_FAILED);
     } else if (link.buffer().overlong()) {
       LOG.warn("answer-overlong", flow(flow), target(target.name()));
-      end(Ending.ERROR);
+      end(Outcome.ERROR);
     } else if (line != null) {
       answered(line);
     }
@@ -98,24 +98,24 @@
         over = true;
         listener.up(line, link);
       }
-      case "BUSY" -> end(Ending.BUSY);
-      case "MOVE" -> end(Ending.CANCELLED);
-      case "ERR" -> end(Ending.ERROR);
+      case "BUSY" -> end(Outcome.BUSY);
+      case "MOVE" -> end(Outcome.CANCELLED);
+      case "ERR" -> end(Outcome.ERROR);
       default -> bad(line);
     }
   }
 
   private void bad(String line) {
     LOG.warn("answer-bad", flow(flow), target(target.name()), value("line", line));
-    end(Ending.ERROR);
+    end(Outcome.ERROR);
   }
 
   @Override
   public void ended(Link from, boolean reset) {
-    end(sent ? Ending.RESET : Ending.CONNECT_FAILED);
+    end(sent ? Outcome.RESET : Outcome.CONNECT_FAILED);
   }
 
-  private void end(Ending ending) {
+  private void end(Outcome ending) {
     if (!over) {
       cancel();
       listener.ended(ending);
--- a/src/main/java/brassbank/forward/Prober.java
+++ b/src/main/java/brassbank/forward/Prober.java
@@ -3,7 +3,7 @@
 import static brassbank.log.Field.target;
 import static brassbank.log.Field.value;
 
-import brassbank.decide.Ending;
+import brassbank.decide.Outcome;
 import brassbank.decide.Target;
 import brassbank.log.Log;
 import brassbank.net.Link;
@@ -30,7 +30,7 @@
 
   /** Who is told how a probe ended, once each. */
   interface Listener {
-    void probed(Target target, Ending ending, long elapsedMicros, List<Double> report);
+    void probed(Target target, Outcome ending, long elapsedMicros, List<Double> report);
   }
 
   private final Net net;
@@ -92,7 +92,7 @@
     }
 
     private void overdue() {
-      end(link == null ? Ending.CONNECT_FAILED : Ending.TIMED_OUT, List.of());
+      end(link == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT, List.of());
     }
 
     @Override
@@ -104,7 +104,7 @@
 
     @Override
     public void failed(Throwable cause) {
-      end(Ending.CONNECT_FAILED, List.of());
+      end(Outcome.CONNECT_FAILED, List.of());
     }
 
     @Override
@@ -121,12 +121,12 @@
       if (line.equals("PONG") || line.startsWith("PONG ")) {
         try {
           String text = line.substring("PONG".length()).trim();
-          end(Ending.SERVED, text.isEmpty() ? List.of() : LoadReport.parse(text, fields));
+          end(Outcome.SERVED, text.isEmpty() ? List.of() : LoadReport.parse(text, fields));
         } catch (IllegalArgumentException e) {
           bad(line);
         }
       } else if (line.equals("ERR") || line.startsWith("ERR ")) {
-        end(Ending.ERROR, List.of());
+        end(Outcome.ERROR, List.of());
       } else {
         bad(line);
       }
@@ -134,7 +134,7 @@
 
     private void bad(String line) {
       LOG.warn("probe-answer-bad", target(target.name()), value("line", line));
-      end(Ending.ERROR, List.of());
+      end(Outcome.ERROR, List.of());
     }
 
     @Override
@@ -149,13 +149,13 @@
         connect();
         return;
       }
-      end(sent ? Ending.RESET : Ending.CONNECT_FAILED, List.of());
+      end(sent ? Outcome.RESET : Outcome.CONNECT_FAILED, List.of());
     }
 
-    private void end(Ending ending, List<Double> report) {
+    private void end(Outcome ending, List<Double> report) {
       if (!over) {
         over = true;
-        giveBack(ending == Ending.SERVED);
+        giveBack(ending == Outcome.SERVED);
         long elapsed = TimeUnit.NANOSECONDS.toMicros(net.clock().nanos() - startedAt);
         listener.probed(target, ending, elapsed, report);
       }
--- a/src/main/java/brassbank/front/Front.java
+++ b/src/main/java/brassbank/front/ClientFrontend.java
@@ -21,7 +21,7 @@
  * The platform's client protocol: {@code PING}, {@code OPEN}, and the answers to them. Another
  * front would hand its own flows to the same dispatcher.
  */
-public final class Front {
+public final class ClientFrontend {
   private static final Log LOG = Log.of("front");
 
   /**
@@ -68,30 +68,30 @@
   private final Set<Session> greeted = new LinkedHashSet<>();
 
   /** The ids of flows that wait for their answer or whose connection stands. */
-  private final Set<String> ids = new HashSet<>();
+  private final Set<String> openFlowIds = new HashSet<>();
 
   /** Those of flows that a predecessor of this process holds, by its number. */
-  private final Map<Long, Set<String>> elsewhere = new HashMap<>();
+  private final Map<Long, Set<String>> setPredecessorFlowIds = new HashMap<>();
 
   private boolean clearing;
   private long flows;
 
-  public Front(Net net, Dispatcher dispatcher) {
+  public ClientFrontend(Net net, Dispatcher dispatcher) {
     this.net = net;
     this.dispatcher = dispatcher;
   }
 
   /** The ids of flows that wait for their answer or whose connection stands. */
-  public Set<String> ids() {
-    return new LinkedHashSet<>(ids);
+  public Set<String> openFlowIds() {
+    return new LinkedHashSet<>(openFlowIds);
   }
 
   /** The ids that a predecessor of this process holds now; none once it is gone. */
-  public void elsewhere(long process, Set<String> held) {
+  public void setPredecessorFlowIds(long process, Set<String> held) {
     if (held.isEmpty()) {
-      elsewhere.remove(process);
+      setPredecessorFlowIds.remove(process);
     } else {
-      elsewhere.put(process, held);
+      setPredecessorFlowIds.put(process, held);
     }
   }
 
@@ -100,7 +100,7 @@
    *
    * @param first whether no other process took any until now
    */
-  public void opened(boolean first) {
+  public void listenerOpened(boolean first) {
     queuedUntil = net.clock().nanos() + TimeUnit.MICROSECONDS.toNanos(QUEUE_MICROS);
     queuedFor = first ? START_MICROS : HANDOVER_MICROS;
   }
@@ -155,7 +155,7 @@
    * The program ends: connections that have no flow are ended once what has come on them is read. A
    * line that comes now is answered like any other; one that comes later is never sent on.
    */
-  public void dismiss() {
+  public void closeIdleConnections() {
     List<Session> resting = new ArrayList<>(silent);
     resting.addAll(greeted);
     for (Session session : resting) {
@@ -273,14 +273,14 @@
       if (phase != Phase.ASKED) {
         return;
       }
-      if (dispatcher.admits()) {
+      if (dispatcher.admitsClients()) {
         phase = Phase.GREETED;
         link.send("PONG");
-        if (!net.isOpen() && dispatcher.leaving()) {
+        if (!net.isOpen() && dispatcher.isLeaving()) {
           // It asks again over a new connection, which another process takes: this one will end.
           end();
         }
-      } else if (dispatcher.leaving()) {
+      } else if (dispatcher.isLeaving()) {
         phase = Phase.GREETED;
         link.send("BUSY");
       } else {
@@ -290,8 +290,8 @@
 
     /** An id is one flow's alone: its target would take a second one for the first. */
     private void submit(OpenLine line) {
-      if (elsewhere.values().stream().anyMatch(held -> held.contains(line.id()))
-          || !ids.add(line.id())) {
+      if (setPredecessorFlowIds.values().stream().anyMatch(held -> held.contains(line.id()))
+          || !openFlowIds.add(line.id())) {
         throw new IllegalArgumentException("the id is another open flow's");
       }
       phase = Phase.WAITING;
@@ -304,9 +304,9 @@
 
     /** The one place where a flow's id is free again. */
     @Override
-    public void over() {
+    public void flowEnded() {
       if (id != null) {
-        ids.remove(id);
+        openFlowIds.remove(id);
       }
     }
 
@@ -322,8 +322,8 @@
       boolean waited = phase == Phase.WAITING;
       phase = Phase.OVER;
       if (waited) {
-        over();
-        dispatcher.clientLeft(flow);
+        flowEnded();
+        dispatcher.clientDisconnected(flow);
       }
     }
 
@@ -335,12 +335,12 @@
     }
 
     @Override
-    public String opening(long remainingMillis) {
+    public String openingLine(long remainingMillis) {
       return open.withDeadline(remainingMillis);
     }
 
     @Override
-    public Link up(String line) {
+    public Link establish(String line) {
       phase = Phase.OVER;
       open = null;
       firstLine = null;
@@ -360,12 +360,12 @@
 
     private void answer(String line) {
       phase = Phase.OVER;
-      over();
+      flowEnded();
       link.turnAway(line);
     }
 
     @Override
-    public String farewell() {
+    public String farewellLine() {
       return "MOVE";
     }
   }
--- a/src/main/java/brassbank/handover/Holding.java
+++ b/src/main/java/brassbank/handover/Holding.java
@@ -1,6 +1,6 @@
 package brassbank.handover;
 
-import brassbank.decide.Standing;
+import brassbank.decide.EstablishedConnection;
 import brassbank.decide.TargetList;
 import java.util.List;
 import java.util.Set;
@@ -19,7 +19,7 @@
     boolean standby,
     Set<String> ids,
     List<TargetList.Entry> targets,
-    List<Standing> standing) {
+    List<EstablishedConnection> standing) {
   /** What a process holds that is gone. */
   public static final Holding NOTHING = new Holding(0, false, Set.of(), List.of(), List.of());
 }
--- a/src/main/java/brassbank/handover/Image.java
+++ b/src/main/java/brassbank/handover/Image.java
@@ -1,6 +1,6 @@
 package brassbank.handover;
 
-import brassbank.decide.Standing;
+import brassbank.decide.EstablishedConnection;
 import brassbank.decide.TargetList;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -41,7 +41,7 @@
           entry.group(),
           entry.status(),
           entry.weight(),
-          entry.sinceMillis());
+          entry.startUnixMillis());
     }
     holding.standing().stream()
         .limit(MOST_CONNECTIONS)
@@ -55,7 +55,7 @@
                     one.flowClass(),
                     one.tenant() == null ? "" : one.tenant(),
                     one.group() == null ? "" : one.group(),
-                    one.hint(),
+                    one.loadHint(),
                     one.target(),
                     one.load()));
     byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
@@ -103,7 +103,7 @@
     boolean standby = false;
     Set<String> ids = new LinkedHashSet<>();
     List<TargetList.Entry> targets = new ArrayList<>();
-    List<Standing> standing = new ArrayList<>();
+    List<EstablishedConnection> standing = new ArrayList<>();
     try {
       for (String line : body.lines().toList()) {
         String[] fields = line.split("\t", -1);
@@ -139,8 +139,8 @@
         Long.parseLong(fields[8]));
   }
 
-  private static Standing connection(String[] fields) {
-    return new Standing(
+  private static EstablishedConnection connection(String[] fields) {
+    return new EstablishedConnection(
         Long.parseLong(fields[1]),
         fields[2],
         fields[3],
--- a/src/main/java/brassbank/lifecycle/Departure.java
+++ b/src/main/java/brassbank/lifecycle/DrainSchedule.java
@@ -11,7 +11,7 @@
  * <p>No clock, no thread, no I/O; called from one thread. All times are microseconds of the
  * caller's clock.
  */
-public final class Departure {
+public final class DrainSchedule {
   private static final long MILLI = 1_000;
 
   /**
@@ -63,7 +63,7 @@
 
   private boolean begun;
 
-  private Departure(long now, long end) {
+  private DrainSchedule(long now, long end) {
     start = now;
     this.end = Math.max(now, end);
   }
@@ -75,18 +75,18 @@
    * @param killAt when the program may be killed; where that is nearer than the margin, all clients
    *     are sent away at once
    */
-  static Departure beforeKill(long now, long killAt) {
-    return new Departure(now, killAt - END_MARGIN);
+  static DrainSchedule beforeKill(long now, long killAt) {
+    return new DrainSchedule(now, killAt - END_MARGIN);
   }
 
   /** For a program that stays, and is to hold no client soon after {@code now}, the call. */
-  static Departure toStandby(long now) {
-    return new Departure(now, now + STANDBY);
+  static DrainSchedule toStandby(long now) {
+    return new DrainSchedule(now, now + STANDBY);
   }
 
   /** The same departure, over no later than another that has begun before. */
-  Departure noLaterThan(Departure other) {
-    return other == null ? this : new Departure(start, Math.min(end, other.end));
+  DrainSchedule noLaterThan(DrainSchedule other) {
+    return other == null ? this : new DrainSchedule(start, Math.min(end, other.end));
   }
 
   /** Whether the time is up, so that all who are left must go now. */
--- a/src/main/java/brassbank/lifecycle/Lifecycle.java
+++ b/src/main/java/brassbank/lifecycle/Lifecycle.java
@@ -31,10 +31,10 @@
   /** The state that a stop came in. */
   private State last = STARTING;
 
-  private boolean succeeded;
+  private boolean hasSuccessor;
 
   /** Null unless clients are on their way out. */
-  private Departure departure;
+  private DrainSchedule drainSchedule;
 
   private int departures;
 
@@ -53,13 +53,13 @@
    *
    * @return whether a departure has begun, whose first {@link #step} is due now
    */
-  public boolean on(Event event, long now) {
+  public boolean handle(Event event, long now) {
     State before = state;
     state = after(before, event);
     if (state == before) {
       return false;
     }
-    departure = state == DRAINING ? Departure.toStandby(now) : null;
+    drainSchedule = state == DRAINING ? DrainSchedule.toStandby(now) : null;
     departures += state == DRAINING ? 1 : 0;
     return state == DRAINING;
   }
@@ -68,7 +68,7 @@
    * The program is to end. A second signal changes nothing; what a drain has promised holds.
    *
    * @param killAt when the program may be killed
-   * @return whether a departure has begun, as with {@link #on}
+   * @return whether a departure has begun, as with {@link #handle}
    */
   public boolean stop(long now, long killAt) {
     if (state == STOPPING) {
@@ -76,42 +76,42 @@
     }
     last = state;
     state = after(state, Event.STOP);
-    departure = Departure.beforeKill(now, killAt).noLaterThan(departure);
+    drainSchedule = DrainSchedule.beforeKill(now, killAt).noLaterThan(drainSchedule);
     departures++;
     return true;
   }
 
   /** Another process takes the proxy's clients from here on, or none does any longer. */
-  public void succeeded(boolean yes) {
-    succeeded = yes;
+  public void setSuccessorPresent(boolean isPresent) {
+    hasSuccessor = isPresent;
   }
 
   /** Whether the proxy takes clients: by this process, or by one that has succeeded it. */
-  public boolean admits() {
-    return state == ACTIVE || (state == STOPPING && succeeded && last == ACTIVE);
+  public boolean admitsClients() {
+    return state == ACTIVE || (state == STOPPING && hasSuccessor && last == ACTIVE);
   }
 
   /** The departure under way, or null. */
-  public Departure departure() {
-    return departure;
+  public DrainSchedule drainSchedule() {
+    return drainSchedule;
   }
 
   /** The number of the latest departure: a step that was due in an earlier one is void. */
-  public int number() {
+  public int drainNumber() {
     return departures;
   }
 
   /** Whether a client that comes now is turned away, since it could not stay. */
-  public boolean refuses(long now) {
-    return state == STANDBY || (departure != null && departure.over(now));
+  public boolean refusesClients(long now) {
+    return state == STANDBY || (drainSchedule != null && drainSchedule.over(now));
   }
 
   /** How long a client that is refused now had better wait; 0 where no better time is known. */
-  public long comeBackAfter(long now) {
-    if (departure != null) {
-      return departure.comeBackAfter(now);
+  public long retryDelayMicros(long now) {
+    if (drainSchedule != null) {
+      return drainSchedule.comeBackAfter(now);
     }
-    return state == STANDBY ? Departure.LEAST_RETRY : 0;
+    return state == STANDBY ? DrainSchedule.LEAST_RETRY : 0;
   }
 
   /**
@@ -122,13 +122,13 @@
    * @param open those and the flows that have an attempt out
    * @return what to do now, and when to ask again; null where nobody is leaving
    */
-  public Departure.Step step(long now, int left, int open) {
-    if (departure == null) {
+  public DrainSchedule.Step step(long now, int left, int open) {
+    if (drainSchedule == null) {
       return null;
     }
-    Departure.Step step = departure.step(now, left);
-    if (state == DRAINING && (departure.over(now) || (open == 0 && departure.quiet(now)))) {
-      on(Event.GONE, now);
+    DrainSchedule.Step step = drainSchedule.step(now, left);
+    if (state == DRAINING && (drainSchedule.over(now) || (open == 0 && drainSchedule.quiet(now)))) {
+      handle(Event.GONE, now);
     }
     return step;
   }
--- a/src/main/java/brassbank/lifecycle/State.java
+++ b/src/main/java/brassbank/lifecycle/State.java
@@ -18,7 +18,7 @@
   STOPPING;
 
   /** Whether the clients are to go, or have gone. */
-  public boolean leaving() {
+  public boolean isLeaving() {
     return this == DRAINING || this == STANDBY || this == STOPPING;
   }
 }
--- a/src/main/java/brassbank/proxy/Member.java
+++ b/src/main/java/brassbank/proxy/Member.java
@@ -2,7 +2,7 @@
 
 import brassbank.config.Config;
 import brassbank.decide.Decider;
-import brassbank.decide.Happening;
+import brassbank.decide.NetworkEvent;
 import brassbank.fleet.Fleet;
 import brassbank.fleet.Sharer;
 import brassbank.forward.Dispatcher;
@@ -42,10 +42,10 @@
     return new Sharer(
         config.settings().rank(),
         config.settings().nodes(),
-        decider::taken,
+        decider::newFlowCount,
         part ->
             dispatcher.report(
-                new Happening.Shared(
+                new NetworkEvent.BudgetShareChanged(
                     part.part(),
                     part.base(),
                     part.turn(),
--- a/src/main/java/brassbank/proxy/Operation.java
+++ b/src/main/java/brassbank/proxy/Operation.java
@@ -1,7 +1,7 @@
 package brassbank.proxy;
 
 import brassbank.decide.Decider;
-import brassbank.decide.Happening;
+import brassbank.decide.NetworkEvent;
 import brassbank.fleet.Fleet;
 import brassbank.forward.Dispatcher;
 import brassbank.lifecycle.State;
@@ -32,13 +32,13 @@
   /** Of this process: one that another has succeeded takes no clients. */
   @Override
   public Answer status() {
-    return answer(net.isOpen() && decider.admits());
+    return answer(net.isOpen() && decider.admitsClients());
   }
 
   @Override
   public Answer standby() {
-    dispatcher.report(new Happening.StandbyAsked());
-    return answer(decider.leaving());
+    dispatcher.report(new NetworkEvent.StandbyRequested());
+    return answer(decider.isLeaving());
   }
 
   @Override
@@ -53,12 +53,12 @@
   /** A proxy that will end takes no clients, whoever asks. */
   @Override
   public Answer active() {
-    dispatcher.report(new Happening.ActiveAsked());
+    dispatcher.report(new NetworkEvent.ActivationRequested());
     return answer(decider.state() != State.STOPPING);
   }
 
   private Answer answer(boolean yes) {
     String state = decider.state().name().toLowerCase(Locale.ROOT);
-    return new Answer(yes, state + " flows=" + decider.open());
+    return new Answer(yes, state + " flows=" + decider.openFlowCount());
   }
 }
--- a/src/main/java/brassbank/proxy/Peers.java
+++ b/src/main/java/brassbank/proxy/Peers.java
@@ -1,6 +1,6 @@
 package brassbank.proxy;
 
-import brassbank.decide.Happening;
+import brassbank.decide.NetworkEvent;
 import brassbank.fleet.Fleet;
 import brassbank.forward.Dispatcher;
 import brassbank.membership.Activity;
@@ -51,13 +51,13 @@
     List<Peer> peers = view.displaced() ? List.of() : peers(view);
     if (peers.size() < 2) {
       // Alone, it asks as one that knows of no others.
-      dispatcher.report(new Happening.Peers(null));
+      dispatcher.report(new NetworkEvent.SubsetChanged(null));
       told = List.of();
     } else if (!peers.equals(told)) {
       for (Peer self : peers) {
         if (self.name().equals(name)) {
           told = peers;
-          dispatcher.report(new Happening.Peers(new Subset(self, peers, askers)));
+          dispatcher.report(new NetworkEvent.SubsetChanged(new Subset(self, peers, askers)));
         }
       }
     }
--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -6,11 +6,11 @@
 import brassbank.config.Config;
 import brassbank.decide.Decider;
 import brassbank.decide.FlowClock;
-import brassbank.decide.Happening;
+import brassbank.decide.NetworkEvent;
 import brassbank.discovery.Discovery;
 import brassbank.fleet.Fleet;
 import brassbank.forward.Dispatcher;
-import brassbank.front.Front;
+import brassbank.front.ClientFrontend;
 import brassbank.handover.DescriptorShare;
 import brassbank.handover.Holding;
 import brassbank.lifecycle.State;
@@ -76,7 +76,7 @@
   private final Decider decider;
   private final Dispatcher dispatcher;
   private final Discovery discovery;
-  private final Front front;
+  private final ClientFrontend front;
 
   /** Null for a proxy that is in none. */
   private final Fleet fleet;
@@ -113,7 +113,7 @@
             config.connectTimeoutMicros(),
             config.idleTimeoutMicros(),
             config.reportFields());
-    front = new Front(net, dispatcher);
+    front = new ClientFrontend(net, dispatcher);
     discovery =
         new Discovery(
             net,
@@ -146,7 +146,7 @@
             fleet.open();
           }
           if (net.isOpen()) {
-            dispatcher.report(new Happening.Serving());
+            dispatcher.report(new NetworkEvent.ServingStarted());
           }
         });
   }
@@ -161,7 +161,7 @@
         () -> {
           this.first = first;
           boolean patient = !first && clock.now() - made < LIST_PATIENCE;
-          able = decider.ready() && (decider.listed() || !patient);
+          able = decider.hasTargets() && (decider.hasTargetList() || !patient);
         });
     return able;
   }
@@ -174,10 +174,10 @@
   public void accept(boolean on, Runnable done) {
     net.execute(
         () -> {
-          share.needs(on, net.needs(dispatcher.waiting()));
+          share.needs(on, net.needs(dispatcher.flowsAwaitingTarget()));
           net.limit(share.limit());
           if (on) {
-            front.opened(first);
+            front.listenerOpened(first);
           }
           net.open(on);
           if (fleet != null && on) {
@@ -186,13 +186,13 @@
             // Another process of this name is the member from here on: no goodbye.
             fleet.close(false);
           }
-          dispatcher.report(new Happening.Succeeded(!on));
+          dispatcher.report(new NetworkEvent.SuccessorChanged(!on));
           if (on) {
-            dispatcher.report(new Happening.Serving());
+            dispatcher.report(new NetworkEvent.ServingStarted());
           }
           if (on && standby) {
             standby = false;
-            dispatcher.report(new Happening.StandbyAsked());
+            dispatcher.report(new NetworkEvent.StandbyRequested());
           }
           done.run();
         });
@@ -200,7 +200,7 @@
 
   /** Sends the clients away and lives on; any thread may call. */
   public void standby() {
-    net.execute(() -> dispatcher.report(new Happening.StandbyAsked()));
+    net.execute(() -> dispatcher.report(new NetworkEvent.StandbyRequested()));
   }
 
   /**
@@ -220,22 +220,22 @@
 
   /** Takes clients again; any thread may call. */
   public void active() {
-    net.execute(() -> dispatcher.report(new Happening.ActiveAsked()));
+    net.execute(() -> dispatcher.report(new NetworkEvent.ActivationRequested()));
   }
 
   /** Has told what this process holds, on the loop's thread; any thread may call. */
   public void holds(Consumer<Holding> told) {
     net.execute(
         () -> {
-          share.needs(net.isOpen(), net.needs(dispatcher.waiting()));
+          share.needs(net.isOpen(), net.needs(dispatcher.flowsAwaitingTarget()));
           net.limit(share.limit());
           told.accept(
               new Holding(
                   share.limit(),
                   decider.state() == State.DRAINING || decider.state() == State.STANDBY,
-                  front.ids(),
+                  front.openFlowIds(),
                   decider.targets(),
-                  decider.standing()));
+                  decider.establishedConnections()));
         });
   }
 
@@ -247,9 +247,9 @@
           net.limit(share.limit());
           // A process that already serves hears its operators itself.
           standby = !net.isOpen() && (holding.standby() || (standby && holding.descriptors() == 0));
-          front.elsewhere(number, holding.ids());
+          front.setPredecessorFlowIds(number, holding.ids());
           dispatcher.report(
-              new Happening.Predecessor(number, holding.targets(), holding.standing()));
+              new NetworkEvent.PredecessorReported(number, holding.targets(), holding.standing()));
         });
   }
 
@@ -274,12 +274,12 @@
           net.limit(share.limit());
           relay.configure(limits);
           settings = next.settings();
-          dispatcher.settings(
+          dispatcher.configure(
               next.settings(),
               next.connectTimeoutMicros(),
               next.idleTimeoutMicros(),
               next.reportFields());
-          discovery.move(next.discovery());
+          discovery.changeAddress(next.discovery());
           if (fleet != null && joining != null) {
             fleet.seeds(joining.seeds());
           }
@@ -310,7 +310,7 @@
     long start = clock.now();
     net.execute(
         () -> {
-          dispatcher.report(new Happening.Stopping(start + left));
+          dispatcher.report(new NetworkEvent.StopRequested(start + left));
           net.loop().after(left - KILL_MARGIN - LAST_RESETS, this::abandon);
           awaitEmpty(
               start,
@@ -340,14 +340,14 @@
   }
 
   private boolean idle(long start) {
-    return decider.open() == 0 && !relay.owes() && clock.now() - start >= STILL_COMING;
+    return decider.openFlowCount() == 0 && !relay.owes() && clock.now() - start >= STILL_COMING;
   }
 
   /** Empty is a proxy with no flow left, whose clients have seen the end or had time to. */
   private void awaitEmpty(long start, long emptyFor, Runnable empty) {
     if (idle(start)) {
       // What has come on a resting connection meanwhile may be one more flow.
-      front.dismiss();
+      front.closeIdleConnections();
     }
     boolean over = idle(start);
     if (over && (!net.closing() || emptyFor >= LAST_WORDS)) {
--- a/src/test/java/brassbank/decide/AcceptedSettingsTest.java
+++ b/src/test/java/brassbank/decide/AcceptedSettingsTest.java
@@ -99,7 +99,7 @@
   private void work(Config first, Config next) {
     Decider decider = new Decider(first.settings(), 1, first.known(), clock);
     flows(decider, 1, first);
-    decider.report(new Happening.Configured(next.settings()));
+    decider.report(new NetworkEvent.SettingsChanged(next.settings()));
     flows(decider, 100, next);
     TargetList.Entry known = first.known().entries().get(0);
     TargetList.Entry joins =
@@ -112,9 +112,9 @@
             TargetList.Status.SERVING,
             1,
             clock.now() / 1000);
-    decider.report(new Happening.Listed(new TargetList(9, false, List.of(joins))));
+    decider.report(new NetworkEvent.TargetsListed(new TargetList(9, false, List.of(joins))));
     flows(decider, 200, next);
-    decider.report(new Happening.Stopping(clock.now() + 3_000_000));
+    decider.report(new NetworkEvent.StopRequested(clock.now() + 3_000_000));
     for (int i = 0; i < 40; i++) {
       nanos += 100_000_000L;
       decider.tick(clock.now());
@@ -137,12 +137,12 @@
   private static void carryOut(Decider decider, Decision decision) {
     if (decision instanceof Decision.Probe probe) {
       decider.report(
-          new Happening.Probed(
-              probe.target().name(), Ending.SERVED, 1_000, List.of(0.1, 0.0, 2.0, 0.0)));
+          new NetworkEvent.ProbeCompleted(
+              probe.target().name(), Outcome.SERVED, 1_000, List.of(0.1, 0.0, 2.0, 0.0)));
     } else if (decision instanceof Decision.Forward forward && forward.flow() % 3 == 0) {
-      decider.report(new Happening.Ended(forward.flow(), Ending.RESET));
+      decider.report(new NetworkEvent.ForwardEnded(forward.flow(), Outcome.RESET));
     } else if (decision instanceof Decision.Forward forward) {
-      decider.report(new Happening.Up(forward.flow()));
+      decider.report(new NetworkEvent.FlowEstablished(forward.flow()));
     }
   }
 }
--- a/src/test/java/brassbank/decide/DeciderTest.java
+++ b/src/test/java/brassbank/decide/DeciderTest.java
@@ -76,7 +76,7 @@
     Decision.FixedResponse answer = only(Decision.FixedResponse.class, due).get(0);
     assertThat(due).containsSubsequence(new Decision.Cancel(1), answer);
     assertThat(answer.retryMillis()).isBetween(1L, 2000L);
-    assertThat(decider.open()).isZero();
+    assertThat(decider.openFlowCount()).isZero();
     assertThat(decider.limits().placesTaken()).isZero();
   }
 
@@ -95,17 +95,18 @@
             limits.retryAfter(),
             1,
             limits.maxRetryAfter());
-    decider.report(new Happening.Configured(with(old, fewer, old.classes().subList(1, 2))));
+    decider.report(new NetworkEvent.SettingsChanged(with(old, fewer, old.classes().subList(1, 2))));
     Flow dropped = flow(2, 4_000_000, null);
     assertThat(decider.pick(dropped)).containsExactly(new Decision.Fail(2));
-    List<Decision> next = new ArrayList<>(decider.report(new Happening.Ended(1, Ending.BUSY)));
+    List<Decision> next =
+        new ArrayList<>(decider.report(new NetworkEvent.ForwardEnded(1, Outcome.BUSY)));
     next.addAll(tickAfter(200_000));
     assertThat(only(Decision.Forward.class, next)).as("a second attempt").hasSize(1);
 
     Flow later = new Flow(3, "key", "presentation", null, null, 2_900_000, 0, false, false, null);
     List<Decision> decided = placed(later);
     assertThat(only(Decision.Forward.class, decided)).hasSize(1);
-    decided = new ArrayList<>(decider.report(new Happening.Ended(3, Ending.BUSY)));
+    decided = new ArrayList<>(decider.report(new NetworkEvent.ForwardEnded(3, Outcome.BUSY)));
     decided.addAll(tickAfter(200_000));
     assertThat(only(Decision.FixedResponse.class, decided)).as("the only attempt").hasSize(1);
   }
@@ -114,20 +115,22 @@
   @Test
   void whatAPredecessorHoldsIsCountedUntilItIsGone() {
     placed(flow(1, 500_000, null));
-    decider.report(new Happening.Up(1));
-    decider.report(new Happening.Load(1, 2_000));
-    List<Standing> held = decider.standing();
+    decider.report(new NetworkEvent.FlowEstablished(1));
+    decider.report(new NetworkEvent.LoadReported(1, 2_000));
+    List<EstablishedConnection> held = decider.establishedConnections();
     assertThat(held).hasSize(1);
     Decider successor = new Decider(config.settings(), 2, config.known(), clock);
-    Standing foreign = new Standing(9, "key", "no-such", null, null, 0, "s-1", 1);
-    successor.report(new Happening.Predecessor(3, List.of(), List.of(held.get(0), foreign)));
-    assertThat(successor.open()).as("they are not its own").isZero();
-    assertThat(successor.standing()).isEmpty();
-    assertThat(successor.counted()).isEqualTo(1);
-    successor.report(new Happening.Predecessor(3, List.of(), held));
-    assertThat(successor.counted()).as("told twice").isEqualTo(1);
-    successor.report(new Happening.Predecessor(3, List.of(), List.of()));
-    assertThat(successor.counted()).isZero();
+    EstablishedConnection foreign =
+        new EstablishedConnection(9, "key", "no-such", null, null, 0, "s-1", 1);
+    successor.report(
+        new NetworkEvent.PredecessorReported(3, List.of(), List.of(held.get(0), foreign)));
+    assertThat(successor.openFlowCount()).as("they are not its own").isZero();
+    assertThat(successor.establishedConnections()).isEmpty();
+    assertThat(successor.predecessorConnectionCount()).isEqualTo(1);
+    successor.report(new NetworkEvent.PredecessorReported(3, List.of(), held));
+    assertThat(successor.predecessorConnectionCount()).as("told twice").isEqualTo(1);
+    successor.report(new NetworkEvent.PredecessorReported(3, List.of(), List.of()));
+    assertThat(successor.predecessorConnectionCount()).isZero();
   }
 
   private static Balancer.Settings with(
@@ -160,12 +163,12 @@
   @Test
   void movesAStandingConnectionWhoseLineStaysUnanswered() {
     placed(flow(1, 500_000, null));
-    decider.report(new Happening.Up(1));
-    decider.report(new Happening.Asked(1L));
+    decider.report(new NetworkEvent.FlowEstablished(1));
+    decider.report(new NetworkEvent.RequestRelayed(1L));
     nanos += 1_000_000_000L;
-    decider.report(new Happening.Answered(1L));
+    decider.report(new NetworkEvent.ResponseRelayed(1L));
     assertThat(only(Decision.Move.class, tickAfter(10_000_000))).isEmpty();
-    decider.report(new Happening.Asked(1L));
+    decider.report(new NetworkEvent.RequestRelayed(1L));
     assertThat(only(Decision.Move.class, tickAfter(4_000_000))).isEmpty();
     assertThat(only(Decision.Move.class, tickAfter(1_000_000))).hasSize(1);
   }
@@ -183,7 +186,7 @@
             TargetList.Status.DRAINING,
             1,
             0);
-    decider.report(new Happening.Listed(new TargetList(2, false, List.of(entry))));
+    decider.report(new NetworkEvent.TargetsListed(new TargetList(2, false, List.of(entry))));
     assertThat(only(Decision.Forward.class, tickAfter(400_000)))
         .allMatch(f -> f.target().name().equals("s-9"))
         .hasSize(1);
@@ -216,12 +219,12 @@
   @Test
   void aPlannedStopServesOnAndSendsAwayLate() {
     placed(flow(1, 4_000_000, null));
-    decider.report(new Happening.Up(1));
+    decider.report(new NetworkEvent.FlowEstablished(1));
     decider.pick(flow(2, 4_000_000, "s-9"));
-    decider.report(new Happening.Stopping(clock.now() + 3_700_000));
+    decider.report(new NetworkEvent.StopRequested(clock.now() + 3_700_000));
     nanos += 300_000_000L;
     assertThat(only(Decision.Forward.class, placed(flow(3, 500_000, null)))).hasSize(1);
-    decider.report(new Happening.Up(3));
+    decider.report(new NetworkEvent.FlowEstablished(3));
     List<Decision> early = tickAfter(2_350_000 - PROBE_WAIT_MICROS);
     assertThat(only(Decision.Move.class, early)).isEmpty();
     assertThat(only(Decision.FixedResponse.class, early)).isEmpty();
@@ -232,7 +235,7 @@
       late.addAll(tickAfter(10_000));
     }
     assertThat(only(Decision.Move.class, late)).hasSize(2);
-    assertThat(decider.open()).isZero();
+    assertThat(decider.openFlowCount()).isZero();
   }
 
   /** The ledger's promises, whatever comes in whatever order. */
@@ -250,14 +253,14 @@
       decisions.addAll(decider.tick(clock.now()));
       check(decisions, out, up, ended, forwards);
       long id = 1 + (flows == 0 ? 0 : random.nextLong(flows));
-      Ending ending = Ending.values()[random.nextInt(Ending.values().length)];
+      Outcome ending = Outcome.values()[random.nextInt(Outcome.values().length)];
       switch (random.nextInt(6)) {
         case 0 -> decisions = decider.pick(flow(++flows, random.nextInt(3_000_000), null));
         case 1 -> {
           if (out.remove(id)) {
             up.add(id);
           }
-          decisions = decider.report(new Happening.Up(id));
+          decisions = decider.report(new NetworkEvent.FlowEstablished(id));
         }
         case 2 -> {
           boolean over = up.remove(id);
@@ -265,17 +268,17 @@
             ended.add(id);
           }
           out.remove(id);
-          decisions = decider.report(new Happening.Ended(id, ending));
+          decisions = decider.report(new NetworkEvent.ForwardEnded(id, ending));
         }
         case 3 -> {
-          decisions = decider.report(new Happening.ClientLeft(id));
+          decisions = decider.report(new NetworkEvent.ClientDisconnected(id));
           up.remove(id);
           if (id <= flows) {
             ended.add(id);
           }
         }
-        case 4 -> decisions = decider.report(new Happening.Asked(id));
-        default -> decisions = decider.report(new Happening.Answered(id));
+        case 4 -> decisions = decider.report(new NetworkEvent.RequestRelayed(id));
+        default -> decisions = decider.report(new NetworkEvent.ResponseRelayed(id));
       }
       check(decisions, out, up, ended, forwards);
     }
--- a/src/test/java/brassbank/handover/ImageTest.java
+++ b/src/test/java/brassbank/handover/ImageTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import brassbank.decide.Standing;
+import brassbank.decide.EstablishedConnection;
 import brassbank.decide.TargetList;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -12,10 +12,11 @@
 import org.junit.jupiter.api.Test;
 
 class ImageTest {
-  private static final List<Standing> STANDING =
+  private static final List<EstablishedConnection> STANDING =
       List.of(
-          new Standing(7, "key-1", "preview", "kelvin-stone", "g=1", 0.5, "s-1", 1.25e-3),
-          new Standing(8, "key-2", "presentation", null, null, 0, "s-2", Double.NaN));
+          new EstablishedConnection(
+              7, "key-1", "preview", "kelvin-stone", "g=1", 0.5, "s-1", 1.25e-3),
+          new EstablishedConnection(8, "key-2", "presentation", null, null, 0, "s-2", Double.NaN));
 
   private static final TargetList.Entry TARGET =
       new TargetList.Entry(
--- a/src/test/java/brassbank/lifecycle/DepartureTest.java
+++ b/src/test/java/brassbank/lifecycle/DrainScheduleTest.java
@@ -8,19 +8,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class DepartureTest {
+class DrainScheduleTest {
   private static final long START = 5_000_000;
   private static final long KILL = START + 3_700_000;
-  private static final long END = KILL - Departure.END_MARGIN;
+  private static final long END = KILL - DrainSchedule.END_MARGIN;
 
-  private final Departure plan = Departure.beforeKill(START, KILL);
+  private final DrainSchedule plan = DrainSchedule.beforeKill(START, KILL);
 
   /** When each of so many clients goes, if none leaves and the caller is held up at {@code at}. */
   private List<Long> times(int clients, long at, long heldUp) {
     List<Long> times = new ArrayList<>();
     long now = START;
     while (times.size() < clients) {
-      Departure.Step step = plan.step(now, clients - times.size());
+      DrainSchedule.Step step = plan.step(now, clients - times.size());
       for (int i = 0; i < step.count(); i++) {
         times.add(now);
       }
@@ -34,7 +34,7 @@
   @ValueSource(ints = {1, 2, 5, 133, 134, 300, 500, 10_000})
   void sendsAllAwayLateEvenlyAndInTime(int clients) {
     List<Long> times = times(clients, 0, 0);
-    long window = Math.max(Departure.LEAST_WINDOW, clients * Departure.PER_CLIENT);
+    long window = Math.max(DrainSchedule.LEAST_WINDOW, clients * DrainSchedule.PER_CLIENT);
     long begin = Math.max(START, END - window);
     assertThat(times.get(0)).isEqualTo(begin);
     assertThat(times.get(clients - 1)).isLessThanOrEqualTo(END);
@@ -60,7 +60,7 @@
     long now = END - 900_000;
     int left = 300;
     while (now < END - 450_000) {
-      Departure.Step step = plan.step(now, left);
+      DrainSchedule.Step step = plan.step(now, left);
       left -= step.count();
       now = step.next() + 2_500;
     }
@@ -70,12 +70,13 @@
   @Test
   void sendsWhoeverIsLeftAtTheEndAwayAtOnce() {
     assertThat(plan.step(END, 40).count()).isEqualTo(40);
-    assertThat(Departure.beforeKill(START, START + 300_000).step(START, 40).count()).isEqualTo(40);
+    assertThat(DrainSchedule.beforeKill(START, START + 300_000).step(START, 40).count())
+        .isEqualTo(40);
   }
 
   @Test
   void asksARefusedClientToComeOnceTheFrontSendsItElsewhere() {
-    assertThat(plan.comeBackAfter(START)).isEqualTo(Departure.STILL_COMING);
-    assertThat(plan.comeBackAfter(START + 350_000)).isEqualTo(Departure.LEAST_RETRY);
+    assertThat(plan.comeBackAfter(START)).isEqualTo(DrainSchedule.STILL_COMING);
+    assertThat(plan.comeBackAfter(START + 350_000)).isEqualTo(DrainSchedule.LEAST_RETRY);
   }
 }
--- a/src/test/java/brassbank/lifecycle/LifecycleTest.java
+++ b/src/test/java/brassbank/lifecycle/LifecycleTest.java
@@ -13,7 +13,7 @@
   private final Lifecycle lifecycle = new Lifecycle();
 
   private void serving() {
-    lifecycle.on(Event.SERVING, NOW);
+    lifecycle.handle(Event.SERVING, NOW);
   }
 
   /** The table as the documentation has it, written down a second time. */
@@ -38,25 +38,25 @@
   @Test
   void aDrainSendsAllAwayInTimeAndThenTurnsAway() {
     serving();
-    assertThat(lifecycle.on(Event.STANDBY, NOW)).isTrue();
+    assertThat(lifecycle.handle(Event.STANDBY, NOW)).isTrue();
     int left = 300;
     long now = NOW;
     while (left > 0) {
-      assertThat(lifecycle.refuses(now)).as("at " + (now - NOW)).isFalse();
-      Departure.Step step = lifecycle.step(now, left, left);
+      assertThat(lifecycle.refusesClients(now)).as("at " + (now - NOW)).isFalse();
+      DrainSchedule.Step step = lifecycle.step(now, left, left);
       left -= step.count();
       now = step.next();
     }
     assertThat(now - NOW).isLessThanOrEqualTo(3_100_000);
     lifecycle.step(now, 0, 0);
     assertThat(lifecycle.state()).isEqualTo(State.STANDBY);
-    assertThat(lifecycle.refuses(now)).isTrue();
+    assertThat(lifecycle.refusesClients(now)).isTrue();
   }
 
   @Test
   void aDrainWithoutClientsIsOverOnceTheFrontHasHeardOfIt() {
     serving();
-    lifecycle.on(Event.STANDBY, NOW);
+    lifecycle.handle(Event.STANDBY, NOW);
     lifecycle.step(NOW + 300_000, 0, 0);
     assertThat(lifecycle.state()).isEqualTo(State.DRAINING);
     lifecycle.step(NOW + 400_000, 0, 1);
@@ -68,32 +68,32 @@
   @Test
   void aSecondCallChangesNothing() {
     serving();
-    lifecycle.on(Event.STANDBY, NOW);
-    Departure first = lifecycle.departure();
-    assertThat(lifecycle.on(Event.STANDBY, NOW + 500_000)).isFalse();
-    assertThat(lifecycle.departure()).isSameAs(first);
+    lifecycle.handle(Event.STANDBY, NOW);
+    DrainSchedule first = lifecycle.drainSchedule();
+    assertThat(lifecycle.handle(Event.STANDBY, NOW + 500_000)).isFalse();
+    assertThat(lifecycle.drainSchedule()).isSameAs(first);
   }
 
   /** Drain, back, drain: the first drain's steps must not hurry the second. */
   @Test
   void whoIsCalledBackKeepsItsClientsAndDrainsAnewLater() {
     serving();
-    lifecycle.on(Event.STANDBY, NOW);
-    int first = lifecycle.number();
-    lifecycle.on(Event.ACTIVE, NOW + 200_000);
+    lifecycle.handle(Event.STANDBY, NOW);
+    int first = lifecycle.drainNumber();
+    lifecycle.handle(Event.ACTIVE, NOW + 200_000);
     assertThat(lifecycle.step(NOW + 4_000_000, 10, 10)).isNull();
-    assertThat(lifecycle.refuses(NOW + 4_000_000)).isFalse();
-    lifecycle.on(Event.STANDBY, NOW + 400_000);
-    assertThat(lifecycle.number()).isNotEqualTo(first);
-    assertThat(lifecycle.departure().untilEnd(NOW + 400_000)).isEqualTo(Departure.STANDBY);
+    assertThat(lifecycle.refusesClients(NOW + 4_000_000)).isFalse();
+    lifecycle.handle(Event.STANDBY, NOW + 400_000);
+    assertThat(lifecycle.drainNumber()).isNotEqualTo(first);
+    assertThat(lifecycle.drainSchedule().untilEnd(NOW + 400_000)).isEqualTo(DrainSchedule.STANDBY);
   }
 
   @Test
   void aStopInTheMidstOfADrainKeepsTheDrainsTime() {
     serving();
-    lifecycle.on(Event.STANDBY, NOW);
+    lifecycle.handle(Event.STANDBY, NOW);
     assertThat(lifecycle.stop(NOW + 2_000_000, KILL + 2_000_000)).isTrue();
-    assertThat(lifecycle.departure().untilEnd(NOW + 2_000_000)).isEqualTo(1_000_000);
+    assertThat(lifecycle.drainSchedule().untilEnd(NOW + 2_000_000)).isEqualTo(1_000_000);
     lifecycle.step(NOW + 3_000_000, 0, 0);
     assertThat(lifecycle.state()).isEqualTo(State.STOPPING);
     assertThat(lifecycle.stop(NOW + 3_100_000, KILL + 9_000_000)).as("second signal").isFalse();
