--- a/src/main/java/brassbank/handover/HandoverState.java
+++ b/src/main/java/brassbank/handover/HandoverState.java
@@ -1,6 +1,6 @@
 package brassbank.handover;
 
-import brassbank.decide.Standing;
+import brassbank.decide.EstablishedConnection;
 import brassbank.decide.TargetList;
 import java.util.List;
 import java.util.Set;
@@ -21,7 +21,7 @@
     boolean standby,
     Set<String> flowIds,
     List<TargetList.Entry> targets,
-    List<Standing> connections) {
+    List<EstablishedConnection> connections) {
   /** The state of a process that has stopped. */
   public static final HandoverState EMPTY =
       new HandoverState(0, false, Set.of(), List.of(), List.of());
--- a/src/main/java/brassbank/handover/ImageCodec.java
+++ b/src/main/java/brassbank/handover/ImageCodec.java
@@ -1,6 +1,6 @@
 package brassbank.handover;
 
-import brassbank.decide.Standing;
+import brassbank.decide.EstablishedConnection;
 import brassbank.decide.TargetList;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -47,7 +47,7 @@
           entry.group(),
           entry.status(),
           entry.weight(),
-          entry.sinceMillis());
+          entry.startUnixMillis());
     }
     state.connections().stream()
         .limit(MAX_ITEMS)
@@ -61,7 +61,7 @@
                     connection.flowClass(),
                     connection.tenant() == null ? "" : connection.tenant(),
                     connection.group() == null ? "" : connection.group(),
-                    connection.hint(),
+                    connection.loadHint(),
                     connection.target(),
                     connection.load()));
     byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
@@ -118,7 +118,7 @@
     boolean standby = false;
     Set<String> flowIds = new LinkedHashSet<>();
     List<TargetList.Entry> targets = new ArrayList<>();
-    List<Standing> connections = new ArrayList<>();
+    List<EstablishedConnection> connections = new ArrayList<>();
     try {
       for (String line : body.lines().toList()) {
         String[] fields = line.split("\t", -1);
@@ -154,8 +154,8 @@
         Long.parseLong(fields[8]));
   }
 
-  private static Standing parseConnection(String[] fields) {
-    return new Standing(
+  private static EstablishedConnection parseConnection(String[] fields) {
+    return new EstablishedConnection(
         Long.parseLong(fields[1]),
         fields[2],
         fields[3],
--- a/src/test/java/brassbank/handover/ImageCodecTest.java
+++ b/src/test/java/brassbank/handover/ImageCodecTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import brassbank.decide.Standing;
+import brassbank.decide.EstablishedConnection;
 import brassbank.decide.TargetList;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -13,10 +13,11 @@
 import org.junit.jupiter.api.Test;
 
 class ImageCodecTest {
-  private static final List<Standing> CONNECTIONS =
+  private static final List<EstablishedConnection> CONNECTIONS =
       List.of(
-          new Standing(7, "key-1", "preview", "kelvin-stone", "g=1", 0.5, "s-1", 1.25e-3),
-          new Standing(8, "key-2", "presentation", null, null, 0, "s-2", Double.NaN));
+          new EstablishedConnection(
+              7, "key-1", "preview", "kelvin-stone", "g=1", 0.5, "s-1", 1.25e-3),
+          new EstablishedConnection(8, "key-2", "presentation", null, null, 0, "s-2", Double.NaN));
 
   private static final TargetList.Entry TARGET =
       new TargetList.Entry(
