--- a/src/jmh/java/brassbank/relay/RelayBenchmark.java
+++ b/src/jmh/java/brassbank/relay/RelayBenchmark.java
@@ -1,13 +1,13 @@
 package brassbank.relay;
 
 import brassbank.net.Channel;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
 import brassbank.net.Network;
+import brassbank.relay.limits.DisconnectDecision;
 import brassbank.relay.limits.RelayLimits;
 import brassbank.relay.limits.Side;
-import brassbank.relay.limits.Verdict;
 import brassbank.sources.Clock;
 import brassbank.sources.SystemClock;
 import java.io.IOException;
@@ -101,7 +101,7 @@
     private Consumer<Channel> accepted;
 
     @Override
-    public void start(Loop loop) {}
+    public void start(EventLoop loop) {}
 
     @Override
     public Listener listen(InetSocketAddress address, Consumer<Channel> taker) {
@@ -110,13 +110,13 @@
     }
 
     @Override
-    public Attempt connect(InetSocketAddress address, Connected then) {
-      then.up(target);
+    public Attempt connect(InetSocketAddress address, ConnectHandler then) {
+      then.connected(target);
       return () -> {};
     }
 
     @Override
-    public Attempt get(InetSocketAddress address, String path, Answer answer) {
+    public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
       throw new UnsupportedOperationException();
     }
 
@@ -136,31 +136,31 @@
     }
   }
 
-  private final class Counting implements Watcher {
+  private final class Counting implements SessionObserver {
     @Override
-    public void asked() {
+    public void requestRelayed() {
       changes++;
     }
 
     @Override
-    public void answered() {
+    public void responseRelayed() {
       changes++;
     }
 
     @Override
-    public void load(String text) {}
+    public void loadReported(String text) {}
 
     @Override
-    public void bye() {}
+    public void byeReceived() {}
 
     @Override
-    public void moving() {}
+    public void moveReceived() {}
 
     @Override
     public void ended(boolean byClient, boolean reset) {}
 
     @Override
-    public String gaveUp(Side side, Verdict.Reason reason) {
+    public String slowPeerDisconnected(Side side, DisconnectDecision.Reason reason) {
       return "MOVE";
     }
   }
@@ -180,9 +180,9 @@
         new InetSocketAddress(0),
         1_000_000,
         null,
-        new Net.Connected() {
+        new Net.ConnectHandler() {
           @Override
-          public void up(Link link) {
+          public void connected(Link link) {
             links[1] = link;
           }
 
@@ -191,7 +191,7 @@
             throw new IllegalStateException(cause);
           }
         });
-    relay.pair(1, "acme", links[0], links[1], new Counting()).start();
+    relay.openSession(1, "acme", links[0], links[1], new Counting()).start();
   }
 
   /** A client's line and its answer: two relayed lines. */
--- a/src/main/java/brassbank/CheckCommand.java
+++ b/src/main/java/brassbank/CheckCommand.java
@@ -1,6 +1,6 @@
 package brassbank;
 
-import brassbank.cli.Exit;
+import brassbank.cli.ExitStatus;
 import brassbank.config.file.OptionsFile;
 import brassbank.config.file.Problem;
 import brassbank.config.file.Reference;
@@ -47,14 +47,14 @@
     if (what.keys) {
       out.print(Reference.markdown());
       out.flush();
-      return Exit.OK;
+      return ExitStatus.OK;
     }
     List<Problem> problems = OptionsFile.read(what.file).problems();
     problems.forEach(problem -> spec.commandLine().getErr().println(problem));
     if (problems.isEmpty()) {
       out.println(what.file + " can be used");
-      return Exit.OK;
+      return ExitStatus.OK;
     }
-    return Exit.USAGE;
+    return ExitStatus.USAGE;
   }
 }
--- a/src/main/java/brassbank/DrillCommand.java
+++ b/src/main/java/brassbank/DrillCommand.java
@@ -1,7 +1,7 @@
 package brassbank;
 
 import ashspar.wire.WireHost;
-import brassbank.cli.Exit;
+import brassbank.cli.ExitStatus;
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -20,6 +20,6 @@
   @Override
   public Integer call() throws IOException {
     WireHost.main(new String[] {"wirehost"});
-    return Exit.OK;
+    return ExitStatus.OK;
   }
 }
--- a/src/main/java/brassbank/MembersCommand.java
+++ b/src/main/java/brassbank/MembersCommand.java
@@ -1,6 +1,6 @@
 package brassbank;
 
-import brassbank.cli.Exit;
+import brassbank.cli.ExitStatus;
 import brassbank.cli.UsageException;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -83,13 +83,13 @@
       } else {
         print(JsonParser.parseString(text).getAsJsonObject());
       }
-      return Exit.OK;
+      return ExitStatus.OK;
     } catch (IOException | NoViewException e) {
       System.err.println("brassbank members: " + door + ": " + e.getMessage());
     } catch (JsonParseException | IllegalStateException | NullPointerException e) {
       System.err.println("brassbank members: " + door + " gives an answer that is no view");
     }
-    return Exit.FAILED;
+    return ExitStatus.FAILED;
   }
 
   private static String ask(InetSocketAddress address) throws IOException, NoViewException {
--- a/src/main/java/brassbank/ServeCommand.java
+++ b/src/main/java/brassbank/ServeCommand.java
@@ -2,7 +2,7 @@
 
 import static brassbank.log.Field.value;
 
-import brassbank.cli.Exit;
+import brassbank.cli.ExitStatus;
 import brassbank.config.Config;
 import brassbank.config.ConfigException;
 import brassbank.grizzly.GrizzlyNetwork;
@@ -11,7 +11,7 @@
 import brassbank.log.Console;
 import brassbank.log.Format;
 import brassbank.log.Log;
-import brassbank.net.InheritanceException;
+import brassbank.net.InheritedSocketException;
 import brassbank.proxy.Proxy;
 import brassbank.sources.Clock;
 import brassbank.sources.SystemClock;
@@ -70,7 +70,7 @@
     Format format = log == null ? Format.named(named()) : log;
     if (format == null) {
       System.err.println("brassbank: " + FORMAT + " is neither text nor json: '" + named() + "'");
-      return Exit.USAGE;
+      return ExitStatus.USAGE;
     }
     Clock clock = new SystemClock();
     Log.install(new Console(System.err, format, clock));
@@ -82,10 +82,10 @@
       said = own.read(config);
     } catch (ConfigException e) {
       System.err.println("brassbank: " + e.getMessage());
-      return Exit.USAGE;
+      return ExitStatus.USAGE;
     } catch (OwnOptions.UnusableException e) {
       e.problems().forEach(System.err::println);
-      return Exit.USAGE;
+      return ExitStatus.USAGE;
     }
     if (!System.getProperty("java.vm.info", "").contains("sharing")) {
       LOG.warn("archive-unused");
@@ -99,14 +99,14 @@
     Runtime.getRuntime().addShutdownHook(stop);
     try {
       proxy.start();
-    } catch (InheritanceException e) {
+    } catch (InheritedSocketException e) {
       withdraw(stop);
       System.err.println("brassbank: LB_LISTEN_FD: " + e.getMessage());
-      return Exit.USAGE;
+      return ExitStatus.USAGE;
     } catch (IOException | RuntimeException e) {
       withdraw(stop);
       System.err.println("brassbank: cannot serve on " + config.listen() + ": " + e.getMessage());
-      return Exit.FAILED;
+      return ExitStatus.FAILED;
     }
     LOG.info("serving", value("name", config.name()), value("listen", config.listen()));
     if (config.handover() != null) {
@@ -120,7 +120,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    return Exit.OK;
+    return ExitStatus.OK;
   }
 
   /** A program that could not start has nobody to send away. */
@@ -204,6 +204,6 @@
       Thread.currentThread().interrupt();
     }
     // The status of a stop as planned, where the signal's own would look like a failure.
-    Runtime.getRuntime().halt(Exit.OK);
+    Runtime.getRuntime().halt(ExitStatus.OK);
   }
 }
--- a/src/main/java/brassbank/cli/Exit.java
+++ b/src/main/java/brassbank/cli/ExitStatus.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /** The exit statuses of every command; this is the one place that says what they mean. */
-public final class Exit {
+public final class ExitStatus {
   public static final int OK = 0;
   public static final int FAILED = 1;
   public static final int USAGE = 2;
 
   /** Of the fleet lab alone. */
-  public static final int VOID = 3;
+  public static final int INVALID_RUN = 3;
 
-  private Exit() {}
+  private ExitStatus() {}
 
   /** What the help of each command says of them. */
   static Map<String, String> meanings() {
--- a/src/main/java/brassbank/cli/Program.java
+++ b/src/main/java/brassbank/cli/Program.java
@@ -18,7 +18,7 @@
 
 /**
  * The command line as a whole. It takes the commands as annotated objects and gives each of them
- * {@code --help}, {@code --version}, errors of one line and the statuses of {@link Exit}.
+ * {@code --help}, {@code --version}, errors of one line and the statuses of {@link ExitStatus}.
  */
 public final class Program {
   private static final String NAME = "brassbank";
@@ -40,35 +40,35 @@
    * Runs the command that the arguments name, on the calling thread.
    *
    * @param commands objects annotated with {@code @Command}
-   * @return the exit status, one of {@link Exit}; errors have been told on standard error
+   * @return the exit status, one of {@link ExitStatus}; errors have been told on standard error
    */
   public static int run(List<? extends Callable<Integer>> commands, String... args) {
-    return frame(commands).execute(args);
+    return commandLine(commands).execute(args);
   }
 
-  static CommandLine frame(List<? extends Callable<Integer>> commands) {
+  static CommandLine commandLine(List<? extends Callable<Integer>> commands) {
     CommandLine root = new CommandLine(new Root());
     commands.forEach(root::addSubcommand);
     root.addSubcommand(new AutoComplete.GenerateCompletion());
-    everywhere(root);
+    applyCommonOptions(root);
     // An argument that begins with @ means itself and no file of arguments.
     root.setExpandAtFiles(false);
     root.setCaseInsensitiveEnumValuesAllowed(true);
-    root.setParameterExceptionHandler((error, given) -> misused(error));
-    root.setExecutionExceptionHandler((error, command, parsed) -> failed(error, command));
+    root.setParameterExceptionHandler((error, given) -> reportUsageError(error));
+    root.setExecutionExceptionHandler((error, command, parsed) -> reportFailure(error, command));
     return root;
   }
 
-  private static void everywhere(CommandLine command) {
+  private static void applyCommonOptions(CommandLine command) {
     CommandSpec spec = command.getCommandSpec();
     spec.mixinStandardHelpOptions(true);
     spec.versionProvider(() -> new String[] {NAME + " " + version()});
-    spec.exitCodeOnInvalidInput(Exit.USAGE).exitCodeOnExecutionException(Exit.FAILED);
-    spec.usageMessage().exitCodeListHeading("%nExit status:%n").exitCodeList(Exit.meanings());
-    command.getSubcommands().values().forEach(Program::everywhere);
+    spec.exitCodeOnInvalidInput(ExitStatus.USAGE).exitCodeOnExecutionException(ExitStatus.FAILED);
+    spec.usageMessage().exitCodeListHeading("%nExit status:%n").exitCodeList(ExitStatus.meanings());
+    command.getSubcommands().values().forEach(Program::applyCommonOptions);
   }
 
-  private static int misused(ParameterException error) {
+  private static int reportUsageError(ParameterException error) {
     CommandLine command = error.getCommandLine();
     String text = error.getMessage();
     if (error instanceof UnmatchedArgumentException unmatched) {
@@ -78,33 +78,33 @@
       List<String> near = unmatched.getSuggestions();
       text += near.isEmpty() ? "" : "; did you mean " + String.join(" or ", near) + "?";
     }
-    return misused(command, text);
+    return reportUsageError(command, text);
   }
 
-  private static int misused(CommandLine command, String text) {
+  private static int reportUsageError(CommandLine command, String text) {
     String name = command.getCommandSpec().qualifiedName();
     command.getErr().println(oneLine(name + ": " + text + " (see " + name + " --help)"));
-    return Exit.USAGE;
+    return ExitStatus.USAGE;
   }
 
-  private static int failed(Exception error, CommandLine command) {
+  private static int reportFailure(Exception error, CommandLine command) {
     if (error instanceof UsageException) {
-      return misused(command, error.getMessage());
+      return reportUsageError(command, error.getMessage());
     }
     command
         .getErr()
-        .println(oneLine(command.getCommandSpec().qualifiedName() + ": " + told(error)));
+        .println(oneLine(command.getCommandSpec().qualifiedName() + ": " + message(error)));
     if (error instanceof RuntimeException && !(error instanceof UncheckedIOException)) {
       // A fault of the program and not of its surroundings: whoever mends it needs the place.
       error.printStackTrace(command.getErr());
     }
-    return Exit.FAILED;
+    return ExitStatus.FAILED;
   }
 
   /** The messages of some file exceptions are the bare path. */
-  private static String told(Throwable error) {
+  private static String message(Throwable error) {
     if (error instanceof UncheckedIOException unchecked) {
-      return told(unchecked.getCause());
+      return message(unchecked.getCause());
     }
     if (error instanceof NoSuchFileException missing) {
       return missing.getFile() + ": no such file";
--- a/src/main/java/brassbank/cli/UsageException.java
+++ b/src/main/java/brassbank/cli/UsageException.java
@@ -2,7 +2,7 @@
 
 /**
  * Arguments, or a file that they name, cannot be used. Thrown by a command that finds out only
- * while it runs; the program then says so in one line and ends with {@link Exit#USAGE}.
+ * while it runs; the program then says so in one line and ends with {@link ExitStatus#USAGE}.
  */
 public final class UsageException extends RuntimeException {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/brassbank/config/Config.java
+++ b/src/main/java/brassbank/config/Config.java
@@ -31,7 +31,7 @@
  * @param management where operators call, or null for nowhere
  * @param handover the file by which the processes on an inherited listening socket, descriptor 0,
  *     see each other; null where the proxy listens by itself
- * @param shape the keys that a configuration which is to replace this one must have
+ * @param requiredKeys the keys that a configuration which is to replace this one must have
  * @param reportFields the names that a load report's values have on the sockets, in their order
  */
 public record Config(
@@ -41,15 +41,15 @@
     Path handover,
     InetSocketAddress discovery,
     long seed,
-    int sockets,
-    TargetList known,
+    int descriptorLimit,
+    TargetList knownTargets,
     Balancer.Settings settings,
     List<String> reportFields,
     long connectTimeoutMicros,
     long idleTimeoutMicros,
-    Shape shape) {
+    RequiredKeys requiredKeys) {
 
-  private static final int SOCKETS_DEFAULT = 1024;
+  private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
 
   /** Reads the file that {@code LB_CONFIG} names; the other variables go before its values. */
   public static Config read(Map<String, String> env) throws ConfigException {
@@ -65,7 +65,7 @@
    */
   public static Config reread(Map<String, String> env, Config inForce) throws ConfigException {
     Config next = read(env, true);
-    String missing = inForce.shape.missingIn(next.shape);
+    String missing = inForce.requiredKeys.missingIn(next.requiredKeys);
     if (missing != null) {
       throw new ConfigException("'" + missing + "' is missing, which the settings in force have");
     }
@@ -94,7 +94,7 @@
   /**
    * The same for a proxy whose listening socket is inherited; {@code file} is that of the locks.
    */
-  public Config inheriting(Path file) {
+  public Config withInheritedListener(Path file) {
     return new Config(
         name,
         listen,
@@ -102,13 +102,13 @@
         file,
         discovery,
         seed,
-        sockets,
-        known,
+        descriptorLimit,
+        knownTargets,
         settings,
         reportFields,
         connectTimeoutMicros,
         idleTimeoutMicros,
-        shape);
+        requiredKeys);
   }
 
   private static Config of(Map<String, String> env, String path, String text, boolean again)
@@ -142,7 +142,7 @@
     flatten("", json.get("settings"), flat);
     // On sockets no line tells of delay, whatever the settings say of the simulator's wire.
     flat.put("extra.tells-delay", "false");
-    Shape shape = Shape.of(json);
+    RequiredKeys shape = RequiredKeys.of(json);
     Balancer.Settings settings = SettingsReader.read(flat);
     TargetList known =
         json.has("known") && json.get("known").isJsonObject()
@@ -150,37 +150,38 @@
             : new TargetList(0, true, List.of());
     JsonObject limits = json.has("limits") ? json.getAsJsonObject("limits") : new JsonObject();
     return new Config(
-        value(env, "LB_NAME", json, "name"),
-        address("listen", value(env, "LB_LISTEN", json, "listen")),
+        requiredValue(env, "LB_NAME", json, "name"),
+        address("listen", requiredValue(env, "LB_LISTEN", json, "listen")),
         management(env, json),
         handover(env, json),
         address(
             "discovery",
-            value(
+            requiredValue(
                 again && json.has("discovery") ? Map.of() : env,
                 "LB_DISCOVERY",
                 json,
                 "discovery")),
         seed(json),
-        limits.has("sockets") ? limits.get("sockets").getAsInt() : SOCKETS_DEFAULT,
+        limits.has("sockets") ? limits.get("sockets").getAsInt() : DEFAULT_DESCRIPTOR_LIMIT,
         known,
         settings,
-        fields(flat),
+        reportFields(flat),
         micros(flat, "allowed.dial-timeout", 200_000),
         micros(flat, "allowed.keepalive", 5_000_000),
         shape);
   }
 
-  private static String value(Map<String, String> env, String variable, JsonObject json, String key)
+  private static String requiredValue(
+      Map<String, String> env, String variable, JsonObject json, String key)
       throws ConfigException {
-    String value = given(env, variable, json, key);
+    String value = optionalValue(env, variable, json, key);
     if (value.isBlank()) {
       throw new ConfigException("neither " + variable + " nor '" + key + "' is given");
     }
     return value;
   }
 
-  private static String given(
+  private static String optionalValue(
       Map<String, String> env, String variable, JsonObject json, String key) {
     String value = env.get(variable);
     if (value != null && !value.isBlank()) {
@@ -198,13 +199,14 @@
       throw new ConfigException(
           "LB_LISTEN_FD is '" + descriptor + "': only descriptor 0 can be inherited");
     }
-    String listen = value(env, "LB_LISTEN", json, "listen").replaceAll("[^0-9A-Za-z.]", "-");
+    String listen =
+        requiredValue(env, "LB_LISTEN", json, "listen").replaceAll("[^0-9A-Za-z.]", "-");
     return Path.of(env.getOrDefault("TMPDIR", "/tmp"), "brassbank-" + listen + ".handover");
   }
 
   private static InetSocketAddress management(Map<String, String> env, JsonObject json)
       throws ConfigException {
-    String value = given(env, "LB_MANAGEMENT", json, "management");
+    String value = optionalValue(env, "LB_MANAGEMENT", json, "management");
     return value.isBlank() ? null : address("management", value);
   }
 
@@ -230,7 +232,7 @@
     return value == null ? absent : (long) Double.parseDouble(value);
   }
 
-  private static List<String> fields(Map<String, String> flat) {
+  private static List<String> reportFields(Map<String, String> flat) {
     String fields = flat.getOrDefault("report.fields", "");
     return fields.isEmpty() ? List.of() : List.of(fields.split(","));
   }
@@ -251,15 +253,15 @@
         }
       } else {
         List<String> values = new ArrayList<>();
-        array.forEach(value -> values.add(simple(value)));
+        array.forEach(value -> values.add(scalarText(value)));
         into.put(path, String.join(",", values));
       }
     } else if (!element.isJsonNull()) {
-      into.put(path, simple(element));
+      into.put(path, scalarText(element));
     }
   }
 
-  private static String simple(JsonElement element) {
+  private static String scalarText(JsonElement element) {
     if (element instanceof JsonPrimitive primitive) {
       String text = primitive.getAsString();
       return primitive.isString() ? text.replace(' ', '_').replace(',', '_') : text;
--- a/src/main/java/brassbank/config/Shape.java
+++ b/src/main/java/brassbank/config/RequiredKeys.java
@@ -16,42 +16,42 @@
  *
  * @param keys the paths of all keys; those of a list's entries are the ones that all of them have
  */
-record Shape(Set<String> keys) {
+record RequiredKeys(Set<String> keys) {
   /** The last list may be old or left out: discovery tells it anew. */
-  private static final String KNOWN = "known";
+  private static final String KNOWN_TARGETS = "known";
 
   /** Microseconds; no client waits for more than eleven days. */
-  private static final BigDecimal LONGEST = BigDecimal.valueOf(1_000_000_000_000_000L);
+  private static final BigDecimal MAX_DEADLINE_MICROS = BigDecimal.valueOf(1_000_000_000_000_000L);
 
   private static final BigDecimal MOST_ATTEMPTS = BigDecimal.valueOf(1_000_000);
 
   /** The shape of a configuration; throws where a number is none. */
-  static Shape of(JsonObject json) throws ConfigException {
+  static RequiredKeys of(JsonObject json) throws ConfigException {
     JsonElement settings = json.get("settings");
     if (settings instanceof JsonObject object) {
-      numbers(object);
+      checkNumbers(object);
     }
     Set<String> keys = new LinkedHashSet<>();
     collect("", json, keys);
-    keys.removeIf(key -> key.equals(KNOWN) || key.startsWith(KNOWN + "."));
-    return new Shape(keys);
+    keys.removeIf(key -> key.equals(KNOWN_TARGETS) || key.startsWith(KNOWN_TARGETS + "."));
+    return new RequiredKeys(keys);
   }
 
-  private static void numbers(JsonObject settings) throws ConfigException {
+  private static void checkNumbers(JsonObject settings) throws ConfigException {
     if (settings.get("allowed") instanceof JsonObject allowed) {
-      aboveZero("settings.allowed.send-cap", allowed.get("send-cap"), MOST_ATTEMPTS);
+      requirePositiveWhole("settings.allowed.send-cap", allowed.get("send-cap"), MOST_ATTEMPTS);
     }
     if (settings.get("profiles") instanceof JsonArray profiles) {
       for (int i = 0; i < profiles.size(); i++) {
         JsonElement deadline =
             profiles.get(i) instanceof JsonObject profile ? profile.get("give-up") : null;
-        aboveZero("settings.profiles." + i + ".give-up", deadline, LONGEST);
+        requirePositiveWhole("settings.profiles." + i + ".give-up", deadline, MAX_DEADLINE_MICROS);
       }
     }
   }
 
   /** A missing one is told by whoever reads it; text that looks like a number is none. */
-  private static void aboveZero(String key, JsonElement value, BigDecimal most)
+  private static void requirePositiveWhole(String key, JsonElement value, BigDecimal most)
       throws ConfigException {
     if (value == null) {
       return;
@@ -104,7 +104,7 @@
    * @return a key that this configuration has and the next one lacks, or null. An empty list has
    *     lost its entries, and not their keys
    */
-  String missingIn(Shape next) {
+  String missingIn(RequiredKeys next) {
     for (String key : keys) {
       int list = key.indexOf("[]");
       boolean emptied =
--- a/src/main/java/brassbank/config/file/Addresses.java
+++ b/src/main/java/brassbank/config/file/Addresses.java
@@ -9,23 +9,23 @@
 
 /** Addresses with their ports, as a file has them; they have no order. */
 record Addresses(List<InetSocketAddress> all) implements Comparable<Addresses> {
-  private static final Pattern FORM =
+  private static final Pattern PATTERN =
       Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}|\\[[0-9a-fA-F:.]{2,45}\\]):(\\d{1,5})");
 
-  private static final int MOST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   Addresses {
     all = List.copyOf(all);
   }
 
   /** Throws IllegalArgumentException where it is none; a name is none. */
-  static InetSocketAddress one(String text) {
-    Matcher parts = FORM.matcher(text);
+  static InetSocketAddress single(String text) {
+    Matcher parts = PATTERN.matcher(text);
     if (!parts.matches()) {
       throw new IllegalArgumentException();
     }
     int port = Integer.parseInt(parts.group(2));
-    if (port == 0 || port > MOST_PORT) {
+    if (port == 0 || port > MAX_PORT) {
       throw new IllegalArgumentException();
     }
     try {
@@ -36,7 +36,7 @@
   }
 
   /** The one that there is. */
-  InetSocketAddress one() {
+  InetSocketAddress single() {
     return all.get(0);
   }
 
--- a/src/main/java/brassbank/config/file/Keys.java
+++ b/src/main/java/brassbank/config/file/Keys.java
@@ -19,8 +19,8 @@
   private static final long SECOND = 1_000 * MILLI;
   private static final long HOUR = 3_600 * SECOND;
 
-  private static final List<Key<?>> DECLARED = new ArrayList<>();
-  private static final Map<String, String> SAID = new LinkedHashMap<>();
+  private static final List<Key<?>> KEYS = new ArrayList<>();
+  private static final Map<String, String> TABLE_DESCRIPTIONS = new LinkedHashMap<>();
 
   private Keys() {}
 
@@ -37,14 +37,14 @@
   static final Key<Long> TURN =
       key(
           "relay.turn",
-          Kind.size(KIB, 16 * MIB),
+          ValueType.size(KIB, 16 * MIB),
           64 * KIB,
           "The most bytes that are taken from one peer before others have their turn.");
 
   static final Key<Long> BUDGET =
       key(
           "relay.budget",
-          Kind.size(64 * KIB, 64 * GIB),
+          ValueType.size(64 * KIB, 64 * GIB),
           16 * MIB,
           "The most bytes that may wait for all slow peers together. Above it the worst offenders"
               + " are ended at once, until the rest is within it.");
@@ -52,7 +52,7 @@
   static final Key<Long> PRACTICE_BUDGET =
       key(
           "relay.practice-budget",
-          Kind.size(16 * KIB, 64 * GIB),
+          ValueType.size(16 * KIB, 64 * GIB),
           4 * MIB,
           "The same for the slow peers of each practice, so that one practice cannot use up what"
               + " all share.");
@@ -61,10 +61,10 @@
     table("relay.practice.*", "Figures of one practice, by its name in the settings.");
   }
 
-  static final Key<Long> ONE_PRACTICE_BUDGET =
+  static final Key<Long> SINGLE_PRACTICE_BUDGET =
       key(
           "relay.practice.*.budget",
-          Kind.size(16 * KIB, 64 * GIB),
+          ValueType.size(16 * KIB, 64 * GIB),
           null,
           "In place of `relay.practice-budget` for this practice.");
 
@@ -77,7 +77,7 @@
   static final Key<Long> FAREWELL =
       key(
           "relay.client.farewell",
-          Kind.time(100 * MILLI, 60 * SECOND),
+          ValueType.time(100 * MILLI, 60 * SECOND),
           2 * SECOND,
           "How long a slow client that is sent `MOVE` may take to read up to it. Then its"
               + " connection is reset, and its memory and its descriptor are free.");
@@ -98,14 +98,14 @@
   static final Key<String> FLEET =
       key(
           "membership.fleet",
-          Kind.name(),
+          ValueType.name(),
           null,
           "The fleet's name; what comes from another one is dropped.");
 
   static final Key<Addresses> LISTEN =
       key(
           "membership.listen",
-          Kind.address(),
+          ValueType.address(),
           null,
           "Where datagrams are taken (UDP); the address and port that clients come to if it is not"
               + " given.");
@@ -113,14 +113,14 @@
   static final Key<Addresses> ADVERTISE =
       key(
           "membership.advertise",
-          Kind.address(),
+          ValueType.address(),
           null,
           "Where the others meet this proxy, where that is not `listen`.");
 
   static final Key<Addresses> SEEDS =
       key(
           "membership.seeds",
-          Kind.addresses(),
+          ValueType.addresses(),
           new Addresses(List.of()),
           "Where others may be, some of the fleet; the proxy's own among them does no harm. SIGHUP"
               + " reads it again, and nothing else of this table.");
@@ -128,7 +128,7 @@
   static final Key<Long> SUSPICION =
       key(
           "membership.suspicion",
-          Kind.time(500 * MILLI, 60 * SECOND),
+          ValueType.time(500 * MILLI, 60 * SECOND),
           SECOND,
           "How long a silent member has at least to be heard of, in a fleet of up to ten; it grows"
               + " with the logarithm of the size. Less finds deaths sooner and takes stops for"
@@ -137,7 +137,7 @@
   static final Key<Long> FORGET =
       key(
           "membership.forget",
-          Kind.time(60 * SECOND, 24 * HOUR),
+          ValueType.time(60 * SECOND, 24 * HOUR),
           HOUR,
           "For how long the dead and those that left are remembered, and asked whether they are"
               + " back.");
@@ -149,10 +149,10 @@
             + " [membership]. docs/shares.md says what it costs and brings.");
   }
 
-  static final Key<Double> BASE =
+  static final Key<Double> BASE_FRACTION =
       key(
           "shares.base",
-          Kind.part(0.05),
+          ValueType.fraction(0.05),
           null,
           "The part of each budget that goes by the numbers of the platform's file, whoever is"
               + " there; the rest is shared by who is. With 1.0 all goes by the file. It must be"
@@ -165,10 +165,10 @@
             + " [membership]. docs/subsets.md says what it costs and brings.");
   }
 
-  static final Key<Long> ASKERS =
+  static final Key<Long> MIN_ASKERS =
       key(
           "subsets.askers",
-          Kind.count(1, 1_000),
+          ValueType.count(1, 1_000),
           null,
           "How many proxies ask a host at least; more do where a proxy would have fewer than eight"
               + " hosts otherwise. It must be the same in all files of a fleet.");
@@ -186,7 +186,7 @@
       waiting =
           key(
               table + ".waiting",
-              Kind.size(4 * KIB, 16 * MIB),
+              ValueType.size(4 * KIB, 16 * MIB),
               64 * KIB,
               "The most bytes that wait for one "
                   + peer
@@ -196,7 +196,7 @@
       kernelBuffer =
           key(
               table + ".kernel-buffer",
-              Kind.size(4 * KIB, 16 * MIB),
+              ValueType.size(4 * KIB, 16 * MIB),
               32 * KIB,
               "What the kernel may keep for one "
                   + peer
@@ -205,13 +205,13 @@
       age =
           key(
               table + ".age",
-              Kind.time(500 * MILLI, HOUR),
+              ValueType.time(500 * MILLI, HOUR),
               60 * SECOND,
               "The longest that a byte may wait for a " + peer + ".");
       rate =
           key(
               table + ".rate",
-              Kind.rate(0, 100 * MIB),
+              ValueType.rate(0, 100 * MIB),
               2 * KIB,
               "The least that a "
                   + peer
@@ -220,7 +220,7 @@
       window =
           key(
               table + ".window",
-              Kind.time(500 * MILLI, HOUR),
+              ValueType.time(500 * MILLI, HOUR),
               20 * SECOND,
               "The span over which `rate` is measured. A "
                   + peer
@@ -229,7 +229,7 @@
       line =
           key(
               table + ".line",
-              Kind.time(500 * MILLI, HOUR),
+              ValueType.time(500 * MILLI, HOUR),
               30 * SECOND,
               "The longest that a " + peer + " may take for a line that it has begun.");
     }
@@ -237,22 +237,22 @@
 
   /** All of them, in the order of the reference. */
   static List<Key<?>> all() {
-    return Collections.unmodifiableList(DECLARED);
+    return Collections.unmodifiableList(KEYS);
   }
 
   /** What each table is for. */
   static Map<String, String> tables() {
-    return Collections.unmodifiableMap(SAID);
+    return Collections.unmodifiableMap(TABLE_DESCRIPTIONS);
   }
 
   private static void table(String name, String text) {
-    SAID.put(name, text);
+    TABLE_DESCRIPTIONS.put(name, text);
   }
 
   private static <T extends Comparable<T>> Key<T> key(
-      String name, Kind<T> kind, T absent, String text) {
+      String name, ValueType<T> kind, T absent, String text) {
     Key<T> key = new Key<>(Arrays.asList(name.split("\\.")), kind, absent, text);
-    DECLARED.add(key);
+    KEYS.add(key);
     return key;
   }
 }
--- a/src/main/java/brassbank/config/file/Options.java
+++ b/src/main/java/brassbank/config/file/Options.java
@@ -15,7 +15,7 @@
 public record Options(RelayLimits relay, Joining joining) {
   /** Who is told of values that are good by themselves and bad together. */
   interface Problems {
-    void problem(int line, String text);
+    void report(int line, String text);
   }
 
   static Options of(Values values, Problems problems) {
@@ -25,32 +25,32 @@
   private static Joining joining(Values values, Problems problems) {
     String fleet = values.get(Keys.FLEET);
     int line = values.line(Keys.LISTEN, Keys.ADVERTISE, Keys.SEEDS, Keys.SUSPICION, Keys.FORGET);
-    if (fleet == null && values.get(Keys.BASE) != null) {
-      problems.problem(
-          values.line(Keys.BASE), "shares needs [membership]: who is there tells that");
+    if (fleet == null && values.get(Keys.BASE_FRACTION) != null) {
+      problems.report(
+          values.line(Keys.BASE_FRACTION), "shares needs [membership]: who is there tells that");
     }
-    if (fleet == null && values.get(Keys.ASKERS) != null) {
-      problems.problem(
-          values.line(Keys.ASKERS), "subsets needs [membership]: who is there tells that");
+    if (fleet == null && values.get(Keys.MIN_ASKERS) != null) {
+      problems.report(
+          values.line(Keys.MIN_ASKERS), "subsets needs [membership]: who is there tells that");
     }
     if (fleet == null) {
       if (line > 0) {
-        problems.problem(line, "membership.fleet is missing, without which there is no membership");
+        problems.report(line, "membership.fleet is missing, without which there is no membership");
       }
       return null;
     }
-    Double base = values.get(Keys.BASE);
-    Long askers = values.get(Keys.ASKERS);
+    Double base = values.get(Keys.BASE_FRACTION);
+    Long askers = values.get(Keys.MIN_ASKERS);
     Addresses listen = values.get(Keys.LISTEN);
     Addresses advertised = values.get(Keys.ADVERTISE);
-    if (advertised != null && advertised.one().getAddress().isAnyLocalAddress()) {
-      problems.problem(
+    if (advertised != null && advertised.single().getAddress().isAnyLocalAddress()) {
+      problems.report(
           values.line(Keys.ADVERTISE), "membership.advertise must be one machine's address");
     }
     return new Joining(
         fleet,
-        listen == null ? null : listen.one(),
-        advertised == null ? null : advertised.one(),
+        listen == null ? null : listen.single(),
+        advertised == null ? null : advertised.single(),
         values.get(Keys.SEEDS).all(),
         Settings.USUAL.suspicion(values.get(Keys.SUSPICION)).forget(values.get(Keys.FORGET)),
         base == null ? Double.NaN : base,
@@ -61,11 +61,11 @@
     long budget = values.get(Keys.BUDGET);
     long practice = values.get(Keys.PRACTICE_BUDGET);
     if (practice > budget) {
-      problems.problem(
+      problems.report(
           values.line(Keys.BUDGET, Keys.PRACTICE_BUDGET),
           "relay.practice-budget must not be above relay.budget");
     }
-    Map<String, Long> practices = values.byName(Keys.ONE_PRACTICE_BUDGET);
+    Map<String, Long> practices = values.byName(Keys.SINGLE_PRACTICE_BUDGET);
     return new RelayLimits(
         values.get(Keys.TURN).intValue(),
         budget,
@@ -84,16 +84,16 @@
     // A peer's backlog stops growing once it is full, which one more turn may overshoot.
     long most = waiting + values.get(Keys.TURN);
     if (most > values.get(Keys.PRACTICE_BUDGET)) {
-      problems.problem(
+      problems.report(
           values.line(keys.waiting, Keys.TURN, Keys.PRACTICE_BUDGET),
           keys.waiting.name() + " and relay.turn together must not be above relay.practice-budget");
     }
     values
-        .byName(Keys.ONE_PRACTICE_BUDGET)
+        .byName(Keys.SINGLE_PRACTICE_BUDGET)
         .forEach(
             (practice, budget) -> {
               if (most > budget) {
-                problems.problem(
+                problems.report(
                     values.line(keys.waiting, Keys.TURN),
                     String.format(
                         "%s and relay.turn together must not be above the budget of %s",
@@ -103,7 +103,7 @@
     // The kernel takes bytes in pieces of about that size: between two of them even a peer that
     // reads at the least rate would seem to stand still.
     if (rate > 0 && rate * (window / 1e6) < kernelBuffer) {
-      problems.problem(
+      problems.report(
           values.line(keys.rate, keys.window, keys.kernelBuffer),
           String.format(
               "%s over %s must come to %s or more",
--- a/src/main/java/brassbank/config/file/OptionsFile.java
+++ b/src/main/java/brassbank/config/file/OptionsFile.java
@@ -20,13 +20,13 @@
 /** Reads a file, and finds all that is wrong with it. */
 public final class OptionsFile {
   /** A file of options is some lines; a larger one is another file, named by mistake. */
-  private static final long MOST_BYTES = 1 << 20;
+  private static final long MAX_FILE_BYTES = 1 << 20;
 
   /** Lines that cannot be read at all: after so many, it is no file of this kind. */
-  private static final int MOST_UNREADABLE = 50;
+  private static final int MAX_SYNTAX_ERRORS = 50;
 
   /** How many letters may differ for a key to be suggested. */
-  private static final int NEAR = 3;
+  private static final int MAX_SUGGESTION_DISTANCE = 3;
 
   private final String name;
   private final Values values = new Values();
@@ -58,7 +58,7 @@
 
   private String text(Path path) {
     try {
-      if (Files.size(path) > MOST_BYTES) {
+      if (Files.size(path) > MAX_FILE_BYTES) {
         problem(0, "is larger than 1 MiB");
         return null;
       }
@@ -78,7 +78,7 @@
     List<String> lines = new ArrayList<>(text.lines().toList());
     boolean complete = true;
     // The library stops at the first line that it cannot read: without that line it finds the next.
-    while (toml.hasErrors() && complete && problems.size() < MOST_UNREADABLE) {
+    while (toml.hasErrors() && complete && problems.size() < MAX_SYNTAX_ERRORS) {
       boolean found = false;
       for (TomlParseError error : toml.errors()) {
         int line = error.position().line();
@@ -124,38 +124,38 @@
         Object value = entry.getValue();
         values.put(
             path,
-            key.get().kind().read(value instanceof TomlArray all ? all.toList() : value),
+            key.get().type().read(value instanceof TomlArray all ? all.toList() : value),
             line);
       } catch (IllegalArgumentException e) {
         problem(line, Toml.joinKeyPath(path) + " " + e.getMessage());
       }
-    } else if (Keys.all().stream().anyMatch(any -> any.leadsHere(path))) {
+    } else if (Keys.all().stream().anyMatch(any -> any.hasParentTable(path))) {
       if (!(entry.getValue() instanceof TomlTable)) {
         problem(line, Toml.joinKeyPath(path) + " is a table, not a value");
       }
     } else if (!isBelowUnknown(path)) {
-      problem(line, "there is no key " + Toml.joinKeyPath(path) + nearest(path));
+      problem(line, "there is no key " + Toml.joinKeyPath(path) + suggestion(path));
     }
   }
 
   /** What is below an unknown table is told with the table. */
   private static boolean isBelowUnknown(List<String> path) {
     List<String> table = path.subList(0, path.size() - 1);
-    return !table.isEmpty() && Keys.all().stream().noneMatch(key -> key.leadsHere(table));
+    return !table.isEmpty() && Keys.all().stream().noneMatch(key -> key.hasParentTable(table));
   }
 
-  private static String nearest(List<String> path) {
+  private static String suggestion(List<String> path) {
     String given = String.join(".", path);
     return Keys.all().stream()
         .map(Key::name)
-        .min(Comparator.comparingInt(name -> distance(name, given)))
-        .filter(name -> distance(name, given) <= NEAR)
+        .min(Comparator.comparingInt(name -> editDistance(name, given)))
+        .filter(name -> editDistance(name, given) <= MAX_SUGGESTION_DISTANCE)
         .map(name -> "; did you mean " + name + "?")
         .orElse("");
   }
 
   /** Letters to change, add or leave out (V. Levenshtein, 1965), row by row. */
-  private static int distance(String one, String other) {
+  private static int editDistance(String one, String other) {
     int[] row = new int[other.length() + 1];
     for (int j = 0; j < row.length; j++) {
       row[j] = j;
--- a/src/main/java/brassbank/config/file/Reference.java
+++ b/src/main/java/brassbank/config/file/Reference.java
@@ -30,8 +30,9 @@
 
   private static <T extends Comparable<T>> void row(StringBuilder page, Key<T> key) {
     page.append("| `").append(key.path().get(key.path().size() - 1)).append("` | ");
-    page.append(key.absent() == null ? "none" : "`" + key.kind().written(key.absent()) + "`");
-    page.append(" | ").append(key.kind().range().replace("\"", "")).append(" | ");
-    page.append(key.text()).append(" |\n");
+    page.append(
+        key.defaultValue() == null ? "none" : "`" + key.type().format(key.defaultValue()) + "`");
+    page.append(" | ").append(key.type().range().replace("\"", "")).append(" | ");
+    page.append(key.description()).append(" |\n");
   }
 }
--- a/src/main/java/brassbank/config/file/Kind.java
+++ b/src/main/java/brassbank/config/file/ValueType.java
@@ -15,7 +15,7 @@
  *
  * @param <T> what the program gets
  */
-abstract class Kind<T extends Comparable<T>> {
+abstract class ValueType<T extends Comparable<T>> {
   /** A unit as it is written, and how many of the base unit it is. */
   private record Unit(String name, long factor) {}
 
@@ -38,55 +38,55 @@
 
   private static final Pattern QUANTITY = Pattern.compile("(\\d{1,12}) ?([A-Za-z/]+)");
 
-  private final T least;
-  private final T most;
+  private final T min;
+  private final T max;
 
-  private Kind(T least, T most) {
-    this.least = least;
-    this.most = most;
+  private ValueType(T least, T most) {
+    this.min = least;
+    this.max = most;
   }
 
   /** What a value must look like, with an example. */
-  abstract String form();
+  abstract String expectedForm();
 
   /**
    * The value as the program takes it; throws IllegalArgumentException where it has no such form.
    */
-  abstract T taken(Object toml);
+  abstract T parse(Object toml);
 
   /** The value as a file has it. */
-  abstract String written(T value);
+  abstract String format(T value);
 
   /** Reads and checks a value; throws IllegalArgumentException with what it must be. */
   final T read(Object toml) {
     T value;
     try {
-      value = taken(toml);
+      value = parse(toml);
     } catch (IllegalArgumentException e) {
-      throw new IllegalArgumentException("must be " + form());
+      throw new IllegalArgumentException("must be " + expectedForm());
     }
-    if (least != null && (value.compareTo(least) < 0 || value.compareTo(most) > 0)) {
+    if (min != null && (value.compareTo(min) < 0 || value.compareTo(max) > 0)) {
       throw new IllegalArgumentException(
-          "must be from " + written(least) + " to " + written(most) + ", not " + written(value));
+          "must be from " + format(min) + " to " + format(max) + ", not " + format(value));
     }
     return value;
   }
 
   /** What it may be between, as a file has it. */
   final String range() {
-    return least == null ? form() : written(least) + " to " + written(most);
+    return min == null ? expectedForm() : format(min) + " to " + format(max);
   }
 
   /** A name of visible ASCII, as it is told to others. */
-  static Kind<String> name() {
-    return new Kind<>(null, null) {
+  static ValueType<String> name() {
+    return new ValueType<>(null, null) {
       @Override
-      String form() {
+      String expectedForm() {
         return "a name of 1 to 63 visible characters";
       }
 
       @Override
-      String taken(Object toml) {
+      String parse(Object toml) {
         if (!(toml instanceof String text) || !Update.nameable(text)) {
           throw new IllegalArgumentException();
         }
@@ -94,22 +94,22 @@
       }
 
       @Override
-      String written(String value) {
+      String format(String value) {
         return '"' + value + '"';
       }
     };
   }
 
   /** A part of a whole, from the least on. */
-  static Kind<Double> part(double least) {
-    return new Kind<>(least, 1.0) {
+  static ValueType<Double> fraction(double least) {
+    return new ValueType<>(least, 1.0) {
       @Override
-      String form() {
+      String expectedForm() {
         return "a number from " + least + " to 1.0";
       }
 
       @Override
-      Double taken(Object toml) {
+      Double parse(Object toml) {
         if (toml instanceof Long whole) {
           return whole.doubleValue();
         }
@@ -120,22 +120,22 @@
       }
 
       @Override
-      String written(Double value) {
+      String format(Double value) {
         return value.toString();
       }
     };
   }
 
   /** A whole number. */
-  static Kind<Long> count(long least, long most) {
-    return new Kind<>(least, most) {
+  static ValueType<Long> count(long least, long most) {
+    return new ValueType<>(least, most) {
       @Override
-      String form() {
+      String expectedForm() {
         return "a whole number";
       }
 
       @Override
-      Long taken(Object toml) {
+      Long parse(Object toml) {
         if (!(toml instanceof Long whole)) {
           throw new IllegalArgumentException();
         }
@@ -143,21 +143,21 @@
       }
 
       @Override
-      String written(Long value) {
+      String format(Long value) {
         return value.toString();
       }
     };
   }
 
   /** One address with its port; no name is looked up. */
-  static Kind<Addresses> address() {
+  static ValueType<Addresses> address() {
     return addresses(
         "an address such as \"10.0.0.7:7075\"",
-        toml -> toml instanceof String text ? List.of(Addresses.one(text)) : null);
+        toml -> toml instanceof String text ? List.of(Addresses.single(text)) : null);
   }
 
   /** Some of them. */
-  static Kind<Addresses> addresses() {
+  static ValueType<Addresses> addresses() {
     return addresses(
         "a list of at most 64 addresses such as [\"10.0.0.7:7075\"]",
         toml -> {
@@ -166,22 +166,22 @@
           }
           List<InetSocketAddress> read = new ArrayList<>();
           for (Object one : all) {
-            read.add(Addresses.one(String.valueOf(one)));
+            read.add(Addresses.single(String.valueOf(one)));
           }
           return read;
         });
   }
 
-  private static Kind<Addresses> addresses(
+  private static ValueType<Addresses> addresses(
       String form, Function<Object, List<InetSocketAddress>> reader) {
-    return new Kind<>(null, null) {
+    return new ValueType<>(null, null) {
       @Override
-      String form() {
+      String expectedForm() {
         return form;
       }
 
       @Override
-      Addresses taken(Object toml) {
+      Addresses parse(Object toml) {
         List<InetSocketAddress> all = reader.apply(toml);
         if (all == null) {
           throw new IllegalArgumentException();
@@ -190,36 +190,36 @@
       }
 
       @Override
-      String written(Addresses value) {
+      String format(Addresses value) {
         return value.toString();
       }
     };
   }
 
   /** Bytes: a whole number and its unit. */
-  static Kind<Long> size(long least, long most) {
+  static ValueType<Long> size(long least, long most) {
     return quantity("a size such as \"64 KiB\" (B, KiB, MiB, GiB)", SIZES, least, most);
   }
 
   /** Microseconds: a whole number and its unit, from milliseconds up. */
-  static Kind<Long> time(long leastMicros, long mostMicros) {
+  static ValueType<Long> time(long leastMicros, long mostMicros) {
     return quantity("a time such as \"10 s\" (ms, s, min, h)", TIMES, leastMicros, mostMicros);
   }
 
   /** Bytes a second: a whole number and its unit. */
-  static Kind<Long> rate(long least, long most) {
+  static ValueType<Long> rate(long least, long most) {
     return quantity("a rate such as \"1 KiB/s\" (B/s, KiB/s, MiB/s)", RATES, least, most);
   }
 
-  private static Kind<Long> quantity(String form, List<Unit> units, long least, long most) {
-    return new Kind<>(least, most) {
+  private static ValueType<Long> quantity(String form, List<Unit> units, long least, long most) {
+    return new ValueType<>(least, most) {
       @Override
-      String form() {
+      String expectedForm() {
         return form;
       }
 
       @Override
-      Long taken(Object toml) {
+      Long parse(Object toml) {
         Matcher parts = QUANTITY.matcher(toml instanceof String text ? text : "");
         if (!parts.matches()) {
           throw new IllegalArgumentException();
@@ -235,7 +235,7 @@
       }
 
       @Override
-      String written(Long value) {
+      String format(Long value) {
         for (Unit unit : units) {
           if (value % unit.factor == 0 && (value != 0 || unit.factor == 1)) {
             return String.format(Locale.ROOT, "\"%d %s\"", value / unit.factor, unit.name);
--- a/src/main/java/brassbank/config/file/Values.java
+++ b/src/main/java/brassbank/config/file/Values.java
@@ -18,13 +18,13 @@
   @SuppressWarnings("unchecked") // A key's value went through the key's own kind.
   <T extends Comparable<T>> T get(Key<T> key) {
     Given found = given.get(key.path());
-    return found == null ? key.absent() : (T) found.value();
+    return found == null ? key.defaultValue() : (T) found.value();
   }
 
   /** The values that the file gives for a key with one name in it, by that name. */
   @SuppressWarnings("unchecked") // As above.
   <T extends Comparable<T>> Map<String, T> byName(Key<T> key) {
-    int at = key.path().indexOf(Key.ANY);
+    int at = key.path().indexOf(Key.ANY_NAME);
     Map<String, T> values = new LinkedHashMap<>();
     given.forEach(
         (path, found) -> {
--- a/src/main/java/brassbank/discovery/Call.java
+++ b/src/main/java/brassbank/discovery/Call.java
@@ -1,7 +1,7 @@
 package brassbank.discovery;
 
+import brassbank.net.EventLoop;
 import brassbank.net.LineBuffer;
-import brassbank.net.Loop;
 import brassbank.net.Net;
 import brassbank.net.Network;
 import java.net.InetSocketAddress;
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** One HTTP call whose answer is read line by line, as it comes. It owns its attempt. */
-final class Call implements Network.Answer {
+final class Call implements Network.ResponseHandler {
   /** Far more than a list of targets needs, and far less than the memory there is. */
   private static final int LONGEST_LINE = 1 << 20;
 
@@ -31,7 +31,7 @@
   private final LineBuffer buffer = new LineBuffer(LONGEST_LINE);
   private Listener listener;
   private Network.Attempt attempt;
-  private Loop.Timer limit;
+  private EventLoop.Timer limit;
 
   Call(Net net, String path, Listener listener) {
     this.net = net;
@@ -40,7 +40,7 @@
   }
 
   void start(InetSocketAddress to) {
-    limit = net.loop().after(Waits.ANSWER, () -> fail("no answer in time"));
+    limit = net.loop().schedule(Waits.ANSWER, () -> fail("no answer in time"));
     attempt = net.get(to, path, Waits.CONNECT, this);
   }
 
@@ -70,7 +70,7 @@
   }
 
   @Override
-  public void begun(int status) {
+  public void statusReceived(int status) {
     if (listener != null && status == OK) {
       heard();
       listener.begun(this);
@@ -80,11 +80,11 @@
   /** Silence is counted anew. */
   private void heard() {
     limit.cancel();
-    limit = net.loop().after(Waits.SILENCE, () -> fail("silent"));
+    limit = net.loop().schedule(Waits.SILENCE, () -> fail("silent"));
   }
 
   @Override
-  public void content(int status, ByteBuffer bytes, boolean last) {
+  public void contentReceived(int status, ByteBuffer bytes, boolean last) {
     if (listener == null) {
       return;
     }
@@ -102,7 +102,7 @@
         line = buffer.nextLine()) {
       listener.line(this, line);
     }
-    if (buffer.overlong()) {
+    if (buffer.hasOverlongLine()) {
       fail("a line that is too long");
     } else if (last) {
       fail("");
--- a/src/main/java/brassbank/discovery/Discovery.java
+++ b/src/main/java/brassbank/discovery/Discovery.java
@@ -6,7 +6,7 @@
 import brassbank.decide.TargetList;
 import brassbank.forward.Dispatcher;
 import brassbank.log.Log;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import brassbank.net.Net;
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
@@ -201,8 +201,8 @@
 
     private Call call;
     private Call beside;
-    private Loop.Timer pause;
-    private Loop.Timer hanging;
+    private EventLoop.Timer pause;
+    private EventLoop.Timer hanging;
     private boolean turnedAway;
     private long wait = Waits.FIRST_PAUSE;
     private long opened = Long.MIN_VALUE / 2;
@@ -218,7 +218,7 @@
         if (soonest <= 0) {
           open();
         } else {
-          pause = net.loop().after(soonest + chance.nextLong(Waits.FIRST_PAUSE), this::open);
+          pause = net.loop().schedule(soonest + chance.nextLong(Waits.FIRST_PAUSE), this::open);
         }
       }
     }
@@ -227,7 +227,7 @@
       pause = null;
       call = made();
       if (twice && !turnedAway) {
-        hanging = net.loop().after(Waits.BESIDE, () -> beside = made());
+        hanging = net.loop().schedule(Waits.BESIDE, () -> beside = made());
       }
     }
 
@@ -269,7 +269,7 @@
       notHanging();
       long micros = wait / 2 + chance.nextLong(wait);
       wait = Math.min(Waits.LONGEST_PAUSE, 2 * wait);
-      pause = net.loop().after(micros, this::open);
+      pause = net.loop().schedule(micros, this::open);
     }
 
     void worked() {
--- a/src/main/java/brassbank/fleet/Fleet.java
+++ b/src/main/java/brassbank/fleet/Fleet.java
@@ -12,7 +12,7 @@
 import brassbank.membership.View;
 import brassbank.membership.wire.Codec;
 import brassbank.membership.wire.RefusedException;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import brassbank.net.Net;
 import brassbank.net.Network;
 import brassbank.shares.wire.SeatCodec;
@@ -55,7 +55,7 @@
   private Sharing sharing;
   private Network.Datagrams socket;
   private Membership membership;
-  private Loop.Timer timer;
+  private EventLoop.Timer timer;
   private boolean wanted;
   private boolean told;
 
@@ -106,7 +106,7 @@
         journal.cannotOpen(joining.listen(), String.valueOf(e.getMessage()));
         told = true;
       }
-      timer = net.loop().after(OPEN_AGAIN, this::tryToOpen);
+      timer = net.loop().schedule(OPEN_AGAIN, this::tryToOpen);
       return;
     }
     told = false;
@@ -161,7 +161,7 @@
     if (sharing != null) {
       sharing.beat(now, activity.get() == Activity.ACTIVE, membership.view());
     }
-    timer = net.loop().after(membership.nextDue() - now(), this::beat);
+    timer = net.loop().schedule(membership.nextDue() - now(), this::beat);
   }
 
   private void heard(InetSocketAddress from, byte[] bytes) {
--- a/src/main/java/brassbank/forward/Dispatcher.java
+++ b/src/main/java/brassbank/forward/Dispatcher.java
@@ -13,14 +13,14 @@
 import brassbank.decide.Happening;
 import brassbank.decide.Target;
 import brassbank.log.Log;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
-import brassbank.relay.Pair;
 import brassbank.relay.Relay;
-import brassbank.relay.Watcher;
+import brassbank.relay.RelayedSession;
+import brassbank.relay.SessionObserver;
+import brassbank.relay.limits.DisconnectDecision;
 import brassbank.relay.limits.Side;
-import brassbank.relay.limits.Verdict;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -57,7 +57,7 @@
   private int waiting;
 
   private Group group;
-  private Loop.Timer timer;
+  private EventLoop.Timer timer;
   private long armedFor = Long.MAX_VALUE;
 
   public Dispatcher(
@@ -107,7 +107,7 @@
 
   /** A front's new flow; the client is told its answer. */
   public void submit(Flow flow, Client client) {
-    if (net.full(waiting)) {
+    if (net.isAtCapacity(waiting)) {
       // Without a descriptor there is nothing to decide: refused while there is room to say so.
       // Flows that wait count with the target's descriptor that each of them will need: where all
       // targets failed for a while, those that had been taken met the limit together afterwards.
@@ -181,7 +181,7 @@
     try {
       for (Decision next = todo.poll(); next != null; next = todo.poll()) {
         Decision decision = next;
-        Loop.guarded(() -> carryOut(decision));
+        EventLoop.runGuarded(() -> carryOut(decision));
       }
     } finally {
       carrying = false;
@@ -196,7 +196,7 @@
         timer.cancel();
       }
       armedFor = due;
-      timer = net.loop().after(due - clock.now(), this::tick);
+      timer = net.loop().schedule(due - clock.now(), this::tick);
     }
   }
 
@@ -227,7 +227,7 @@
       Session session = over(move.flow());
       if (session != null) {
         // The flow's id is free once its connection has ended, and no sooner.
-        session.pair.farewell(session.client.farewell(), session.client::over);
+        session.pair.sendFinalLine(session.client.farewell(), session.client::over);
       }
     } else if (decision instanceof Decision.Probe probe) {
       prober.probe(probe.target());
@@ -239,7 +239,7 @@
   }
 
   /** One flow, from its first line to its final answer or to the end of its connection. */
-  private final class Session implements Forward.Listener, Watcher {
+  private final class Session implements Forward.Listener, SessionObserver {
     private final long flow;
     private final String practice;
     private final Client client;
@@ -251,7 +251,7 @@
     private Forward forward;
 
     private String target;
-    private Pair pair;
+    private RelayedSession pair;
     private boolean waits;
 
     /** Told again and again, from the first line on. */
@@ -296,7 +296,7 @@
     @Override
     public void up(String line, Link targetLink) {
       forward = null;
-      pair = relay.pair(flow, practice, client.up(line), targetLink, this);
+      pair = relay.openSession(flow, practice, client.up(line), targetLink, this);
       report(new Happening.Up(flow));
       pair.start();
     }
@@ -308,7 +308,7 @@
     }
 
     @Override
-    public void asked() {
+    public void requestRelayed() {
       if (asked == null) {
         asked = new Happening.Asked(flow);
         answered = new Happening.Answered(asked.flow());
@@ -317,22 +317,22 @@
     }
 
     @Override
-    public void answered() {
+    public void responseRelayed() {
       report(answered);
     }
 
     @Override
-    public void bye() {
+    public void byeReceived() {
       ending = Ending.SERVED;
     }
 
     @Override
-    public void moving() {
+    public void moveReceived() {
       ending = Ending.CANCELLED;
     }
 
     @Override
-    public String gaveUp(Side side, Verdict.Reason reason) {
+    public String slowPeerDisconnected(Side side, DisconnectDecision.Reason reason) {
       if (over(flow) != null) {
         client.over();
       }
@@ -345,7 +345,7 @@
     }
 
     @Override
-    public void load(String text) {
+    public void loadReported(String text) {
       try {
         report(new Happening.Load(flow, LoadReport.number(text)));
       } catch (IllegalArgumentException e) {
--- a/src/main/java/brassbank/forward/Forward.java
+++ b/src/main/java/brassbank/forward/Forward.java
@@ -17,7 +17,7 @@
  * One attempt of a flow at a target, from its connect to the target's first line. It owns the
  * target's link until the target serves, and gives it back in {@link #cancel}.
  */
-final class Forward implements Link.Owner, Net.Connected {
+final class Forward implements Link.LineHandler, Net.ConnectHandler {
   private static final Log LOG = Log.of("forward");
 
   /** What becomes of a forward: one of the two is told, unless it is cancelled before. */
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public void up(Link connected) {
+  public void connected(Link connected) {
     link = connected;
     String line = opening.get();
     if (line == null) {
@@ -78,7 +78,7 @@
       // Whatever this answers, it is not our line, which never goes out now.
       LOG.warn("answer-early", flow(flow), target(target.name()));
       end(Ending.CONNECT_FAILED);
-    } else if (link.buffer().overlong()) {
+    } else if (link.buffer().hasOverlongLine()) {
       LOG.warn("answer-overlong", flow(flow), target(target.name()));
       end(Ending.ERROR);
     } else if (line != null) {
--- a/src/main/java/brassbank/forward/Prober.java
+++ b/src/main/java/brassbank/forward/Prober.java
@@ -6,8 +6,8 @@
 import brassbank.decide.Ending;
 import brassbank.decide.Target;
 import brassbank.log.Log;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
 import brassbank.net.Network;
 import java.net.InetSocketAddress;
@@ -60,10 +60,10 @@
   }
 
   /** One question to one target. It owns its connection and gives it back in {@link #giveBack}. */
-  private final class Probe implements Link.Owner, Net.Connected {
+  private final class Probe implements Link.LineHandler, Net.ConnectHandler {
     private final Target target;
     private final long startedAt = net.clock().nanos();
-    private Loop.Timer limit;
+    private EventLoop.Timer limit;
     private Network.Attempt connecting;
     private Link link;
     private boolean sent;
@@ -77,11 +77,11 @@
     }
 
     void start() {
-      limit = net.loop().after(LIMIT_MICROS, this::overdue);
+      limit = net.loop().schedule(LIMIT_MICROS, this::overdue);
       Deque<Kept> idle = kept.get(target.address());
       if (idle != null) {
         used = true;
-        up(idle.peek().take());
+        connected(idle.peek().take());
       } else {
         connect();
       }
@@ -96,9 +96,9 @@
     }
 
     @Override
-    public void up(Link connected) {
+    public void connected(Link connected) {
       link = connected;
-      link.owner(this);
+      link.handler(this);
       link.send(STATS, () -> sent = true);
     }
 
@@ -110,7 +110,7 @@
     @Override
     public void received(Link from) {
       String line = link.buffer().nextLine();
-      if (link.buffer().overlong()) {
+      if (link.buffer().hasOverlongLine()) {
         bad("a line that is too long");
       } else if (line != null) {
         answered(line);
@@ -165,7 +165,10 @@
       limit.cancel();
       if (link == null) {
         connecting.cancel();
-      } else if (usable && link.buffer().held() == 0 && link.isOpen() && !net.full()) {
+      } else if (usable
+          && link.buffer().unreadBytes() == 0
+          && link.isOpen()
+          && !net.isAtCapacity()) {
         // What came behind the answer would be taken for the next one's, and that for the one
         // after.
         new Kept(target.address(), link).keep();
@@ -176,10 +179,10 @@
   }
 
   /** A connection between two probes. */
-  private final class Kept implements Link.Owner {
+  private final class Kept implements Link.LineHandler {
     private final InetSocketAddress address;
     private final Link link;
-    private Loop.Timer idle;
+    private EventLoop.Timer idle;
 
     Kept(InetSocketAddress address, Link link) {
       this.address = address;
@@ -187,9 +190,9 @@
     }
 
     void keep() {
-      link.owner(this);
+      link.handler(this);
       kept.computeIfAbsent(address, a -> new ArrayDeque<>()).push(this);
-      idle = net.loop().after(idleMicros, () -> take().close());
+      idle = net.loop().schedule(idleMicros, () -> take().close());
     }
 
     /** Takes the connection off the list; it is the caller's from here on. */
--- a/src/main/java/brassbank/front/Front.java
+++ b/src/main/java/brassbank/front/Front.java
@@ -5,8 +5,8 @@
 import brassbank.forward.Client;
 import brassbank.forward.Dispatcher;
 import brassbank.log.Log;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -108,7 +108,7 @@
   /** Takes a client's new connection. */
   public void accept(Link link) {
     Session session = new Session(link);
-    link.owner(session);
+    link.handler(session);
     session.awaitLine();
     if (!clearing) {
       clear();
@@ -122,14 +122,14 @@
   private void clear() {
     long now = net.clock().nanos();
     clearing = false;
-    while (silent.size() > net.silentRoom() && !clearing) {
+    while (silent.size() > net.maxSilentClients() && !clearing) {
       Session oldest = silent.iterator().next();
       if (now - oldest.silentSince >= TimeUnit.MICROSECONDS.toNanos(PATIENCE_MICROS)) {
         oldest.spoke();
-        oldest.link.drop("BUSY");
+        oldest.link.closeNow("BUSY");
       } else {
         clearing = true;
-        net.loop().after(PATIENCE_MICROS / 2, this::clear);
+        net.loop().schedule(PATIENCE_MICROS / 2, this::clear);
       }
     }
   }
@@ -141,13 +141,13 @@
    */
   private void makeRoom() {
     long now = net.clock().nanos();
-    while (net.full() && !silent.isEmpty()) {
+    while (net.isAtCapacity() && !silent.isEmpty()) {
       Session oldest = silent.iterator().next();
       if (now - oldest.silentSince < TimeUnit.MICROSECONDS.toNanos(HESITATION_MICROS)) {
         return;
       }
       oldest.spoke();
-      oldest.link.drop("BUSY");
+      oldest.link.closeNow("BUSY");
     }
   }
 
@@ -159,7 +159,7 @@
     List<Session> resting = new ArrayList<>(silent);
     resting.addAll(greeted);
     for (Session session : resting) {
-      session.link.receive();
+      session.link.readNow();
       if (session.rests()) {
         session.end();
       }
@@ -181,14 +181,14 @@
   }
 
   /** One client's connection, until it stands or is answered. */
-  private final class Session implements Link.Owner, Client {
+  private final class Session implements Link.LineHandler, Client {
     private final Link link;
     private Phase phase = Phase.SILENT;
 
     /** How long it may have waited before it was accepted, in microseconds. */
     private final long queued;
 
-    private Loop.Timer firstLine;
+    private EventLoop.Timer firstLine;
     private long silentSince;
 
     /** Until the flow stands: a session that lasts for hours keeps its id only. */
@@ -205,7 +205,7 @@
     private void awaitLine() {
       silent.add(this);
       silentSince = net.clock().nanos();
-      firstLine = net.loop().after(FIRST_LINE_MICROS, () -> reject("no first line"));
+      firstLine = net.loop().schedule(FIRST_LINE_MICROS, () -> reject("no first line"));
     }
 
     private boolean rests() {
@@ -235,7 +235,7 @@
         return;
       }
       String line = link.buffer().nextLine();
-      if (link.buffer().overlong()) {
+      if (link.buffer().hasOverlongLine()) {
         reject("the line is too long");
       } else if (line != null) {
         first(line);
@@ -245,7 +245,7 @@
     /** A client sends one line and waits: with more behind it, none of them is carried out. */
     private void first(String line) {
       spoke();
-      if (link.buffer().held() > 0) {
+      if (link.buffer().unreadBytes() > 0) {
         reject("more than one line before the answer");
       } else if (line.equals("PING")) {
         greet();
@@ -263,7 +263,7 @@
         greeted.iterator().next().reject("too many connections wait after PING");
       }
       greeted.add(this);
-      firstLine = net.loop().after(GREETED_MICROS, () -> reject("no line after PING"));
+      firstLine = net.loop().schedule(GREETED_MICROS, () -> reject("no line after PING"));
       phase = Phase.ASKED;
       admit();
     }
@@ -276,7 +276,7 @@
       if (dispatcher.admits()) {
         phase = Phase.GREETED;
         link.send("PONG");
-        if (!net.isOpen() && dispatcher.leaving()) {
+        if (!net.isAcceptingClients() && dispatcher.leaving()) {
           // It asks again over a new connection, which another process takes: this one will end.
           end();
         }
@@ -284,7 +284,7 @@
         phase = Phase.GREETED;
         link.send("BUSY");
       } else {
-        net.loop().after(READY_MICROS, this::admit);
+        net.loop().schedule(READY_MICROS, this::admit);
       }
     }
 
@@ -314,7 +314,7 @@
       spoke();
       LOG.info("client-rejected", value("reason", reason));
       leave();
-      link.turnAway("ERR " + reason.replaceAll("[^ -~]", "?"));
+      link.reject("ERR " + reason.replaceAll("[^ -~]", "?"));
     }
 
     /** Takes back a flow that has no answer yet. */
@@ -361,7 +361,7 @@
     private void answer(String line) {
       phase = Phase.OVER;
       over();
-      link.turnAway(line);
+      link.reject(line);
     }
 
     @Override
--- a/src/main/java/brassbank/gateway/link/Dialler.java
+++ b/src/main/java/brassbank/gateway/link/Dialler.java
@@ -4,7 +4,7 @@
 
 import brassbank.log.Log;
 import brassbank.net.Channel;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import brassbank.net.Network;
 import java.io.IOException;
 import java.util.function.BiConsumer;
@@ -34,7 +34,7 @@
 
   private int failures;
   private String told;
-  private Loop.Timer pause;
+  private EventLoop.Timer pause;
   private boolean over;
 
   /**
@@ -71,14 +71,14 @@
   }
 
   /** One connect, within its time. */
-  private final class Connecting implements Network.Connected {
+  private final class Connecting implements Network.ConnectHandler {
     private Network.Attempt attempt;
-    private Loop.Timer limit;
+    private EventLoop.Timer limit;
 
     void start() {
       limit =
           io.loop()
-              .after(
+              .schedule(
                   settings.setupMicros(),
                   () -> {
                     attempt.cancel();
@@ -88,9 +88,9 @@
     }
 
     @Override
-    public void up(Channel channel) {
+    public void connected(Channel channel) {
       limit.cancel();
-      Loop.guarded(
+      EventLoop.runGuarded(
           () -> {
             if (over) {
               channel.reset();
@@ -103,7 +103,7 @@
     @Override
     public void failed(IOException cause) {
       limit.cancel();
-      Loop.guarded(() -> Dialler.this.failed(String.valueOf(cause.getMessage())));
+      EventLoop.runGuarded(() -> Dialler.this.failed(String.valueOf(cause.getMessage())));
     }
   }
 
@@ -143,7 +143,7 @@
       long micros = span / 2 + chance.nextLong(span / 2 + 1);
       pause =
           io.loop()
-              .after(
+              .schedule(
                   micros,
                   () -> {
                     pause = null;
--- a/src/main/java/brassbank/gateway/link/Drain.java
+++ b/src/main/java/brassbank/gateway/link/Drain.java
@@ -1,7 +1,7 @@
 package brassbank.gateway.link;
 
 import brassbank.net.Channel;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
@@ -17,7 +17,7 @@
   private final Io io;
   private final Channel channel;
   private final Runnable released;
-  private final Loop.Timer limit;
+  private final EventLoop.Timer limit;
   private int discarded;
   private boolean over;
 
@@ -25,7 +25,7 @@
     this.io = io;
     this.channel = channel;
     this.released = released;
-    limit = io.loop().after(LIMIT_MICROS, this::broken);
+    limit = io.loop().schedule(LIMIT_MICROS, this::broken);
     channel.handler(this);
     channel.writing(false);
     channel.reading(true);
--- a/src/main/java/brassbank/gateway/link/GatewayLink.java
+++ b/src/main/java/brassbank/gateway/link/GatewayLink.java
@@ -17,7 +17,7 @@
 import brassbank.gateway.link.tls.TlsReason;
 import brassbank.log.Log;
 import brassbank.net.Channel;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
@@ -80,8 +80,8 @@
   private Mux mux;
 
   private GatewayName peer;
-  private Loop.Timer setup;
-  private Loop.Timer timer;
+  private EventLoop.Timer setup;
+  private EventLoop.Timer timer;
   private long timerDue = Long.MAX_VALUE;
   private boolean reading = true;
   private boolean flushing;
@@ -113,23 +113,23 @@
     this.owner = owner;
     begun = io.now();
     guard = guards.guard(dialled, check, this::resume);
-    setup = io.loop().after(settings.setupMicros(), () -> end(LinkEnd.LATE, "not up in time"));
+    setup = io.loop().schedule(settings.setupMicros(), () -> end(LinkEnd.LATE, "not up in time"));
     channel.sendBuffer(KERNEL_BUFFER);
     channel.handler(
         new Channel.Handler() {
           @Override
           public void readable() {
-            Loop.guarded(GatewayLink.this::read);
+            EventLoop.runGuarded(GatewayLink.this::read);
           }
 
           @Override
           public void writable() {
-            Loop.guarded(GatewayLink.this::flush);
+            EventLoop.runGuarded(GatewayLink.this::flush);
           }
 
           @Override
           public void broken() {
-            Loop.guarded(() -> end(LinkEnd.BROKEN, "the connection broke"));
+            EventLoop.runGuarded(() -> end(LinkEnd.BROKEN, "the connection broke"));
           }
         });
     settle();
@@ -324,7 +324,7 @@
     if (!flushing && !writing && !over) {
       // In a while, so that what all sessions say in this turn of the loop goes as one.
       flushing = true;
-      io.loop().after(0, this::flush);
+      io.loop().schedule(0, this::flush);
     }
   }
 
@@ -434,7 +434,7 @@
         timer.cancel();
       }
       timerDue = due;
-      timer = io.loop().after(due - io.now(), this::tick);
+      timer = io.loop().schedule(due - io.now(), this::tick);
     }
   }
 
--- a/src/main/java/brassbank/gateway/link/Io.java
+++ b/src/main/java/brassbank/gateway/link/Io.java
@@ -1,7 +1,7 @@
 package brassbank.gateway.link;
 
 import brassbank.gateway.link.frame.Frames;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import brassbank.sources.Clock;
 import java.nio.ByteBuffer;
 import java.util.concurrent.TimeUnit;
@@ -10,7 +10,7 @@
 final class Io {
   private static final int READ = 64 * 1024;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Clock clock;
 
   /** What is read off the wire. */
@@ -19,12 +19,12 @@
   /** Frames that go next. */
   private final ByteBuffer frames = ByteBuffer.allocate(Frames.LONGEST);
 
-  Io(Loop loop, Clock clock) {
+  Io(EventLoop loop, Clock clock) {
     this.loop = loop;
     this.clock = clock;
   }
 
-  Loop loop() {
+  EventLoop loop() {
     return loop;
   }
 
--- a/src/main/java/brassbank/gateway/link/Links.java
+++ b/src/main/java/brassbank/gateway/link/Links.java
@@ -16,7 +16,7 @@
 import brassbank.gateway.link.tls.PeerCheck;
 import brassbank.log.Log;
 import brassbank.net.Channel;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import brassbank.net.Network;
 import brassbank.sources.Randomness;
 import java.io.IOException;
@@ -77,7 +77,7 @@
   private final Map<String, Telling> tellings = new LinkedHashMap<>();
   private Network.Listener listener;
   private boolean accepting = true;
-  private Loop.Timer renewing;
+  private EventLoop.Timer renewing;
   private Leave stopping;
   private boolean over;
 
@@ -86,7 +86,7 @@
    */
   public Links(
       Network network,
-      Loop loop,
+      EventLoop loop,
       LinkSettings settings,
       Guards guards,
       long incarnation,
@@ -97,13 +97,13 @@
     this.owner = owner;
     this.guards = guards;
     io = new Io(loop, network.clock());
-    chance = randomness.part("links of " + guards.gateway());
+    chance = randomness.stream("links of " + guards.gateway());
     configure(settings);
   }
 
   /** Takes links from peers at this address. */
   public void listen(InetSocketAddress address) throws IOException {
-    listener = network.listen(address, channel -> Loop.guarded(() -> accept(channel)));
+    listener = network.listen(address, channel -> EventLoop.runGuarded(() -> accept(channel)));
     admit();
   }
 
@@ -140,7 +140,7 @@
         Dialler dialler = new Dialler(io, network, next, peer, chance, links::kept, this::dialled);
         diallers.put(peer.gateway(), dialler);
         // Not within this call: nobody has the links yet.
-        io.loop().after(0, dialler::see);
+        io.loop().schedule(0, dialler::see);
       }
     }
   }
@@ -276,7 +276,7 @@
 
   private void renewSoon() {
     if (renewing == null && !over) {
-      renewing = io.loop().after(settings.renewMicros(), this::renew);
+      renewing = io.loop().schedule(settings.renewMicros(), this::renew);
     }
   }
 
--- a/src/main/java/brassbank/grizzly/ChannelFilter.java
+++ b/src/main/java/brassbank/grizzly/ChannelFilter.java
@@ -30,7 +30,7 @@
   @Override
   public NextAction handleAccept(FilterChainContext ctx) throws IOException {
     if (first) {
-      TurningSelector.putFirst(ctx.getConnection());
+      EventLoopSelector.prioritize(ctx.getConnection());
     }
     accepted.accept(GrizzlyChannel.on(ctx.getConnection()));
     return ctx.getInvokeAction();
--- a/src/main/java/brassbank/grizzly/Dial.java
+++ b/src/main/java/brassbank/grizzly/ConnectAttempt.java
@@ -14,21 +14,21 @@
  * typed with the raw connection, hence the suppressed warning.
  */
 @SuppressWarnings("rawtypes")
-final class Dial extends EmptyCompletionHandler<Connection> implements Network.Attempt {
+final class ConnectAttempt extends EmptyCompletionHandler<Connection> implements Network.Attempt {
   /** What becomes of it: one of the two, unless it is cancelled before. */
-  interface Outcome {
-    void up(Connection<?> connection);
+  interface Handler {
+    void connected(Connection<?> connection);
 
     void failed(Throwable cause);
   }
 
-  private final TurningSelector selector;
-  private final Outcome outcome;
+  private final EventLoopSelector selector;
+  private final Handler outcome;
   private GrizzlyFuture<Connection> future;
   private Connection<?> connection;
   private boolean over;
 
-  Dial(TurningSelector selector, Outcome outcome) {
+  ConnectAttempt(EventLoopSelector selector, Handler outcome) {
     this.selector = selector;
     this.outcome = outcome;
   }
@@ -39,7 +39,7 @@
   }
 
   /** Loopback connects are up, or refused, within the call: whoever made it hears of it later. */
-  private void tell(Runnable news) {
+  private void notifyLater(Runnable news) {
     selector.execute(
         () -> {
           if (!over) {
@@ -56,12 +56,12 @@
       return;
     }
     connection = up;
-    tell(() -> outcome.up(connection));
+    notifyLater(() -> outcome.connected(connection));
   }
 
   @Override
   public void failed(Throwable cause) {
-    tell(() -> outcome.failed(cause));
+    notifyLater(() -> outcome.failed(cause));
   }
 
   @Override
--- a/src/main/java/brassbank/grizzly/WriteStrategy.java
+++ b/src/main/java/brassbank/grizzly/EventLoopIoStrategy.java
@@ -14,11 +14,11 @@
  * be written again, since Grizzly keeps that for its own write queue: a channel is told here. And
  * timers have their turn between two events, however many there are.
  */
-final class WriteStrategy implements IOStrategy {
-  private final IOStrategy chains = SameThreadIOStrategy.getInstance();
-  private final TurningSelector selector;
+final class EventLoopIoStrategy implements IOStrategy {
+  private final IOStrategy filterChains = SameThreadIOStrategy.getInstance();
+  private final EventLoopSelector selector;
 
-  WriteStrategy(TurningSelector selector) {
+  EventLoopIoStrategy(EventLoopSelector selector) {
     this.selector = selector;
   }
 
@@ -36,7 +36,7 @@
     GrizzlyChannel channel =
         event == IOEvent.WRITE ? GrizzlyChannel.of((Connection<?>) connection) : null;
     if (channel == null) {
-      return chains.executeIoEvent(connection, event, enabled);
+      return filterChains.executeIoEvent(connection, event, enabled);
     }
     channel.writable();
     return true;
@@ -45,11 +45,11 @@
   @Override
   @SuppressWarnings("rawtypes")
   public Executor getThreadPoolFor(Connection connection, IOEvent event) {
-    return chains.getThreadPoolFor(connection, event);
+    return filterChains.getThreadPoolFor(connection, event);
   }
 
   @Override
   public ThreadPoolConfig createDefaultWorkerPoolConfig(Transport transport) {
-    return chains.createDefaultWorkerPoolConfig(transport);
+    return filterChains.createDefaultWorkerPoolConfig(transport);
   }
 }
--- a/src/main/java/brassbank/grizzly/TurningSelector.java
+++ b/src/main/java/brassbank/grizzly/EventLoopSelector.java
@@ -1,6 +1,6 @@
 package brassbank.grizzly;
 
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import brassbank.sources.Clock;
 import java.io.IOException;
 import java.nio.channels.SelectableChannel;
@@ -22,18 +22,18 @@
 import org.glassfish.grizzly.nio.SelectorRunner;
 
 /** Grizzly's selector loop with the project's timers and tasks in it, on the selector thread. */
-final class TurningSelector extends DefaultSelectorHandler {
-  private static final long LONGEST_WAIT_MILLIS = 1_000;
+final class EventLoopSelector extends DefaultSelectorHandler {
+  private static final long MAX_SELECT_MILLIS = 1_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** How long events may follow one another before timers and tasks have their turn. */
-  private static final long LONGEST_TURN_NANOS = 500_000;
+  private static final long MAX_EVENT_BATCH_NANOS = 500_000;
 
   /**
    * The keys of one turn. The selector's own set of them is a hash table, which keeps the size of
    * the largest crowd that it ever held and is walked through and cleared in full at each turn.
    */
-  private static final class Ready extends AbstractSet<SelectionKey>
+  private static final class ReadyKeys extends AbstractSet<SelectionKey>
       implements Consumer<SelectionKey>, Iterator<SelectionKey> {
     private final List<SelectionKey> keys = new ArrayList<>();
 
@@ -46,7 +46,7 @@
     /** Called by the selector, once for each key. */
     @Override
     public void accept(SelectionKey key) {
-      if (key.attachment() instanceof Connection<?> connection && FIRST.isSet(connection)) {
+      if (key.attachment() instanceof Connection<?> connection && PRIORITIZED.isSet(connection)) {
         keys.add(first++, key);
       } else if (key.attachment() instanceof Runnable other) {
         others = others == null ? new ArrayList<>() : others;
@@ -88,29 +88,29 @@
     }
   }
 
-  private static final Attribute<Boolean> FIRST =
+  private static final Attribute<Boolean> PRIORITIZED =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("brassbank.first");
 
   private final Clock clock;
-  private final Ready ready = new Ready();
+  private final ReadyKeys ready = new ReadyKeys();
   private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-  private volatile Loop loop;
+  private volatile EventLoop loop;
   private volatile Selector selector;
 
   /** When timers and tasks last had their turn. */
-  private long turnedAt;
+  private long lastRunNanos;
 
-  TurningSelector(Clock clock) {
+  EventLoopSelector(Clock clock) {
     this.clock = clock;
   }
 
   /** Has the connection's events go before the others of a turn. */
-  static void putFirst(Connection<?> connection) {
-    FIRST.set(connection, true);
+  static void prioritize(Connection<?> connection) {
+    PRIORITIZED.set(connection, true);
   }
 
   /** To be called before the selector's first turn. */
-  void loop(Loop turned) {
+  void loop(EventLoop turned) {
     loop = turned;
   }
 
@@ -134,7 +134,7 @@
   public Set<SelectionKey> select(SelectorRunner runner) throws IOException {
     // Set before the look at the tasks: one that comes after the look wakes this selector up.
     selector = runner.getSelector();
-    long wait = tasks.isEmpty() ? millisToNext() : 0;
+    long wait = tasks.isEmpty() ? millisToNextTimer() : 0;
     ready.clear();
     if (wait <= 0 || !runner.getPostponedTasks().isEmpty()) {
       selector.selectNow(ready);
@@ -142,7 +142,7 @@
       selector.select(ready, wait);
     }
     if (ready.others != null) {
-      ready.others.forEach(Loop::guarded);
+      ready.others.forEach(EventLoop::runGuarded);
       ready.others.clear();
     }
     return ready;
@@ -153,31 +153,31 @@
    * the selector, timers and tasks do not wait for the last of them.
    */
   void beforeEvent() {
-    if (clock.nanos() - turnedAt >= LONGEST_TURN_NANOS) {
-      turn();
+    if (clock.nanos() - lastRunNanos >= MAX_EVENT_BATCH_NANOS) {
+      runTasksAndTimers();
     }
   }
 
   @Override
   public void postSelect(SelectorRunner runner) {
-    turn();
+    runTasksAndTimers();
   }
 
-  private void turn() {
+  private void runTasksAndTimers() {
     for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
-      Loop.guarded(task);
+      EventLoop.runGuarded(task);
     }
-    loop.runDue();
-    turnedAt = clock.nanos();
+    loop.runDueTimers();
+    lastRunNanos = clock.nanos();
   }
 
   /** Rounded up: a wait that ends before its time would only be begun again. */
-  private long millisToNext() {
-    long due = loop.nextDue();
+  private long millisToNextTimer() {
+    long due = loop.nextDeadlineNanos();
     if (due == Long.MAX_VALUE) {
-      return LONGEST_WAIT_MILLIS;
+      return MAX_SELECT_MILLIS;
     }
     long nanos = due - clock.nanos();
-    return Math.min(LONGEST_WAIT_MILLIS, (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
+    return Math.min(MAX_SELECT_MILLIS, (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
   }
 }
--- a/src/main/java/brassbank/grizzly/GrizzlyNetwork.java
+++ b/src/main/java/brassbank/grizzly/GrizzlyNetwork.java
@@ -2,8 +2,8 @@
 
 import brassbank.log.Log;
 import brassbank.net.Channel;
-import brassbank.net.InheritanceException;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
+import brassbank.net.InheritedSocketException;
 import brassbank.net.Network;
 import brassbank.sources.Clock;
 import java.io.File;
@@ -34,17 +34,17 @@
   private static final int BACKLOG = 1024;
 
   private final Clock clock;
-  private final TurningSelector selector;
+  private final EventLoopSelector selector;
   private final TCPNIOTransport transport;
   private final FilterChain connected = chain(false, channel -> {});
 
   public GrizzlyNetwork(Clock clock) {
     this.clock = clock;
-    selector = new TurningSelector(clock);
+    selector = new EventLoopSelector(clock);
     transport =
         TCPNIOTransportBuilder.newInstance()
             .setSelectorRunnersCount(1)
-            .setIOStrategy(new WriteStrategy(selector))
+            .setIOStrategy(new EventLoopIoStrategy(selector))
             .setSelectorHandler(selector)
             .setReuseAddress(true)
             .setTcpNoDelay(true)
@@ -76,7 +76,7 @@
   }
 
   @Override
-  public void start(Loop loop) throws IOException {
+  public void start(EventLoop loop) throws IOException {
     selector.loop(loop);
     transport.start();
   }
@@ -90,7 +90,7 @@
             .build()
             .bind(address);
     if (first) {
-      TurningSelector.putFirst(server);
+      EventLoopSelector.prioritize(server);
     }
     return on -> accepting(server, on);
   }
@@ -110,7 +110,7 @@
   @Override
   public Listener inherit(Consumer<Channel> accepted) throws IOException {
     if (!(System.inheritedChannel() instanceof ServerSocketChannel)) {
-      throw new InheritanceException("descriptor 0 is no listening socket");
+      throw new InheritedSocketException("descriptor 0 is no listening socket");
     }
     return new Inherited(accepted);
   }
@@ -146,14 +146,14 @@
   }
 
   @Override
-  public Attempt connect(InetSocketAddress address, Connected then) {
-    Dial dial =
-        new Dial(
+  public Attempt connect(InetSocketAddress address, ConnectHandler then) {
+    ConnectAttempt dial =
+        new ConnectAttempt(
             selector,
-            new Dial.Outcome() {
+            new ConnectAttempt.Handler() {
               @Override
-              public void up(Connection<?> connection) {
-                then.up(GrizzlyChannel.on(connection));
+              public void connected(Connection<?> connection) {
+                then.connected(GrizzlyChannel.on(connection));
               }
 
               @Override
@@ -166,16 +166,16 @@
   }
 
   @Override
-  public Attempt get(InetSocketAddress address, String path, Answer answer) {
-    Call call = new Call(selector, address, path, answer);
+  public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
+    HttpCall call = new HttpCall(selector, address, path, answer);
     call.start(transport);
     return call;
   }
 
   /** Grizzly's own transport for datagrams has threads of its own: this has the one selector's. */
   @Override
-  public Datagrams datagrams(InetSocketAddress address, Heard heard) throws IOException {
-    return KernelDatagrams.open(selector, address, heard);
+  public Datagrams datagrams(InetSocketAddress address, DatagramHandler heard) throws IOException {
+    return NioDatagrams.open(selector, address, heard);
   }
 
   @Override
--- a/src/main/java/brassbank/grizzly/Call.java
+++ b/src/main/java/brassbank/grizzly/HttpCall.java
@@ -20,35 +20,39 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /** One HTTP call by Grizzly's HTTP filters. It owns its connection. */
-final class Call implements Network.Attempt, Dial.Outcome {
+final class HttpCall implements Network.Attempt, ConnectAttempt.Handler {
   private final InetSocketAddress address;
   private final String path;
-  private final Dial dial;
+  private final ConnectAttempt dial;
 
   /** Null once the call is over. */
-  private Network.Answer answer;
+  private Network.ResponseHandler answer;
 
   private Connection<?> connection;
 
-  Call(TurningSelector selector, InetSocketAddress address, String path, Network.Answer answer) {
+  HttpCall(
+      EventLoopSelector selector,
+      InetSocketAddress address,
+      String path,
+      Network.ResponseHandler answer) {
     this.address = address;
     this.path = path;
     this.answer = answer;
-    dial = new Dial(selector, this);
+    dial = new ConnectAttempt(selector, this);
   }
 
   void start(TCPNIOTransport transport) {
     FilterChain chain =
         FilterChainBuilder.stateless()
             .add(new TransportFilter())
-            .add(new Head())
-            .add(new Content())
+            .add(new ResponseFilter())
+            .add(new ContentFilter())
             .build();
     dial.start(transport, chain, address);
   }
 
   @Override
-  public void up(Connection<?> connected) {
+  public void connected(Connection<?> connected) {
     connection = connected;
     answer.connected();
     if (answer == null) {
@@ -73,7 +77,7 @@
   }
 
   private void fail(String why) {
-    Network.Answer told = answer;
+    Network.ResponseHandler told = answer;
     cancel();
     if (told != null) {
       told.failed(why);
@@ -91,12 +95,12 @@
   }
 
   private void content(HttpContent content) {
-    Network.Answer told = answer;
+    Network.ResponseHandler told = answer;
     boolean last = content.isLast();
     if (last) {
       answer = null;
     }
-    told.content(
+    told.contentReceived(
         ((HttpResponsePacket) content.getHttpHeader()).getStatus(),
         content.getContent().toByteBuffer(),
         last);
@@ -106,18 +110,18 @@
   }
 
   /** The HTTP filter, which by itself tells of an answer only once content has come. */
-  private final class Head extends HttpClientFilter {
+  private final class ResponseFilter extends HttpClientFilter {
     @Override
     protected boolean onHttpHeaderParsed(HttpHeader head, Buffer buffer, FilterChainContext ctx) {
       if (answer != null) {
-        answer.begun(((HttpResponsePacket) head).getStatus());
+        answer.statusReceived(((HttpResponsePacket) head).getStatus());
       }
       return super.onHttpHeaderParsed(head, buffer, ctx);
     }
   }
 
   /** The end of the chain: takes the parts of the answer as the HTTP filter finds them. */
-  private final class Content extends BaseFilter {
+  private final class ContentFilter extends BaseFilter {
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
       if (answer != null) {
--- a/src/main/java/brassbank/grizzly/KernelDatagrams.java
+++ b/src/main/java/brassbank/grizzly/NioDatagrams.java
@@ -9,34 +9,36 @@
 import java.nio.channels.DatagramChannel;
 
 /** The kernel's socket for datagrams, on the selector thread. */
-final class KernelDatagrams implements Network.Datagrams {
+final class NioDatagrams implements Network.Datagrams {
   private static final Log LOG = Log.of("datagrams");
 
   /** One turn takes so many, and the rest waits in the kernel: connections have their turn too. */
-  private static final int AT_ONCE = 64;
+  private static final int MAX_DATAGRAMS_PER_READ = 64;
 
   /** What the kernel keeps while the program does not run: a whole view of a large fleet. */
-  private static final int RECEIVE_BUFFER = 256 * 1024;
+  private static final int RECEIVE_BUFFER_BYTES = 256 * 1024;
 
   /** Longer ones are cut off by the kernel, and are nobody's. */
-  private static final int LONGEST = 2_048;
+  private static final int MAX_DATAGRAM_BYTES = 2_048;
 
   private final DatagramChannel channel;
-  private final Network.Heard heard;
-  private final ByteBuffer buffer = ByteBuffer.allocate(LONGEST);
+  private final Network.DatagramHandler handler;
+  private final ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
 
   /** By its contract's type, so that whoever opens none loads neither. */
   static Network.Datagrams open(
-      TurningSelector selector, InetSocketAddress address, Network.Heard heard) throws IOException {
-    return new KernelDatagrams(selector, address, heard);
+      EventLoopSelector selector, InetSocketAddress address, Network.DatagramHandler heard)
+      throws IOException {
+    return new NioDatagrams(selector, address, heard);
   }
 
-  private KernelDatagrams(TurningSelector selector, InetSocketAddress address, Network.Heard heard)
+  private NioDatagrams(
+      EventLoopSelector selector, InetSocketAddress address, Network.DatagramHandler heard)
       throws IOException {
-    this.heard = heard;
+    this.handler = heard;
     channel = DatagramChannel.open();
     try {
-      channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER);
+      channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
       channel.bind(address);
       channel.configureBlocking(false);
       selector.register(channel, this::readable);
@@ -48,14 +50,14 @@
 
   private void readable() {
     try {
-      for (int i = 0; i < AT_ONCE && channel.isOpen(); i++) {
+      for (int i = 0; i < MAX_DATAGRAMS_PER_READ && channel.isOpen(); i++) {
         buffer.clear();
         if (!(channel.receive(buffer) instanceof InetSocketAddress from)) {
           return;
         }
         byte[] bytes = new byte[buffer.flip().remaining()];
         buffer.get(bytes);
-        heard.heard(from, bytes);
+        handler.received(from, bytes);
       }
     } catch (IOException e) {
       // The kernel tells so of one that was sent before and came to nothing.
--- a/src/main/java/brassbank/lab/LabCommand.java
+++ b/src/main/java/brassbank/lab/LabCommand.java
@@ -1,6 +1,6 @@
 package brassbank.lab;
 
-import brassbank.cli.Exit;
+import brassbank.cli.ExitStatus;
 import brassbank.cli.UsageException;
 import brassbank.sim.cli.SiteOptions;
 import brassbank.sim.fault.Plan;
@@ -89,10 +89,12 @@
           notes.println(Report.standing(lab));
           lab.stay();
         }
-        return outcome.tooLate() ? Exit.VOID : outcome.sound() ? Exit.OK : Exit.FAILED;
+        return outcome.tooLate()
+            ? ExitStatus.INVALID_RUN
+            : outcome.sound() ? ExitStatus.OK : ExitStatus.FAILED;
       } catch (LabException e) {
         notes.println("lab: " + e.getMessage());
-        return Exit.FAILED;
+        return ExitStatus.FAILED;
       }
     }
   }
--- a/src/main/java/brassbank/log/Console.java
+++ b/src/main/java/brassbank/log/Console.java
@@ -18,7 +18,7 @@
   private final PrintStream out;
   private final Format format;
   private final Clock clock;
-  private final Budget budget = new Budget();
+  private final LineRateLimiter rateLimiter = new LineRateLimiter();
 
   /**
    * @param clock what the lines' times and the seconds of the budget are taken from
@@ -30,13 +30,13 @@
   }
 
   @Override
-  public synchronized void take(Event event) {
-    if (budget.begins(TimeUnit.NANOSECONDS.toSeconds(clock.nanos()))) {
+  public synchronized void accept(Event event) {
+    if (rateLimiter.startSecond(TimeUnit.NANOSECONDS.toSeconds(clock.nanos()))) {
       // Counts as a line of the new second; the first one always has room.
-      budget.allows(Level.WARN);
-      write(new Event(Level.WARN, "log", "lines-left-out", budget.told(), null));
+      rateLimiter.tryAcquire(Level.WARN);
+      write(new Event(Level.WARN, "log", "lines-left-out", rateLimiter.takeOmittedCounts(), null));
     }
-    if (budget.allows(event.level())) {
+    if (rateLimiter.tryAcquire(event.level())) {
       write(event);
     }
   }
@@ -52,7 +52,7 @@
   @Override
   public void publish(LogRecord record) {
     if (isLoggable(record)) {
-      take(
+      accept(
           new Event(
               Level.of(record.getLevel()),
               "library",
--- a/src/main/java/brassbank/log/Event.java
+++ b/src/main/java/brassbank/log/Event.java
@@ -12,16 +12,16 @@
 public record Event(
     Level level, String component, String name, List<Field> fields, Throwable cause) {
 
-  private static final int MOST_FRAMES = 6;
+  private static final int MAX_STACK_FRAMES = 6;
 
   /** The cause in one line, with the places that it came through first; null without one. */
-  String told() {
+  String causeText() {
     if (cause == null) {
       return null;
     }
     StringBuilder text = new StringBuilder(String.valueOf(cause));
     StackTraceElement[] trace = cause.getStackTrace();
-    for (int i = 0; i < Math.min(MOST_FRAMES, trace.length); i++) {
+    for (int i = 0; i < Math.min(MAX_STACK_FRAMES, trace.length); i++) {
       text.append(" < ").append(trace[i]);
     }
     return text.toString();
--- a/src/main/java/brassbank/log/Format.java
+++ b/src/main/java/brassbank/log/Format.java
@@ -19,14 +19,14 @@
     @Override
     String line(long unixMillis, Event event) {
       StringBuilder line = new StringBuilder(160);
-      time(line, unixMillis);
+      appendTime(line, unixMillis);
       line.append(' ').append(event.level()).append(' ').append(event.component());
       line.append(": ").append(event.name());
       for (Field field : event.fields()) {
-        pair(line, field.name(), String.valueOf(field.value()), LONGEST_VALUE);
+        appendPair(line, field.name(), String.valueOf(field.value()), MAX_VALUE_CHARS);
       }
       if (event.cause() != null) {
-        pair(line, "cause", event.told(), LONGEST_CAUSE);
+        appendPair(line, "cause", event.causeText(), MAX_CAUSE_CHARS);
       }
       return line.toString();
     }
@@ -39,7 +39,7 @@
       StringWriter text = new StringWriter(200);
       try (JsonWriter json = new JsonWriter(text)) {
         json.beginObject();
-        json.name("time").value(time(new StringBuilder(), unixMillis).toString());
+        json.name("time").value(appendTime(new StringBuilder(), unixMillis).toString());
         json.name("level").value(event.level().toString());
         json.name("component").value(event.component());
         json.name("event").value(event.name());
@@ -50,11 +50,11 @@
           } else if (field.value() instanceof Number number && isJson(number)) {
             json.value(number);
           } else {
-            json.value(cut(String.valueOf(field.value()), LONGEST_VALUE));
+            json.value(truncate(String.valueOf(field.value()), MAX_VALUE_CHARS));
           }
         }
         if (event.cause() != null) {
-          json.name("cause").value(cut(event.told(), LONGEST_CAUSE));
+          json.name("cause").value(truncate(event.causeText(), MAX_CAUSE_CHARS));
         }
         json.endObject();
       } catch (IOException e) {
@@ -67,7 +67,7 @@
         if (c < 0x7f) {
           line.append(c);
         } else {
-          code(line, c);
+          appendUnicodeEscape(line, c);
         }
       }
       return line.toString();
@@ -75,9 +75,9 @@
   };
 
   /** A peer's line has 4 KiB at most; its first part tells enough. */
-  static final int LONGEST_VALUE = 512;
+  static final int MAX_VALUE_CHARS = 512;
 
-  static final int LONGEST_CAUSE = 2048;
+  static final int MAX_CAUSE_CHARS = 2048;
 
   /** The line for an event, without its end. */
   abstract String line(long unixMillis, Event event);
@@ -102,19 +102,19 @@
    * UTC to the millisecond (ISO 8601). By hand, since the runtime's formatter, which {@code
    * Instant.toString} uses too, takes 20 ms of the start until it has written the first time.
    */
-  private static StringBuilder time(StringBuilder line, long unixMillis) {
+  private static StringBuilder appendTime(StringBuilder line, long unixMillis) {
     LocalDateTime time =
         LocalDateTime.ofEpochSecond(Math.floorDiv(unixMillis, 1000), 0, ZoneOffset.UTC);
-    digits(line, time.getYear(), 4).append('-');
-    digits(line, time.getMonthValue(), 2).append('-');
-    digits(line, time.getDayOfMonth(), 2).append('T');
-    digits(line, time.getHour(), 2).append(':');
-    digits(line, time.getMinute(), 2).append(':');
-    digits(line, time.getSecond(), 2).append('.');
-    return digits(line, Math.floorMod(unixMillis, 1000), 3).append('Z');
+    appendDigits(line, time.getYear(), 4).append('-');
+    appendDigits(line, time.getMonthValue(), 2).append('-');
+    appendDigits(line, time.getDayOfMonth(), 2).append('T');
+    appendDigits(line, time.getHour(), 2).append(':');
+    appendDigits(line, time.getMinute(), 2).append(':');
+    appendDigits(line, time.getSecond(), 2).append('.');
+    return appendDigits(line, Math.floorMod(unixMillis, 1000), 3).append('Z');
   }
 
-  private static StringBuilder digits(StringBuilder line, int number, int width) {
+  private static StringBuilder appendDigits(StringBuilder line, int number, int width) {
     String digits = Integer.toString(number);
     return line.append("0".repeat(Math.max(0, width - digits.length()))).append(digits);
   }
@@ -124,12 +124,12 @@
         || Double.isFinite(number.doubleValue());
   }
 
-  private static String cut(String value, int longest) {
+  private static String truncate(String value, int longest) {
     return value.length() <= longest ? value : value.substring(0, longest) + "...";
   }
 
-  private static void pair(StringBuilder line, String name, String whole, int longest) {
-    String value = cut(whole, longest);
+  private static void appendPair(StringBuilder line, String name, String whole, int longest) {
+    String value = truncate(whole, longest);
     line.append(' ').append(name).append('=');
     if (isPlain(value)) {
       line.append(value);
@@ -143,7 +143,7 @@
       } else if (c >= ' ' && c < 0x7f) {
         line.append(c);
       } else {
-        code(line, c);
+        appendUnicodeEscape(line, c);
       }
     }
     line.append('"');
@@ -160,7 +160,7 @@
     return !value.isEmpty();
   }
 
-  private static void code(StringBuilder line, char c) {
+  private static void appendUnicodeEscape(StringBuilder line, char c) {
     line.append("\\u");
     for (int shift = 12; shift >= 0; shift -= 4) {
       line.append(Character.forDigit(c >> shift & 0xf, 16));
--- a/src/main/java/brassbank/log/Log.java
+++ b/src/main/java/brassbank/log/Log.java
@@ -13,9 +13,10 @@
  * }</pre>
  */
 public final class Log {
-  private static final ThreadLocal<Sink> HERE = new ThreadLocal<>();
+  private static final ThreadLocal<Sink> THREAD_SINK = new ThreadLocal<>();
 
-  private static volatile Sink everywhere = new Console(System.err, Format.TEXT, new SystemClock());
+  private static volatile Sink defaultSink =
+      new Console(System.err, Format.TEXT, new SystemClock());
 
   private final String component;
 
@@ -39,35 +40,35 @@
     }
     root.addHandler(console);
     root.setLevel(java.util.logging.Level.WARNING);
-    everywhere = console;
+    defaultSink = console;
   }
 
   /**
    * Hands what the calling thread logs to the sink instead, as it comes: for a run that has its own
    * time, or that takes events as values. Null takes that back.
    */
-  public static void onThisThread(Sink sink) {
+  public static void setThreadSink(Sink sink) {
     if (sink == null) {
-      HERE.remove();
+      THREAD_SINK.remove();
     } else {
-      HERE.set(sink);
+      THREAD_SINK.set(sink);
     }
   }
 
   public void info(String event, Field... fields) {
-    tell(new Event(Level.INFO, component, event, List.of(fields), null));
+    publish(new Event(Level.INFO, component, event, List.of(fields), null));
   }
 
   public void warn(String event, Field... fields) {
-    tell(new Event(Level.WARN, component, event, List.of(fields), null));
+    publish(new Event(Level.WARN, component, event, List.of(fields), null));
   }
 
   public void error(String event, Throwable cause, Field... fields) {
-    tell(new Event(Level.ERROR, component, event, List.of(fields), cause));
+    publish(new Event(Level.ERROR, component, event, List.of(fields), cause));
   }
 
-  private static void tell(Event event) {
-    Sink sink = HERE.get();
-    (sink != null ? sink : everywhere).take(event);
+  private static void publish(Event event) {
+    Sink sink = THREAD_SINK.get();
+    (sink != null ? sink : defaultSink).accept(event);
   }
 }
--- a/src/main/java/brassbank/management/Management.java
+++ b/src/main/java/brassbank/management/Management.java
@@ -3,8 +3,8 @@
 import static brassbank.log.Field.value;
 
 import brassbank.log.Log;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -41,7 +41,7 @@
 
   /** Listens at this address, before the clients' address is listened at. */
   public void listen(InetSocketAddress address) throws IOException {
-    net.listenApart(address, PLACES, this::accept);
+    net.listenManagement(address, PLACES, this::accept);
   }
 
   private void accept(Link link) {
@@ -49,18 +49,18 @@
       callers.iterator().next().late();
     }
     Caller caller = new Caller(link);
-    link.owner(caller);
+    link.handler(caller);
     callers.add(caller);
-    caller.limit = net.loop().after(WHOLE_MICROS, caller::late);
+    caller.limit = net.loop().schedule(WHOLE_MICROS, caller::late);
     // What came with the connection is answered before another can push it out.
-    link.receive();
+    link.readNow();
   }
 
   /** One connection, until its descriptor is free. */
-  private final class Caller implements Link.Owner {
+  private final class Caller implements Link.LineHandler {
     private final Link link;
     private final Request request = new Request();
-    private Loop.Timer limit;
+    private EventLoop.Timer limit;
     private boolean answered;
 
     Caller(Link link) {
@@ -71,7 +71,7 @@
     public void received(Link from) {
       while (request.inHead()) {
         String line = link.buffer().nextLine();
-        if (link.buffer().overlong()) {
+        if (link.buffer().hasOverlongLine()) {
           request.tooLong();
         } else if (line == null) {
           return;
@@ -84,7 +84,7 @@
         link.buffer().clear();
         return;
       }
-      Reply reply = request.reply(link.buffer().held(), operators, this::later);
+      Reply reply = request.reply(link.buffer().unreadBytes(), operators, this::later);
       if (reply != null) {
         answer(reply);
       }
@@ -109,19 +109,19 @@
         end(reply);
       } else {
         link.send(reply.lines());
-        link.finish();
+        link.shutdownOutput();
       }
     }
 
     private void end(Reply reply) {
       over();
-      link.drop(reply.lines());
+      link.closeNow(reply.lines());
     }
 
     private void late() {
       if (answered) {
         over();
-        link.drop("");
+        link.closeNow("");
       } else {
         end(new Reply(408, "no whole call in time"));
       }
--- a/src/main/java/brassbank/net/Buffers.java
+++ b/src/main/java/brassbank/net/BufferPool.java
@@ -14,39 +14,39 @@
  *
  * <p>Pieces are powers of two; lending and giving back take constant time.
  */
-public final class Buffers {
-  private static final int LEAST = 1024;
-  private static final int SIZES = 21;
+public final class BufferPool {
+  private static final int MIN_BLOCK_BYTES = 1024;
+  private static final int SIZE_CLASSES = 21;
 
   /**
    * What is kept of given back pieces for those who are slow next: so many bytes, or half of what
    * is lent where that is more. Where many are slow, and each comes again, their pieces would else
    * be garbage, and collections would delay everybody.
    */
-  private static final int LEAST_KEPT = 256 * 1024;
+  private static final int MIN_RETAINED_BYTES = 256 * 1024;
 
-  private static final int DISCARD_SIZE = 64 * 1024;
+  private static final int DISCARD_BUFFER_BYTES = 64 * 1024;
 
   private final List<Deque<byte[]>> free = new ArrayList<>();
   private ByteBuffer input;
   private ByteBuffer discarded;
-  private long kept;
-  private long lent;
+  private long retainedBytes;
+  private long leasedBytes;
 
   /**
    * @param turn bytes that a link reads in one turn at most
    */
-  public Buffers(int turn) {
-    for (int i = 0; i < SIZES; i++) {
+  public BufferPool(int turn) {
+    for (int i = 0; i < SIZE_CLASSES; i++) {
       free.add(new ArrayDeque<>(0));
     }
-    turn(turn);
+    readQuota(turn);
   }
 
   /**
    * Changes how many bytes a link reads in one turn at most; not while one is being told of some.
    */
-  public void turn(int bytes) {
+  public void readQuota(int bytes) {
     if (input == null || input.capacity() != bytes) {
       input = ByteBuffer.allocateDirect(bytes).order(ByteOrder.LITTLE_ENDIAN);
     }
@@ -60,50 +60,53 @@
   /** Takes what is thrown away, of all links in turn. */
   ByteBuffer discarded() {
     if (discarded == null) {
-      discarded = ByteBuffer.allocateDirect(DISCARD_SIZE);
+      discarded = ByteBuffer.allocateDirect(DISCARD_BUFFER_BYTES);
     }
     return discarded.clear();
   }
 
-  /** Lends a piece of so many bytes or more; {@link #giveBack} ends it. */
-  byte[] lend(int bytes) {
-    int size = size(bytes);
+  /** Lends a piece of so many bytes or more; {@link #release} ends it. */
+  byte[] lease(int bytes) {
+    int size = sizeClass(bytes);
     byte[] piece = free.get(size).poll();
     if (piece == null) {
-      piece = new byte[LEAST << size];
+      piece = new byte[MIN_BLOCK_BYTES << size];
     } else {
-      kept -= piece.length;
+      retainedBytes -= piece.length;
     }
-    lent += piece.length;
+    leasedBytes += piece.length;
     return piece;
   }
 
-  void giveBack(byte[] piece) {
-    lent -= piece.length;
-    kept += piece.length;
-    free.get(size(piece.length)).push(piece);
+  void release(byte[] piece) {
+    leasedBytes -= piece.length;
+    retainedBytes += piece.length;
+    free.get(sizeClass(piece.length)).push(piece);
     // The largest go first: they are the fewest.
-    for (int size = SIZES - 1; kept > Math.max(LEAST_KEPT, lent / 2); ) {
+    for (int size = SIZE_CLASSES - 1;
+        retainedBytes > Math.max(MIN_RETAINED_BYTES, leasedBytes / 2); ) {
       byte[] dropped = free.get(size).poll();
       if (dropped == null) {
         size--;
       } else {
-        kept -= dropped.length;
+        retainedBytes -= dropped.length;
       }
     }
   }
 
-  private static int size(int bytes) {
-    return bytes <= LEAST ? 0 : 32 - Integer.numberOfLeadingZeros((bytes - 1) / LEAST);
+  private static int sizeClass(int bytes) {
+    return bytes <= MIN_BLOCK_BYTES
+        ? 0
+        : 32 - Integer.numberOfLeadingZeros((bytes - 1) / MIN_BLOCK_BYTES);
   }
 
   /** Bytes that are lent out now. */
-  public long lent() {
-    return lent;
+  public long leasedBytes() {
+    return leasedBytes;
   }
 
   /** Bytes that are kept to be lent again. */
-  long kept() {
-    return kept;
+  long retainedBytes() {
+    return retainedBytes;
   }
 }
--- a/src/main/java/brassbank/net/Loop.java
+++ b/src/main/java/brassbank/net/EventLoop.java
@@ -7,21 +7,21 @@
 
 /**
  * The timers of the one loop, so that sockets, timers and decisions share a thread and need no
- * locks. The {@link Network} turns it: it asks {@link #nextDue} and calls {@link #runDue}. All of
- * it is for the loop's thread only.
+ * locks. The {@link Network} turns it: it asks {@link #nextDeadlineNanos} and calls {@link
+ * #runDueTimers}. All of it is for the loop's thread only.
  */
-public final class Loop {
+public final class EventLoop {
   private static final Log LOG = Log.of("loop");
 
   /** Something to be done later, unless it is cancelled before. */
   public static final class Timer {
-    private final long due;
-    private final long order;
+    private final long deadlineNanos;
+    private final long sequence;
     private Runnable task;
 
     private Timer(long due, long order, Runnable task) {
-      this.due = due;
-      this.order = order;
+      this.deadlineNanos = due;
+      this.sequence = order;
       this.task = task;
     }
 
@@ -35,49 +35,56 @@
   /** By due time; of those due at once, the one that was set first. */
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
-          (a, b) -> a.due != b.due ? Long.compare(a.due, b.due) : Long.compare(a.order, b.order));
+          (a, b) ->
+              a.deadlineNanos != b.deadlineNanos
+                  ? Long.compare(a.deadlineNanos, b.deadlineNanos)
+                  : Long.compare(a.sequence, b.sequence));
 
-  private long count;
+  private long nextSequence;
 
-  public Loop(Clock clock) {
+  public EventLoop(Clock clock) {
     this.clock = clock;
   }
 
   /** Runs the task after so many microseconds; with 0 or less, soon, but not within this call. */
-  public Timer after(long micros, Runnable task) {
+  public Timer schedule(long micros, Runnable task) {
     long due = clock.nanos() + TimeUnit.MICROSECONDS.toNanos(Math.max(0, micros));
-    Timer timer = new Timer(due, count++, task);
+    Timer timer = new Timer(due, nextSequence++, task);
     timers.add(timer);
     return timer;
   }
 
-  /** When {@link #runDue} is next wanted, by {@link Clock#nanos}; Long.MAX_VALUE for never. */
-  public long nextDue() {
+  /**
+   * When {@link #runDueTimers} is next wanted, by {@link Clock#nanos}; Long.MAX_VALUE for never.
+   */
+  public long nextDeadlineNanos() {
     while (!timers.isEmpty() && timers.peek().task == null) {
       timers.poll();
     }
-    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().due;
+    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().deadlineNanos;
   }
 
   /** Runs what is due, in the order of its time. */
-  public void runDue() {
+  public void runDueTimers() {
     long now = clock.nanos();
-    while (nextDue() <= now) {
-      guarded(timers.poll().task);
+    while (nextDeadlineNanos() <= now) {
+      runGuarded(timers.poll().task);
     }
   }
 
   /** A failure in one task must not end the loop, which all connections share. */
-  public static void guarded(Runnable task) {
+  public static void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
-      failed(e);
+      logFailure(e);
     }
   }
 
-  /** What {@link #guarded} says of a failure, for those who cannot afford a task for each event. */
-  static void failed(RuntimeException failure) {
+  /**
+   * What {@link #runGuarded} says of a failure, for those who cannot afford a task for each event.
+   */
+  static void logFailure(RuntimeException failure) {
     LOG.error("task-failed", failure);
   }
 }
--- a/src/main/java/brassbank/net/InheritanceException.java
+++ b/src/main/java/brassbank/net/InheritedSocketException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** The program was told of a listening socket that it has not inherited. */
-public final class InheritanceException extends IOException {
+public final class InheritedSocketException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  public InheritanceException(String message) {
+  public InheritedSocketException(String message) {
     super(message);
   }
 }
--- a/src/main/java/brassbank/net/LineBuffer.java
+++ b/src/main/java/brassbank/net/LineBuffer.java
@@ -9,33 +9,33 @@
  * in place. Lines are taken from its front.
  */
 public final class LineBuffer {
-  private static final int FIRST_SIZE = 512;
-  private static final int LEAST_SPACE = 256;
+  private static final int INITIAL_BYTES = 512;
+  private static final int MIN_SPACE_BYTES = 256;
 
-  private final int longestLine;
-  private byte[] data = new byte[FIRST_SIZE];
+  private final int maxLineBytes;
+  private byte[] data = new byte[INITIAL_BYTES];
   private int start;
   private int scanned;
   private int end;
   private boolean skipping;
-  private boolean overlong;
+  private boolean hasOverlongLine;
 
   public LineBuffer(int longestLine) {
-    this.longestLine = longestLine;
+    this.maxLineBytes = longestLine;
   }
 
-  /** Room for what is read next; {@link #filled} says how much was. */
+  /** Room for what is read next; {@link #advance} says how much was. */
   public ByteBuffer space() {
-    if (data.length - end < LEAST_SPACE) {
+    if (data.length - end < MIN_SPACE_BYTES) {
       compact();
-      if (data.length - end < LEAST_SPACE) {
+      if (data.length - end < MIN_SPACE_BYTES) {
         data = Arrays.copyOf(data, 2 * data.length);
       }
     }
     return ByteBuffer.wrap(data, end, data.length - end);
   }
 
-  public void filled(int bytes) {
+  public void advance(int bytes) {
     end += bytes;
   }
 
@@ -65,16 +65,16 @@
       scanned = at;
       if (at == end) {
         // Guards memory against a peer that never ends its line.
-        if (end - start > longestLine) {
-          overlong = true;
+        if (end - start > maxLineBytes) {
+          hasOverlongLine = true;
           skipping = true;
           start = end;
         }
         return null;
       }
       int stop = at > start && data[at - 1] == '\r' ? at - 1 : at;
-      boolean skip = skipping || at - start > longestLine;
-      overlong |= skip;
+      boolean skip = skipping || at - start > maxLineBytes;
+      hasOverlongLine |= skip;
       String line =
           skip ? null : new String(data, start, stop - start, StandardCharsets.ISO_8859_1);
       skipping = false;
@@ -87,8 +87,8 @@
   }
 
   /** Whether a line was longer than allowed; such a line is skipped. */
-  public boolean overlong() {
-    return overlong;
+  public boolean hasOverlongLine() {
+    return hasOverlongLine;
   }
 
   /** Throws away what has come and is in no line taken yet. */
@@ -99,12 +99,12 @@
   }
 
   /** Bytes that have come and are in no line taken yet. */
-  public int held() {
+  public int unreadBytes() {
     return end - start;
   }
 
   /** The same bytes themselves. */
-  ByteBuffer rest() {
+  ByteBuffer unread() {
     return ByteBuffer.wrap(data, start, end - start);
   }
 }
--- a/src/main/java/brassbank/net/Link.java
+++ b/src/main/java/brassbank/net/Link.java
@@ -6,30 +6,30 @@
 
 /**
  * One connection: its socket, its buffer, and who is told what comes. At first that is an {@link
- * Owner}, who takes lines out of the link's {@link #buffer}; once the connection stands it is a
- * {@link Stream}, which takes the bytes as they come. The socket is given back in {@link #release},
- * and nowhere else.
+ * LineHandler}, who takes lines out of the link's {@link #buffer}; once the connection stands it is
+ * a {@link StreamHandler}, which takes the bytes as they come. The socket is given back in {@link
+ * #release}, and nowhere else.
  *
  * <p>A link has one buffer at a time: that of its lines, or later that of what waits for its peer,
  * which it holds only while something does.
  */
 public final class Link {
   /** The longest line that the protocol allows. */
-  public static final int LONGEST_LINE = 4 * 1024;
+  public static final int MAX_LINE_BYTES = 4 * 1024;
 
   /** How long a link lives whose one direction has ended, so that no reset eats the last lines. */
   private static final long LINGER_MICROS = 1_000_000;
 
   /** How much is thrown away of what a peer sends after its last answer. */
-  private static final long MOST_DISCARDED = 128L << 20;
+  private static final long MAX_DISCARDED_BYTES = 128L << 20;
 
   /** How long at most it is read after its last answer, and how long a quiet peer has gone. */
-  private static final long TURNED_AWAY_MICROS = 5_000_000;
+  private static final long REJECTED_LINGER_MICROS = 5_000_000;
 
-  private static final long QUIET_MICROS = 250_000;
+  private static final long QUIET_PERIOD_MICROS = 250_000;
 
   /** Who is told of a link's lines and of its end. */
-  public interface Owner {
+  public interface LineHandler {
     /** Bytes have come into the link's buffer. */
     void received(Link link);
 
@@ -42,23 +42,23 @@
   }
 
   /** Who is told of a link's bytes, and of its end. */
-  public interface Stream {
+  public interface StreamHandler {
     /** How many bytes may be read now; 1 or more. */
-    int room(Link link);
+    int readQuota(Link link);
 
     /**
      * Bytes have come. They stand in a buffer that all links share: whoever wants them later has
      * taken them before it returns.
      */
-    void came(Link link, ByteBuffer bytes);
+    void received(Link link, ByteBuffer bytes);
 
     /** So many of the bytes that were sent wait for the peer to read. */
-    void waits(Link link, int bytes);
+    void queued(Link link, int bytes);
 
     /** The peer has taken so many of the bytes that waited. */
-    void took(Link link, int bytes);
+    void drained(Link link, int bytes);
 
-    /** As {@link Owner#ended}. */
+    /** As {@link LineHandler#ended}. */
     void ended(Link link, boolean reset);
 
     /** The link's memory and its descriptor are free; told once, after all else. */
@@ -67,34 +67,34 @@
 
   private final Net net;
   private final Channel channel;
-  private final Outbox outbox;
+  private final SendQueue outbox;
 
   /** Until the link is a stream. */
-  private LineBuffer buffer = new LineBuffer(LONGEST_LINE);
+  private LineBuffer buffer = new LineBuffer(MAX_LINE_BYTES);
 
-  private Owner owner;
-  private Stream stream;
+  private LineHandler handler;
+  private StreamHandler startStreaming;
   private boolean paused;
   private long lingerMicros = LINGER_MICROS;
 
   /** Nobody hears of what comes any longer: the link was closed, or its end was told. */
-  private boolean deaf;
+  private boolean notificationsOff;
 
-  private boolean inputOver;
-  private boolean outputOver;
+  private boolean inputEnded;
+  private boolean outputEnding;
   private boolean outputShut;
   private boolean released;
   private long discarded;
-  private Loop.Timer linger;
+  private EventLoop.Timer lingerTimer;
 
   /** The channel tells when it takes more. */
   private boolean writing;
 
-  Link(Net net, Channel channel, Owner owner) {
+  Link(Net net, Channel channel, LineHandler owner) {
     this.net = net;
     this.channel = channel;
-    this.owner = owner;
-    outbox = new Outbox(net.buffers());
+    this.handler = owner;
+    outbox = new SendQueue(net.buffers());
     channel.handler(
         new Channel.Handler() {
           @Override
@@ -102,7 +102,7 @@
             try {
               read();
             } catch (RuntimeException e) {
-              Loop.failed(e);
+              EventLoop.logFailure(e);
             }
           }
 
@@ -111,16 +111,16 @@
             try {
               write();
             } catch (RuntimeException e) {
-              Loop.failed(e);
+              EventLoop.logFailure(e);
             }
           }
 
           @Override
           public void broken() {
             try {
-              broke();
+              connectionBroken();
             } catch (RuntimeException e) {
-              Loop.failed(e);
+              EventLoop.logFailure(e);
             }
           }
         });
@@ -131,8 +131,8 @@
     return buffer;
   }
 
-  public void owner(Owner next) {
-    owner = next;
+  public void handler(LineHandler next) {
+    handler = next;
   }
 
   /**
@@ -140,26 +140,26 @@
    *
    * @return what has come already and is in no line that was taken
    */
-  public ByteBuffer stream(Stream next) {
-    stream = next;
-    ByteBuffer rest = buffer.rest();
+  public ByteBuffer startStreaming(StreamHandler next) {
+    startStreaming = next;
+    ByteBuffer rest = buffer.unread();
     buffer = null;
-    owner = null;
+    handler = null;
     if (!outbox.isEmpty()) {
-      stream.waits(this, outbox.size());
+      startStreaming.queued(this, outbox.size());
     }
     if (released) {
-      stream.released(this);
+      startStreaming.released(this);
     }
     return rest;
   }
 
   public boolean isOpen() {
-    return !inputOver && !outputOver && !released;
+    return !inputEnded && !outputEnding && !released;
   }
 
   boolean isClosing() {
-    return (inputOver || outputOver) && !released;
+    return (inputEnded || outputEnding) && !released;
   }
 
   public void send(String line) {
@@ -168,13 +168,13 @@
 
   /** Writes the bytes; {@code written} runs once the last of them is with the kernel. */
   public void send(byte[] bytes, Runnable written) {
-    if (outputOver || released || bytes.length == 0) {
+    if (outputEnding || released || bytes.length == 0) {
       return;
     }
     send(ByteBuffer.wrap(bytes));
     if (!released && written != null) {
-      outbox.whenTaken(written);
-      outbox.runTaken();
+      outbox.whenWritten(written);
+      outbox.runWrittenCallbacks();
     }
   }
 
@@ -183,7 +183,7 @@
    * peer reads. None of them is left in the buffer.
    */
   public void send(ByteBuffer bytes) {
-    if (outputOver || released) {
+    if (outputEnding || released) {
       bytes.position(bytes.limit());
       return;
     }
@@ -192,7 +192,7 @@
         channel.write(bytes);
       } catch (IOException e) {
         bytes.position(bytes.limit());
-        broke();
+        connectionBroken();
         return;
       }
     }
@@ -203,8 +203,8 @@
         writing = true;
         channel.writing(true);
       }
-      if (stream != null) {
-        stream.waits(this, rest);
+      if (startStreaming != null) {
+        startStreaming.queued(this, rest);
       }
     }
   }
@@ -215,18 +215,18 @@
     try {
       count = outbox.writeTo(channel);
     } catch (IOException e) {
-      broke();
+      connectionBroken();
       return;
     }
     if (outbox.isEmpty()) {
       writing = false;
       channel.writing(false);
     }
-    if (stream != null && count > 0) {
-      stream.took(this, count);
+    if (startStreaming != null && count > 0) {
+      startStreaming.drained(this, count);
     }
     if (!released) {
-      outbox.runTaken();
+      outbox.runWrittenCallbacks();
     }
   }
 
@@ -238,13 +238,13 @@
   }
 
   /** How many bytes wait for the peer to read, beside what the kernel keeps. */
-  public int waiting() {
+  public int queuedBytes() {
     return outbox.size();
   }
 
   /** Stops reading, so that TCP holds the peer back. */
   public void pause() {
-    if (!inputOver && !released && !paused) {
+    if (!inputEnded && !released && !paused) {
       paused = true;
       channel.reading(false);
     }
@@ -253,7 +253,7 @@
   public void resume() {
     if (paused) {
       paused = false;
-      if (!inputOver && !released) {
+      if (!inputEnded && !released) {
         channel.reading(true);
       }
     }
@@ -270,28 +270,28 @@
 
   /** Ends the link after all that was sent; what still comes is thrown away. */
   public void close() {
-    deaf = true;
+    notificationsOff = true;
     resume();
-    finish();
+    shutdownOutput();
   }
 
   /**
    * Ends the link with a last line. A peer that is still sending is read for a while, until it has
    * been quiet: a close with bytes unread would send a reset, which can overtake the line.
    */
-  public void turnAway(String line) {
+  public void reject(String line) {
     send(line);
-    lingerMicros = TURNED_AWAY_MICROS;
+    lingerMicros = REJECTED_LINGER_MICROS;
     close();
     awaitQuiet(0);
   }
 
   private void awaitQuiet(long seen) {
     net.loop()
-        .after(
-            QUIET_MICROS,
+        .schedule(
+            QUIET_PERIOD_MICROS,
             () -> {
-              if (discarded == seen || net.full()) {
+              if (discarded == seen || net.isAtCapacity()) {
                 release();
               } else {
                 awaitQuiet(discarded);
@@ -300,34 +300,34 @@
   }
 
   /** Ends our sending after all that was sent; what the peer sends is still told. */
-  public void finish() {
-    if (outputOver || released) {
+  public void shutdownOutput() {
+    if (outputEnding || released) {
       return;
     }
-    outputOver = true;
+    outputEnding = true;
     startLinger();
-    outbox.whenTaken(this::endSending);
-    outbox.runTaken();
+    outbox.whenWritten(this::shutdownChannelOutput);
+    outbox.runWrittenCallbacks();
   }
 
   /** Ends the link with a last line and without waiting for the peer, so that its room is free. */
-  public void drop(String line) {
+  public void closeNow(String line) {
     send(line);
     release();
   }
 
   private void startLinger() {
-    if (linger == null) {
+    if (lingerTimer == null) {
       // What still waits then is lost: the peer must not take the end for a proper one.
-      linger = net.loop().after(lingerMicros, () -> release(!outbox.isEmpty()));
+      lingerTimer = net.loop().schedule(lingerMicros, () -> release(!outbox.isEmpty()));
     }
   }
 
-  private void endSending() {
+  private void shutdownChannelOutput() {
     try {
       channel.shutdownOutput();
       outputShut = true;
-      if (inputOver) {
+      if (inputEnded) {
         release();
       }
     } catch (IOException e) {
@@ -340,7 +340,7 @@
     if (released) {
       return;
     }
-    deaf = true;
+    notificationsOff = true;
     release(true);
   }
 
@@ -352,8 +352,8 @@
   private void release(boolean abruptly) {
     if (!released) {
       released = true;
-      if (linger != null) {
-        linger.cancel();
+      if (lingerTimer != null) {
+        lingerTimer.cancel();
       }
       if (abruptly) {
         channel.reset();
@@ -362,15 +362,15 @@
       }
       outbox.clear();
       net.released(this);
-      if (stream != null) {
-        stream.released(this);
+      if (startStreaming != null) {
+        startStreaming.released(this);
       }
     }
   }
 
   /** Reads now what has come already, without waiting to be told of it. */
-  public void receive() {
-    if (!inputOver && !released) {
+  public void readNow() {
+    if (!inputEnded && !released) {
       read();
     }
   }
@@ -378,11 +378,11 @@
   /** Reads what there is, as much as may be at once. */
   private void read() {
     ByteBuffer into;
-    if (deaf) {
+    if (notificationsOff) {
       into = net.buffers().discarded();
-    } else if (stream != null) {
+    } else if (startStreaming != null) {
       into = net.buffers().input();
-      into.limit(Math.min(into.capacity(), stream.room(this)));
+      into.limit(Math.min(into.capacity(), startStreaming.readQuota(this)));
     } else {
       into = buffer.space();
     }
@@ -390,7 +390,7 @@
     try {
       count = channel.read(into);
     } catch (IOException e) {
-      broke();
+      connectionBroken();
       return;
     }
     if (count < 0) {
@@ -401,45 +401,45 @@
   }
 
   private void took(ByteBuffer bytes, int count) {
-    if (deaf) {
+    if (notificationsOff) {
       discarded += count;
-      if (discarded > MOST_DISCARDED) {
+      if (discarded > MAX_DISCARDED_BYTES) {
         release();
       }
-    } else if (stream != null) {
-      stream.came(this, bytes.flip());
+    } else if (startStreaming != null) {
+      startStreaming.received(this, bytes.flip());
     } else {
-      buffer.filled(count);
-      owner.received(this);
+      buffer.advance(count);
+      handler.received(this);
     }
   }
 
   private void inputEnded() {
-    inputOver = true;
+    inputEnded = true;
     if (outputShut) {
       release();
     } else {
       channel.reading(false);
       startLinger();
     }
-    tell(false);
+    notifyEnded(false);
   }
 
   /** The link is broken, as seen by a read, a write or the channel. */
-  private void broke() {
+  private void connectionBroken() {
     if (!released) {
       release();
-      tell(true);
+      notifyEnded(true);
     }
   }
 
-  private void tell(boolean reset) {
-    if (!deaf) {
-      deaf = true;
-      if (stream != null) {
-        stream.ended(this, reset);
+  private void notifyEnded(boolean reset) {
+    if (!notificationsOff) {
+      notificationsOff = true;
+      if (startStreaming != null) {
+        startStreaming.ended(this, reset);
       } else {
-        owner.ended(this, reset);
+        handler.ended(this, reset);
       }
     }
   }
--- a/src/main/java/brassbank/net/Net.java
+++ b/src/main/java/brassbank/net/Net.java
@@ -19,54 +19,54 @@
   private static final Log LOG = Log.of("net");
 
   /** Descriptors kept for discovery's calls, an accept under way and what the runtime opens. */
-  private static final int RESERVE = 12;
+  private static final int RESERVED_DESCRIPTORS = 12;
 
   /** Descriptors that the runtime is taken to hold where they cannot be counted. */
-  private static final int RUNTIME = 44;
+  private static final int DEFAULT_RUNTIME_DESCRIPTORS = 44;
 
-  private static final int LEAST = 8;
+  private static final int MIN_LINKS = 8;
 
   /** What a link reads in one turn, where nothing else is configured. */
-  private static final int TURN = 32 * 1024;
+  private static final int DEFAULT_READ_QUOTA_BYTES = 32 * 1024;
 
   /** What becomes of a connect: exactly one of the two is told, on a later turn. */
-  public interface Connected {
-    void up(Link link);
+  public interface ConnectHandler {
+    void connected(Link link);
 
     void failed(Throwable cause);
   }
 
   private final Network network;
-  private final Loop loop;
+  private final EventLoop loop;
 
   /** In the order of their making, so that a run can be replayed whatever walks through them. */
   private final Set<Link> links = new LinkedHashSet<>();
 
   /** Links of the operators' door, which have descriptors of their own and make nobody wait. */
-  private final Set<Link> apart = new LinkedHashSet<>();
+  private final Set<Link> managementLinks = new LinkedHashSet<>();
 
   /** Descriptors kept back for them. */
-  private int places;
+  private int managementDescriptors;
 
-  private final Buffers buffers = new Buffers(TURN);
+  private final BufferPool buffers = new BufferPool(DEFAULT_READ_QUOTA_BYTES);
 
-  private int runtime = RUNTIME;
-  private int sockets;
-  private int most;
+  private int runtimeDescriptors = DEFAULT_RUNTIME_DESCRIPTORS;
+  private int maxDescriptors;
+  private int maxLinks;
 
   /** Connects under way, each of which holds a descriptor too. */
-  private int connecting;
+  private int pendingConnects;
 
   private Network.Listener listener;
   private boolean accepting = true;
 
   /** False while another process takes the clients. */
-  private boolean open = true;
+  private boolean acceptClients = true;
 
   public Net(int sockets, Network network) {
     this.network = network;
-    loop = new Loop(network.clock());
-    limit(sockets);
+    loop = new EventLoop(network.clock());
+    descriptorLimit(sockets);
   }
 
   public void start() throws IOException {
@@ -75,44 +75,45 @@
 
   /** Takes clients at this address and no other. */
   public void listen(InetSocketAddress address, Consumer<Link> onAccept) throws IOException {
-    listener = network.listen(address, taking(onAccept));
-    opened();
+    listener = network.listen(address, acceptHandler(onAccept));
+    countRuntimeDescriptors();
   }
 
   /**
-   * Takes clients from the listening socket that the program inherited, once {@link #open} says.
+   * Takes clients from the listening socket that the program inherited, once {@link #acceptClients}
+   * says.
    */
   public void inherit(Consumer<Link> onAccept) throws IOException {
-    listener = network.inherit(taking(onAccept));
-    open = false;
+    listener = network.inherit(acceptHandler(onAccept));
+    acceptClients = false;
     accepting = false;
-    opened();
+    countRuntimeDescriptors();
   }
 
-  private Consumer<Channel> taking(Consumer<Link> onAccept) {
+  private Consumer<Channel> acceptHandler(Consumer<Link> onAccept) {
     return channel ->
-        Loop.guarded(
+        EventLoop.runGuarded(
             () -> {
               onAccept.accept(adopt(channel, null));
-              admit();
+              updateAccepting();
             });
   }
 
-  private void opened() {
+  private void countRuntimeDescriptors() {
     int held = network.descriptors();
-    runtime = held < 0 ? RUNTIME : held;
-    limit(sockets);
+    runtimeDescriptors = held < 0 ? DEFAULT_RUNTIME_DESCRIPTORS : held;
+    descriptorLimit(maxDescriptors);
   }
 
   /** Whether clients are taken, as far as there is room. */
-  public void open(boolean on) {
-    open = on;
-    admit();
+  public void acceptClients(boolean on) {
+    acceptClients = on;
+    updateAccepting();
   }
 
   /** Whether clients are taken. */
-  public boolean isOpen() {
-    return open;
+  public boolean isAcceptingClients() {
+    return acceptClients;
   }
 
   /**
@@ -123,29 +124,32 @@
    * @param onAccept gets each new link; where there is one more than that, it ends one at once, or
    *     the oldest ends without a word
    */
-  public void listenApart(InetSocketAddress address, int places, Consumer<Link> onAccept)
+  public void listenManagement(InetSocketAddress address, int places, Consumer<Link> onAccept)
       throws IOException {
-    this.places = places + 1;
+    this.managementDescriptors = places + 1;
     network.listen(
         address,
         true,
         channel ->
-            Loop.guarded(
+            EventLoop.runGuarded(
                 () -> {
                   Link link = new Link(this, channel, null);
-                  apart.add(link);
+                  managementLinks.add(link);
                   onAccept.accept(link);
-                  if (apart.size() > places) {
-                    apart.iterator().next().release();
+                  if (managementLinks.size() > places) {
+                    managementLinks.iterator().next().release();
                   }
                 }));
   }
 
   /** Sets how many descriptors this process may hold. */
-  public void limit(int descriptors) {
-    sockets = descriptors;
-    most = Math.max(LEAST, descriptors - runtime - RESERVE - places);
-    admit();
+  public void descriptorLimit(int descriptors) {
+    maxDescriptors = descriptors;
+    maxLinks =
+        Math.max(
+            MIN_LINKS,
+            descriptors - runtimeDescriptors - RESERVED_DESCRIPTORS - managementDescriptors);
+    updateAccepting();
   }
 
   /**
@@ -154,16 +158,21 @@
    *
    * @param promised descriptors that are promised and not held yet
    */
-  public int needs(int promised) {
-    return runtime + RESERVE + places + used() + promised + LEAST;
+  public int requiredDescriptors(int promised) {
+    return runtimeDescriptors
+        + RESERVED_DESCRIPTORS
+        + managementDescriptors
+        + usedDescriptors()
+        + promised
+        + MIN_LINKS;
   }
 
   /** The memory of all links. */
-  public Buffers buffers() {
+  public BufferPool buffers() {
     return buffers;
   }
 
-  public Loop loop() {
+  public EventLoop loop() {
     return loop;
   }
 
@@ -173,77 +182,77 @@
 
   /** Runs a task on the loop's thread, from any other. */
   public void execute(Runnable task) {
-    network.execute(() -> Loop.guarded(task));
+    network.execute(() -> EventLoop.runGuarded(task));
   }
 
   /** Whether a link that was closed still has something to send, or waits for its peer's end. */
-  public boolean closing() {
+  public boolean hasClosingLinks() {
     return links.stream().anyMatch(Link::isClosing);
   }
 
   /** Whether descriptors run short: a new flow must be refused while there is room to say so. */
-  public boolean full() {
-    return full(0);
+  public boolean isAtCapacity() {
+    return isAtCapacity(0);
   }
 
   /**
-   * As {@link #full()}, with so many descriptors that are promised and not held yet. Nothing is
-   * kept back for refusals where no new clients come.
+   * As {@link #isAtCapacity()}, with so many descriptors that are promised and not held yet.
+   * Nothing is kept back for refusals where no new clients come.
    */
-  public boolean full(int promised) {
-    return used() + promised > most - (open ? most / 8 : 0);
+  public boolean isAtCapacity(int promised) {
+    return usedDescriptors() + promised > maxLinks - (acceptClients ? maxLinks / 8 : 0);
   }
 
   /** How many clients that have said nothing yet there may be. */
-  public int silentRoom() {
-    return Math.max(1, Math.min(most / 4, most - most / 8 - used()));
+  public int maxSilentClients() {
+    return Math.max(1, Math.min(maxLinks / 4, maxLinks - maxLinks / 8 - usedDescriptors()));
   }
 
-  private int used() {
-    return links.size() + connecting;
+  private int usedDescriptors() {
+    return links.size() + pendingConnects;
   }
 
-  private Link adopt(Channel channel, Link.Owner owner) {
+  private Link adopt(Channel channel, Link.LineHandler owner) {
     Link link = new Link(this, channel, owner);
     links.add(link);
     return link;
   }
 
   void released(Link link) {
-    if (!apart.remove(link)) {
+    if (!managementLinks.remove(link)) {
       links.remove(link);
-      admit();
+      updateAccepting();
     }
   }
 
   /** An accept without a descriptor would end the listening socket: the backlog waits instead. */
-  private void admit() {
-    boolean room = used() < most;
-    boolean wanted = room && open;
+  private void updateAccepting() {
+    boolean room = usedDescriptors() < maxLinks;
+    boolean wanted = room && acceptClients;
     if (wanted == accepting || listener == null) {
       return;
     }
     accepting = wanted;
     if (!room) {
-      LOG.warn("descriptors-short", value("open", used()));
+      LOG.warn("descriptors-short", value("open", usedDescriptors()));
     }
     listener.accepting(wanted);
   }
 
   /** Opens a connection of lines; it has a time limit, since a silent machine never answers. */
   public Network.Attempt connect(
-      InetSocketAddress address, long limitMicros, Link.Owner owner, Connected then) {
-    Dial dial =
-        new Dial() {
+      InetSocketAddress address, long limitMicros, Link.LineHandler owner, ConnectHandler then) {
+    TimedConnect dial =
+        new TimedConnect() {
           @Override
           Network.Attempt attempt() {
             return network.connect(
                 address,
-                new Network.Connected() {
+                new Network.ConnectHandler() {
                   @Override
-                  public void up(Channel channel) {
+                  public void connected(Channel channel) {
                     settled();
-                    Loop.guarded(() -> then.up(adopt(channel, owner)));
+                    EventLoop.runGuarded(() -> then.connected(adopt(channel, owner)));
                   }
 
                   @Override
@@ -264,35 +273,35 @@
 
   /** Asks by HTTP, see {@link Network#get}; its connect has a time limit. */
   public Network.Attempt get(
-      InetSocketAddress address, String path, long connectMicros, Network.Answer answer) {
-    Dial dial =
-        new Dial() {
+      InetSocketAddress address, String path, long connectMicros, Network.ResponseHandler answer) {
+    TimedConnect dial =
+        new TimedConnect() {
           @Override
           Network.Attempt attempt() {
             return network.get(
                 address,
                 path,
-                new Network.Answer() {
+                new Network.ResponseHandler() {
                   @Override
                   public void connected() {
                     settled();
-                    Loop.guarded(answer::connected);
+                    EventLoop.runGuarded(answer::connected);
                   }
 
                   @Override
-                  public void begun(int status) {
-                    Loop.guarded(() -> answer.begun(status));
+                  public void statusReceived(int status) {
+                    EventLoop.runGuarded(() -> answer.statusReceived(status));
                   }
 
                   @Override
-                  public void content(int status, ByteBuffer bytes, boolean last) {
-                    Loop.guarded(() -> answer.content(status, bytes, last));
+                  public void contentReceived(int status, ByteBuffer bytes, boolean last) {
+                    EventLoop.runGuarded(() -> answer.contentReceived(status, bytes, last));
                   }
 
                   @Override
                   public void failed(String why) {
                     settled();
-                    Loop.guarded(() -> answer.failed(why));
+                    EventLoop.runGuarded(() -> answer.failed(why));
                   }
                 });
           }
@@ -310,16 +319,16 @@
    * Takes datagrams, see {@link Network#datagrams}. The one descriptor comes out of those that are
    * kept for the runtime: no client waits for it.
    */
-  public Network.Datagrams datagrams(InetSocketAddress address, Network.Heard heard)
+  public Network.Datagrams datagrams(InetSocketAddress address, Network.DatagramHandler heard)
       throws IOException {
     return network.datagrams(
-        address, (from, bytes) -> Loop.guarded(() -> heard.heard(from, bytes)));
+        address, (from, bytes) -> EventLoop.runGuarded(() -> heard.received(from, bytes)));
   }
 
   /** A connect within its time limit; it counts as a descriptor until it is settled. */
-  private abstract class Dial implements Network.Attempt {
+  private abstract class TimedConnect implements Network.Attempt {
     private Network.Attempt attempt;
-    private Loop.Timer limit;
+    private EventLoop.Timer limit;
     private boolean settled;
 
     abstract Network.Attempt attempt();
@@ -327,8 +336,8 @@
     abstract void failed(Throwable cause);
 
     void start(long limitMicros) {
-      connecting++;
-      limit = loop.after(limitMicros, () -> lost(new IOException("not up in time")));
+      pendingConnects++;
+      limit = loop.schedule(limitMicros, () -> lost(new IOException("not up in time")));
       attempt = attempt();
     }
 
@@ -337,13 +346,13 @@
       if (!settled) {
         settled = true;
         limit.cancel();
-        connecting--;
+        pendingConnects--;
       }
     }
 
     void lost(Throwable cause) {
       cancel();
-      Loop.guarded(() -> failed(cause));
+      EventLoop.runGuarded(() -> failed(cause));
     }
 
     @Override
--- a/src/main/java/brassbank/net/Network.java
+++ b/src/main/java/brassbank/net/Network.java
@@ -23,9 +23,9 @@
   }
 
   /** What becomes of a connect; exactly one of the two is told, on a later turn. */
-  interface Connected {
+  interface ConnectHandler {
     /** The channel is the callee's, who sets its handler before it returns. */
-    void up(Channel channel);
+    void connected(Channel channel);
 
     /** The connect was refused or came to nothing; its descriptor is free. */
     void failed(IOException cause);
@@ -47,22 +47,22 @@
   }
 
   /** Who is told of datagrams, each on a turn of the loop. */
-  interface Heard {
+  interface DatagramHandler {
     /**
      * One has come, whole as it was sent.
      *
      * @param from where an answer goes
      */
-    void heard(InetSocketAddress from, byte[] bytes);
+    void received(InetSocketAddress from, byte[] bytes);
   }
 
   /** What comes of an HTTP call, on later turns each. */
-  interface Answer {
+  interface ResponseHandler {
     /** The connection is up and the call is being sent. */
     void connected();
 
     /** The answer has begun: its head has come, and content may follow at any time. */
-    void begun(int status);
+    void statusReceived(int status);
 
     /**
      * A part of the answer's content, in order and without any transfer coding; the bytes are valid
@@ -70,17 +70,17 @@
      *
      * @param last the answer is whole with these bytes; nothing is told after it
      */
-    void content(int status, ByteBuffer bytes, boolean last);
+    void contentReceived(int status, ByteBuffer bytes, boolean last);
 
     /** The call has come to nothing or has broken off; told once, and nothing after it. */
     void failed(String why);
   }
 
   /**
-   * Begins to turn. From here on the implementation runs {@link Loop#runDue} whenever {@link
-   * Loop#nextDue} has come.
+   * Begins to turn. From here on the implementation runs {@link EventLoop#runDueTimers} whenever
+   * {@link EventLoop#nextDeadlineNanos} has come.
    */
-  void start(Loop loop) throws IOException;
+  void start(EventLoop loop) throws IOException;
 
   /**
    * Takes connections at this address and no other; the callee sets each channel's handler.
@@ -102,17 +102,17 @@
    * It is off from the start, and is never closed: other processes hold it too, and what waits in
    * its queue is theirs as well.
    *
-   * @throws InheritanceException where descriptor 0 is no listening socket
+   * @throws InheritedSocketException where descriptor 0 is no listening socket
    */
   default Listener inherit(Consumer<Channel> accepted) throws IOException {
-    throw new InheritanceException("no listening socket is inherited");
+    throw new InheritedSocketException("no listening socket is inherited");
   }
 
   /**
    * Opens a connection. There is no time limit but the kernel's, which is minutes: whoever asks
    * sets one by a timer.
    */
-  Attempt connect(InetSocketAddress address, Connected then);
+  Attempt connect(InetSocketAddress address, ConnectHandler then);
 
   /**
    * Asks by HTTP/1.1 for JSON, on a connection of its own. There is no time limit, as with {@link
@@ -121,14 +121,14 @@
    *
    * @param path path and query, as they stand in the request line
    */
-  Attempt get(InetSocketAddress address, String path, Answer answer);
+  Attempt get(InetSocketAddress address, String path, ResponseHandler answer);
 
   /**
    * Takes datagrams at this address and no other; for the loop's thread, after {@link #start}.
    *
    * @throws IOException where the address cannot be had
    */
-  default Datagrams datagrams(InetSocketAddress address, Heard heard) throws IOException {
+  default Datagrams datagrams(InetSocketAddress address, DatagramHandler heard) throws IOException {
     throw new IOException("this network carries no datagrams");
   }
 
--- a/src/main/java/brassbank/net/Outbox.java
+++ b/src/main/java/brassbank/net/SendQueue.java
@@ -10,18 +10,18 @@
  * it needs, is compacted in place, and is given back when it is empty. It is bounded by those who
  * fill it: they stop reading the other side while much waits here.
  */
-final class Outbox {
+final class SendQueue {
   /** What runs once the bytes up to here, counted from the first ever, are with the kernel. */
-  private record Mark(long upTo, Runnable written) {}
+  private record WriteCallback(long upTo, Runnable written) {}
 
-  private final Buffers buffers;
+  private final BufferPool buffers;
   private byte[] data;
   private int start;
   private int end;
-  private long taken;
-  private Deque<Mark> marks;
+  private long writtenBytes;
+  private Deque<WriteCallback> callbacks;
 
-  Outbox(Buffers buffers) {
+  SendQueue(BufferPool buffers) {
     this.buffers = buffers;
   }
 
@@ -41,21 +41,21 @@
       return;
     }
     if (data == null || data.length - end < more) {
-      makeRoom(size() + more);
+      ensureCapacity(size() + more);
     }
     bytes.get(data, end, more);
     end += more;
   }
 
-  private void makeRoom(int needed) {
+  private void ensureCapacity(int needed) {
     byte[] old = data;
     if (data == null || data.length < needed) {
-      data = buffers.lend(needed);
+      data = buffers.lease(needed);
     }
     if (old != null) {
       System.arraycopy(old, start, data, 0, size());
       if (old != data) {
-        buffers.giveBack(old);
+        buffers.release(old);
       }
     }
     end = size();
@@ -63,11 +63,11 @@
   }
 
   /** Runs the task once all that waits now is with the kernel. */
-  void whenTaken(Runnable task) {
-    if (marks == null) {
-      marks = new ArrayDeque<>(2);
+  void whenWritten(Runnable task) {
+    if (callbacks == null) {
+      callbacks = new ArrayDeque<>(2);
     }
-    marks.add(new Mark(taken + size(), task));
+    callbacks.add(new WriteCallback(writtenBytes + size(), task));
   }
 
   /** Writes as much as the channel takes, and returns how many bytes that was. */
@@ -77,7 +77,7 @@
     }
     int count = channel.write(ByteBuffer.wrap(data, start, size()));
     start += count;
-    taken += count;
+    writtenBytes += count;
     if (isEmpty()) {
       clear();
     }
@@ -85,16 +85,16 @@
   }
 
   /** Runs what was to run once the bytes were taken that now are. What runs may add more. */
-  void runTaken() {
-    while (marks != null && !marks.isEmpty() && marks.peek().upTo <= taken) {
-      marks.poll().written.run();
+  void runWrittenCallbacks() {
+    while (callbacks != null && !callbacks.isEmpty() && callbacks.peek().upTo <= writtenBytes) {
+      callbacks.poll().written.run();
     }
   }
 
   /** Throws away what waits, and gives the buffer back. */
   void clear() {
     if (data != null) {
-      buffers.giveBack(data);
+      buffers.release(data);
       data = null;
     }
     start = 0;
--- a/src/main/java/brassbank/proxy/Member.java
+++ b/src/main/java/brassbank/proxy/Member.java
@@ -25,7 +25,7 @@
             joining.at(config.listen()),
             config.name(),
             config.settings().zone() == null ? "" : config.settings().zone(),
-            new Randomness(config.seed()).part("fleet of " + config.name()),
+            new Randomness(config.seed()).stream("fleet of " + config.name()),
             () -> activity(decider),
             joining.shares() ? sharer(config, decider, dispatcher) : null);
     if (joining.subsets()) {
--- a/src/main/java/brassbank/proxy/Operation.java
+++ b/src/main/java/brassbank/proxy/Operation.java
@@ -32,7 +32,7 @@
   /** Of this process: one that another has succeeded takes no clients. */
   @Override
   public Answer status() {
-    return answer(net.isOpen() && decider.admits());
+    return answer(net.isAcceptingClients() && decider.admits());
   }
 
   @Override
--- a/src/main/java/brassbank/proxy/Peers.java
+++ b/src/main/java/brassbank/proxy/Peers.java
@@ -38,7 +38,7 @@
   void changed() {
     if (!due) {
       due = true;
-      net.loop().after(MOMENT, this::tell);
+      net.loop().schedule(MOMENT, this::tell);
     }
   }
 
--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -100,10 +100,10 @@
     settings = config.settings();
     clock = new FlowClock(network.clock());
     made = clock.now();
-    share = new DescriptorShare(config.sockets(), config.handover() != null);
+    share = new DescriptorShare(config.descriptorLimit(), config.handover() != null);
     net = new Net(share.limit(), network);
     relay = new Relay(net, limits);
-    decider = new Decider(config.settings(), config.seed(), config.known(), clock);
+    decider = new Decider(config.settings(), config.seed(), config.knownTargets(), clock);
     dispatcher =
         new Dispatcher(
             decider,
@@ -118,9 +118,9 @@
         new Discovery(
             net,
             config.discovery(),
-            config.known().index(),
+            config.knownTargets().index(),
             dispatcher,
-            new Randomness(config.seed()).part("discovery of " + config.name()));
+            new Randomness(config.seed()).stream("discovery of " + config.name()));
     fleet = joining == null ? null : new Member(config, decider, dispatcher, net, joining).fleet();
   }
 
@@ -145,7 +145,7 @@
           if (fleet != null && config.handover() == null) {
             fleet.open();
           }
-          if (net.isOpen()) {
+          if (net.isAcceptingClients()) {
             dispatcher.report(new Happening.Serving());
           }
         });
@@ -174,12 +174,12 @@
   public void accept(boolean on, Runnable done) {
     net.execute(
         () -> {
-          share.needs(on, net.needs(dispatcher.waiting()));
-          net.limit(share.limit());
+          share.needs(on, net.requiredDescriptors(dispatcher.waiting()));
+          net.descriptorLimit(share.limit());
           if (on) {
             front.opened(first);
           }
-          net.open(on);
+          net.acceptClients(on);
           if (fleet != null && on) {
             fleet.open();
           } else if (fleet != null) {
@@ -227,8 +227,8 @@
   public void holds(Consumer<Holding> told) {
     net.execute(
         () -> {
-          share.needs(net.isOpen(), net.needs(dispatcher.waiting()));
-          net.limit(share.limit());
+          share.needs(net.isAcceptingClients(), net.requiredDescriptors(dispatcher.waiting()));
+          net.descriptorLimit(share.limit());
           told.accept(
               new Holding(
                   share.limit(),
@@ -244,9 +244,11 @@
     net.execute(
         () -> {
           share.predecessor(number, holding.descriptors());
-          net.limit(share.limit());
+          net.descriptorLimit(share.limit());
           // A process that already serves hears its operators itself.
-          standby = !net.isOpen() && (holding.standby() || (standby && holding.descriptors() == 0));
+          standby =
+              !net.isAcceptingClients()
+                  && (holding.standby() || (standby && holding.descriptors() == 0));
           front.elsewhere(number, holding.ids());
           dispatcher.report(
               new Happening.Predecessor(number, holding.targets(), holding.standing()));
@@ -270,8 +272,8 @@
   public void reload(Config next, RelayLimits limits, Joining joining) {
     net.execute(
         () -> {
-          share.sockets(next.sockets());
-          net.limit(share.limit());
+          share.sockets(next.descriptorLimit());
+          net.descriptorLimit(share.limit());
           relay.configure(limits);
           settings = next.settings();
           dispatcher.settings(
@@ -311,7 +313,7 @@
     net.execute(
         () -> {
           dispatcher.report(new Happening.Stopping(start + left));
-          net.loop().after(left - KILL_MARGIN - LAST_RESETS, this::abandon);
+          net.loop().schedule(left - KILL_MARGIN - LAST_RESETS, this::abandon);
           awaitEmpty(
               start,
               0,
@@ -324,7 +326,7 @@
   }
 
   private void abandon() {
-    relay.abandon();
+    relay.resetPending();
     goodbye();
   }
 
@@ -340,7 +342,9 @@
   }
 
   private boolean idle(long start) {
-    return decider.open() == 0 && !relay.owes() && clock.now() - start >= STILL_COMING;
+    return decider.open() == 0
+        && !relay.hasPendingClientData()
+        && clock.now() - start >= STILL_COMING;
   }
 
   /** Empty is a proxy with no flow left, whose clients have seen the end or had time to. */
@@ -350,11 +354,11 @@
       front.dismiss();
     }
     boolean over = idle(start);
-    if (over && (!net.closing() || emptyFor >= LAST_WORDS)) {
+    if (over && (!net.hasClosingLinks() || emptyFor >= LAST_WORDS)) {
       empty.run();
     } else {
       long next = over ? emptyFor + LOOK_AGAIN : 0;
-      net.loop().after(LOOK_AGAIN, () -> awaitEmpty(start, next, empty));
+      net.loop().schedule(LOOK_AGAIN, () -> awaitEmpty(start, next, empty));
     }
   }
 }
--- a/src/main/java/brassbank/relay/ClientLines.java
+++ b/src/main/java/brassbank/relay/ClientLineTracker.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** The lines of a client: all that matters is whether one has ended, and whether one has begun. */
-final class ClientLines {
+final class ClientLineTracker {
   private boolean inLine;
 
   /** Follows the bytes; true where a line ends within them. */
--- a/src/main/java/brassbank/relay/HostLines.java
+++ b/src/main/java/brassbank/relay/HostLineParser.java
@@ -9,27 +9,27 @@
  * {@code BYE}, {@code MOVE}, and all others, which are answers. A line longer than the protocol
  * allows is passed on like any other and means nothing.
  */
-final class HostLines {
+final class HostLineParser {
   /** Of a line that comes in pieces so many bytes are kept: a word and a figure. */
-  private static final int KEPT = 64;
+  private static final int MAX_HEAD_BYTES = 64;
 
   /** Who is told what lines say, in their order. */
-  interface Told {
+  interface Listener {
     /** The host tells a load; the text after the word. */
-    void load(String text);
+    void loadReported(String text);
 
     /** The host has served the session to its end. */
-    void bye();
+    void byeReceived();
 
     /** The host sends its client away. */
-    void moving();
+    void moveReceived();
 
     /** Any other line. */
-    void answer();
+    void responseReceived();
   }
 
-  private final Feeds feeds;
-  private final Told told;
+  private final LineFeedScanner feeds;
+  private final Listener listener;
 
   /** Bytes of the line that has begun. */
   private int length;
@@ -37,9 +37,9 @@
   /** Its first bytes, where it may be more than an answer. */
   private byte[] head;
 
-  HostLines(Feeds feeds, Told told) {
+  HostLineParser(LineFeedScanner feeds, Listener told) {
     this.feeds = feeds;
-    this.told = told;
+    this.listener = told;
   }
 
   /** Follows the bytes; true where a line ends within them. */
@@ -47,17 +47,17 @@
     if (from == to) {
       return false;
     }
-    feeds.look(bytes, from, to);
+    feeds.reset(bytes, from, to);
     int start = from;
     int feed = feeds.next(start);
     boolean ended = feed >= 0;
     while (feed >= 0) {
-      ended(bytes, start, feed);
+      lineEnded(bytes, start, feed);
       start = feed + 1;
       feed = start < to ? feeds.next(start) : -1;
     }
     if (start < to) {
-      begun(bytes, start, to);
+      lineContinued(bytes, start, to);
     }
     return ended;
   }
@@ -68,49 +68,50 @@
   }
 
   /** Whether the line that has begun is longer than the protocol allows. */
-  boolean overlong() {
-    return length > Link.LONGEST_LINE;
+  boolean isOverlong() {
+    return length > Link.MAX_LINE_BYTES;
   }
 
-  private void begun(ByteBuffer bytes, int from, int to) {
-    if (length == 0 && mayMatter(bytes.get(from))) {
-      head = new byte[KEPT];
+  private void lineContinued(ByteBuffer bytes, int from, int to) {
+    if (length == 0 && mayBeKeyword(bytes.get(from))) {
+      head = new byte[MAX_HEAD_BYTES];
     }
-    if (head != null && length < KEPT) {
-      bytes.get(from, head, length, Math.min(KEPT - length, to - from));
+    if (head != null && length < MAX_HEAD_BYTES) {
+      bytes.get(from, head, length, Math.min(MAX_HEAD_BYTES - length, to - from));
     }
     // Beyond what any line may have, only that it is beyond counts.
     length = (int) Math.min(Integer.MAX_VALUE, (long) length + to - from);
   }
 
-  private void ended(ByteBuffer bytes, int from, int feed) {
+  private void lineEnded(ByteBuffer bytes, int from, int feed) {
     int end = feed > from && bytes.get(feed - 1) == '\r' ? feed - 1 : feed;
     if (length == 0) {
-      if (end - from > Link.LONGEST_LINE) {
+      if (end - from > Link.MAX_LINE_BYTES) {
         return;
       }
-      if (end == from || !mayMatter(bytes.get(from))) {
-        told.answer();
+      if (end == from || !mayBeKeyword(bytes.get(from))) {
+        listener.responseReceived();
       } else {
-        tell(text(bytes, from, Math.min(end, from + KEPT)));
+        dispatch(text(bytes, from, Math.min(end, from + MAX_HEAD_BYTES)));
       }
       return;
     }
-    boolean whole = (long) length + feed - from <= Link.LONGEST_LINE;
+    boolean whole = (long) length + feed - from <= Link.MAX_LINE_BYTES;
     if (head != null) {
-      begun(bytes, from, feed);
-      String text = new String(head, 0, Math.min(KEPT, length), StandardCharsets.ISO_8859_1);
+      lineContinued(bytes, from, feed);
+      String text =
+          new String(head, 0, Math.min(MAX_HEAD_BYTES, length), StandardCharsets.ISO_8859_1);
       if (whole) {
-        tell(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
+        dispatch(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
       }
     } else if (whole) {
-      told.answer();
+      listener.responseReceived();
     }
     head = null;
     length = 0;
   }
 
-  private static boolean mayMatter(byte first) {
+  private static boolean mayBeKeyword(byte first) {
     return first == 'L' || first == 'B' || first == 'M';
   }
 
@@ -120,13 +121,13 @@
     return new String(text, StandardCharsets.ISO_8859_1);
   }
 
-  private void tell(String line) {
+  private void dispatch(String line) {
     int space = line.indexOf(' ');
     switch (space < 0 ? line : line.substring(0, space)) {
-      case "LOAD" -> told.load(space < 0 ? "" : line.substring(space + 1));
-      case "BYE" -> told.bye();
-      case "MOVE" -> told.moving();
-      default -> told.answer();
+      case "LOAD" -> listener.loadReported(space < 0 ? "" : line.substring(space + 1));
+      case "BYE" -> listener.byeReceived();
+      case "MOVE" -> listener.moveReceived();
+      default -> listener.responseReceived();
     }
   }
 }
--- a/src/main/java/brassbank/relay/Feeds.java
+++ b/src/main/java/brassbank/relay/LineFeedScanner.java
@@ -13,10 +13,10 @@
  * an array well, and one over a direct buffer badly: 0.5 ns a byte here, 1.5 by the buffer's words
  * and 8 by its bytes (docs/relay.md). One object serves all sessions in turn.
  */
-final class Feeds {
-  private static final long FEEDS = 0x0a0a0a0a0a0a0a0aL;
-  private static final long LOW = 0x7f7f7f7f7f7f7f7fL;
-  private static final long HIGH = ~LOW;
+final class LineFeedScanner {
+  private static final long FEED_PATTERN = 0x0a0a0a0a0a0a0a0aL;
+  private static final long LOW_BITS = 0x7f7f7f7f7f7f7f7fL;
+  private static final long HIGH_BITS = ~LOW_BITS;
 
   /** Words that are looked at together where no line feed is near. */
   private static final int STRIDE = 4;
@@ -26,21 +26,21 @@
    * compiler writes a constant of eight bytes into every instruction that uses it, and keeps a
    * variable in a register.
    */
-  private long feeds = FEEDS;
+  private long feedPattern = FEED_PATTERN;
 
-  private long ones = 0x0101010101010101L;
+  private long onePattern = 0x0101010101010101L;
 
   private long[] words = new long[0];
   private int from;
   private int to;
 
   /** The buffer that most pieces come in, and its words. */
-  private ByteBuffer usual;
+  private ByteBuffer lastBuffer;
 
-  private LongBuffer usualWords;
+  private LongBuffer lastBufferWords;
 
   /** Looks at these bytes from here on, in which places are the buffer's own. */
-  void look(ByteBuffer bytes, int start, int end) {
+  void reset(ByteBuffer bytes, int start, int end) {
     from = start;
     to = end;
     int count = (end - start + Long.BYTES - 1) / Long.BYTES;
@@ -48,11 +48,11 @@
       words = new long[count];
     }
     if (bytes.isDirect() && start == 0 && bytes.capacity() % Long.BYTES == 0) {
-      if (bytes != usual) {
-        usual = bytes;
-        usualWords = bytes.duplicate().clear().order(ByteOrder.LITTLE_ENDIAN).asLongBuffer();
+      if (bytes != lastBuffer) {
+        lastBuffer = bytes;
+        lastBufferWords = bytes.duplicate().clear().order(ByteOrder.LITTLE_ENDIAN).asLongBuffer();
       }
-      usualWords.get(0, words, 0, count);
+      lastBufferWords.get(0, words, 0, count);
       return;
     }
     for (int i = 0; i < count; i++) {
@@ -74,10 +74,10 @@
       return -1;
     }
     // What stands before the place in its word does not count.
-    long hits = hits(words[word]) & -1L << (at % Long.BYTES * Byte.SIZE);
+    long hits = lineFeedBits(words[word]) & -1L << (at % Long.BYTES * Byte.SIZE);
     if (hits == 0) {
-      for (word = skipped(word + 1, count); word < count && hits == 0; word++) {
-        hits = hits(words[word]);
+      for (word = skipWithoutLineFeed(word + 1, count); word < count && hits == 0; word++) {
+        hits = lineFeedBits(words[word]);
       }
       if (hits == 0) {
         return -1;
@@ -89,19 +89,19 @@
   }
 
   /** The highest bit of each byte that is a line feed, and no others. */
-  private static long hits(long word) {
-    long zeros = word ^ FEEDS;
-    return ~(((zeros & LOW) + LOW) | zeros | LOW);
+  private static long lineFeedBits(long word) {
+    long zeros = word ^ FEED_PATTERN;
+    return ~(((zeros & LOW_BITS) + LOW_BITS) | zeros | LOW_BITS);
   }
 
   /**
    * Leaves out words without a line feed, several at a time. A word x has a byte of zero exactly
    * where {@code (x - 0x01..01) & ~x & 0x80..80} is not zero (the same book, 6-1).
    */
-  private int skipped(int first, int count) {
+  private int skipWithoutLineFeed(int first, int count) {
     long[] in = words;
-    long feed = feeds;
-    long one = ones;
+    long feed = feedPattern;
+    long one = onePattern;
     int i = first;
     for (; i <= count - STRIDE; i += STRIDE) {
       long a = in[i] ^ feed;
@@ -109,7 +109,7 @@
       long c = in[i + 2] ^ feed;
       long d = in[i + 3] ^ feed;
       long hits = (a - one & ~a) | (b - one & ~b) | (c - one & ~c) | (d - one & ~d);
-      if ((hits & HIGH) != 0) {
+      if ((hits & HIGH_BITS) != 0) {
         return i;
       }
     }
--- a/src/main/java/brassbank/relay/Relay.java
+++ b/src/main/java/brassbank/relay/Relay.java
@@ -4,12 +4,12 @@
 import static brassbank.log.Field.value;
 
 import brassbank.log.Log;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
+import brassbank.relay.limits.DisconnectDecision;
 import brassbank.relay.limits.PeerLimits;
 import brassbank.relay.limits.RelayLimits;
-import brassbank.relay.limits.Verdict;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -22,53 +22,56 @@
 
   private final Net net;
   private final PeerLimits limits;
-  private final Feeds feeds = new Feeds();
+  private final LineFeedScanner lineFeeds = new LineFeedScanner();
 
   /** Sessions whose links are not both given back, by the flow's number. */
-  private final Map<Long, Pair> pairs = new LinkedHashMap<>();
+  private final Map<Long, RelayedSession> sessions = new LinkedHashMap<>();
 
-  private Loop.Timer judging;
+  private EventLoop.Timer evaluationTimer;
 
   public Relay(Net net, RelayLimits limits) {
     this.net = net;
     this.limits = new PeerLimits(limits);
-    net.buffers().turn(limits.turn());
+    net.buffers().readQuota(limits.readQuotaBytes());
   }
 
   /** Other limits hold from here on, for the sessions that stand as well. */
   public void configure(RelayLimits next) {
     limits.configure(next);
-    net.buffers().turn(next.turn());
-    judge();
+    net.buffers().readQuota(next.readQuotaBytes());
+    evaluate();
   }
 
   /**
-   * Two links become one session, which {@link Pair#start} begins.
+   * Two links become one session, which {@link RelayedSession#start} begins.
    *
    * @param flow its number, which no other open session has
    * @param practice whose budget it counts to, or null
    */
-  public Pair pair(long flow, String practice, Link client, Link target, Watcher watcher) {
-    Pair pair =
-        new Pair(
+  public RelayedSession openSession(
+      long flow, String practice, Link client, Link target, SessionObserver watcher) {
+    RelayedSession pair =
+        new RelayedSession(
             this, limits.open(flow, practice == null ? "" : practice), client, target, watcher);
-    pairs.put(flow, pair);
+    sessions.put(flow, pair);
     return pair;
   }
 
   /** Whether a client is still owed bytes, or a last line behind a line that is on its way. */
-  public boolean owes() {
-    return pairs.values().stream().anyMatch(Pair::owes);
+  public boolean hasPendingClientData() {
+    return sessions.values().stream().anyMatch(RelayedSession::hasPendingClientData);
   }
 
   /** The program ends: whoever is still owed something must not take that for a proper end. */
-  public void abandon() {
-    List.copyOf(pairs.values()).stream().filter(Pair::owes).forEach(Pair::abandon);
+  public void resetPending() {
+    List.copyOf(sessions.values()).stream()
+        .filter(RelayedSession::hasPendingClientData)
+        .forEach(RelayedSession::reset);
   }
 
   /** Both links of a session are given back. */
-  void over(Pair pair) {
-    pairs.remove(pair.peers().id());
+  void closed(RelayedSession pair) {
+    sessions.remove(pair.peers().id());
     limits.close(pair.peers());
   }
 
@@ -76,11 +79,11 @@
     return limits;
   }
 
-  Feeds feeds() {
-    return feeds;
+  LineFeedScanner lineFeeds() {
+    return lineFeeds;
   }
 
-  Loop loop() {
+  EventLoop loop() {
     return net.loop();
   }
 
@@ -89,60 +92,60 @@
   }
 
   /** Microseconds for the limits. */
-  long now() {
+  long nowMicros() {
     return TimeUnit.NANOSECONDS.toMicros(net.clock().nanos());
   }
 
   /** Something waits, or has begun, that may one day be too much. */
-  void watch() {
-    long period = limits.period();
-    if (judging == null && period >= 0) {
-      judging = net.loop().after(period, this::judge);
+  void scheduleEvaluation() {
+    long period = limits.evaluationDelayMicros();
+    if (evaluationTimer == null && period >= 0) {
+      evaluationTimer = net.loop().schedule(period, this::evaluate);
     }
   }
 
   /** A budget is broken: who pays for it is decided next. */
-  void hurry() {
-    if (judging != null) {
-      judging.cancel();
+  void evaluateSoon() {
+    if (evaluationTimer != null) {
+      evaluationTimer.cancel();
     }
-    judging = net.loop().after(0, this::judge);
+    evaluationTimer = net.loop().schedule(0, this::evaluate);
   }
 
-  private void judge() {
-    if (judging != null) {
-      judging.cancel();
-      judging = null;
+  private void evaluate() {
+    if (evaluationTimer != null) {
+      evaluationTimer.cancel();
+      evaluationTimer = null;
     }
-    List<Verdict> verdicts = limits.judge(now());
-    for (Verdict verdict : verdicts) {
-      Pair pair = pairs.get(verdict.session().id());
-      tell(verdict);
-      pair.giveUp(verdict);
+    List<DisconnectDecision> verdicts = limits.evaluate(nowMicros());
+    for (DisconnectDecision verdict : verdicts) {
+      RelayedSession pair = sessions.get(verdict.session().id());
+      logDecision(verdict);
+      pair.disconnect(verdict);
     }
     if (!verdicts.isEmpty()) {
       LOG.warn(
           "slow-peers",
           value("given_up", verdicts.size()),
-          value("waiting", limits.waiting()),
+          value("waiting", limits.queuedBytes()),
           value("sessions", limits.sessions()));
     }
-    watch();
+    scheduleEvaluation();
   }
 
-  private static void tell(Verdict verdict) {
+  private static void logDecision(DisconnectDecision verdict) {
     LOG.info(
         "slow-peer",
         flow(verdict.session().id()),
         value("practice", verdict.session().practice()),
-        value("side", named(verdict.side())),
-        value("reason", named(verdict.reason())),
-        value("at_once", verdict.atOnce()),
-        value("waiting", verdict.waiting()),
+        value("side", logName(verdict.side())),
+        value("reason", logName(verdict.reason())),
+        value("at_once", verdict.immediate()),
+        value("waiting", verdict.queuedBytes()),
         value("age_ms", TimeUnit.MICROSECONDS.toMillis(verdict.ageMicros())));
   }
 
-  private static String named(Enum<?> constant) {
+  private static String logName(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 }
--- a/src/main/java/brassbank/relay/Pair.java
+++ b/src/main/java/brassbank/relay/RelayedSession.java
@@ -1,11 +1,11 @@
 package brassbank.relay;
 
 import brassbank.net.Link;
+import brassbank.relay.limits.DisconnectDecision;
 import brassbank.relay.limits.PeerLimits;
 import brassbank.relay.limits.SessionPeers;
 import brassbank.relay.limits.Side;
 import brassbank.relay.limits.SideLimits;
-import brassbank.relay.limits.Verdict;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 
@@ -16,9 +16,9 @@
  * reset resets both, and where one side ends its sending, the last lines of the other still pass
  * while the links linger.
  */
-public final class Pair implements Link.Stream, HostLines.Told {
+public final class RelayedSession implements Link.StreamHandler, HostLineParser.Listener {
   /** A farewell waits this long for the end of a line that is on its way. */
-  private static final long LINE_WAIT_MICROS = 500_000;
+  private static final long LINE_END_TIMEOUT_MICROS = 500_000;
 
   /** After a farewell a link lives this long at most, where no slow peer was given up. */
   private static final long LINGER_MICROS = 1_000_000;
@@ -28,35 +28,36 @@
   private final SessionPeers peers;
   private final Link client;
   private final Link target;
-  private final Watcher watcher;
-  private final ClientLines clientLines = new ClientLines();
-  private final HostLines hostLines;
+  private final SessionObserver observer;
+  private final ClientLineTracker clientLines = new ClientLineTracker();
+  private final HostLineParser hostLines;
   private int released;
 
   /** A line of the client's is unanswered. */
-  private boolean asked;
+  private boolean requestPending;
 
-  private String farewell;
-  private Runnable gone;
-  private long farewellMicros = LINGER_MICROS;
+  private String sendFinalLine;
+  private Runnable onClosed;
+  private long finalLineLimitMicros = LINGER_MICROS;
 
   /** The target does not read any longer: it is not waited for. */
-  private boolean targetLost;
+  private boolean targetUnresponsive;
 
   /** Nothing is told any longer: one side has ended its sending, or was given up. */
   private boolean ending;
 
   /** Nothing passes any longer. */
-  private boolean over;
+  private boolean closed;
 
-  Pair(Relay relay, SessionPeers peers, Link client, Link target, Watcher watcher) {
+  RelayedSession(
+      Relay relay, SessionPeers peers, Link client, Link target, SessionObserver watcher) {
     this.relay = relay;
     this.limits = relay.limits();
-    this.hostLines = new HostLines(relay.feeds(), this);
+    this.hostLines = new HostLineParser(relay.lineFeeds(), this);
     this.peers = peers;
     this.client = client;
     this.target = target;
-    this.watcher = watcher;
+    this.observer = watcher;
   }
 
   SessionPeers peers() {
@@ -65,21 +66,21 @@
 
   /** Takes both links over, with what has come on them after the lines taken so far. */
   public void start() {
-    bound(client, limits.limits().client());
-    bound(target, limits.limits().target());
-    ByteBuffer fromTarget = target.stream(this).order(ByteOrder.LITTLE_ENDIAN);
-    ByteBuffer fromClient = client.stream(this).order(ByteOrder.LITTLE_ENDIAN);
-    came(target, fromTarget);
-    came(client, fromClient);
+    applyKernelBuffer(client, limits.limits().client());
+    applyKernelBuffer(target, limits.limits().target());
+    ByteBuffer fromTarget = target.startStreaming(this).order(ByteOrder.LITTLE_ENDIAN);
+    ByteBuffer fromClient = client.startStreaming(this).order(ByteOrder.LITTLE_ENDIAN);
+    received(target, fromTarget);
+    received(client, fromClient);
     // The first line to a client that has just been reset breaks its link before it is ours.
     if (!client.isOpen()) {
       ended(client, true);
     }
   }
 
-  private static void bound(Link link, SideLimits side) {
-    if (side.kernelBuffer() > 0) {
-      link.sendBuffer(side.kernelBuffer());
+  private static void applyKernelBuffer(Link link, SideLimits side) {
+    if (side.kernelBufferBytes() > 0) {
+      link.sendBuffer(side.kernelBufferBytes());
     }
   }
 
@@ -92,41 +93,44 @@
   }
 
   @Override
-  public int room(Link link) {
-    return limits.limits().turn();
+  public int readQuota(Link link) {
+    return limits.limits().readQuotaBytes();
   }
 
   @Override
-  public void came(Link from, ByteBuffer bytes) {
-    if (over || !bytes.hasRemaining()) {
+  public void received(Link from, ByteBuffer bytes) {
+    if (closed || !bytes.hasRemaining()) {
       return;
     }
     int start = bytes.position();
     int end = bytes.limit();
     boolean toClient = from == target;
-    if (toClient && farewell != null) {
+    if (toClient && sendFinalLine != null) {
       // The line that the farewell waits for ends here; what is behind it is left out.
-      relay.feeds().look(bytes, start, end);
-      int feed = relay.feeds().next(start);
+      relay.lineFeeds().reset(bytes, start, end);
+      int feed = relay.lineFeeds().next(start);
       end = feed < 0 ? end : feed + 1;
       bytes.limit(end);
     }
     Link to = other(from);
     to.send(bytes);
-    if (over) {
+    if (closed) {
       return;
     }
-    if (limits.full(peers, side(to)) && !(toClient && farewell != null)) {
+    if (limits.isFull(peers, side(to)) && !(toClient && sendFinalLine != null)) {
       from.pause();
     }
-    follow(from, bytes, start, end);
-    if (!over && toClient && farewell != null && (!hostLines.inLine() || hostLines.overlong())) {
-      leave();
+    trackLines(from, bytes, start, end);
+    if (!closed
+        && toClient
+        && sendFinalLine != null
+        && (!hostLines.inLine() || hostLines.isOverlong())) {
+      finish();
     }
   }
 
   /** Looks at lines where they lie, once they have gone: the peer waits for nothing of it. */
-  private void follow(Link from, ByteBuffer bytes, int start, int end) {
+  private void trackLines(Link from, ByteBuffer bytes, int start, int end) {
     boolean before;
     boolean lineEnded;
     boolean inLine;
@@ -134,9 +138,9 @@
       before = clientLines.inLine();
       lineEnded = clientLines.follow(bytes, start, end);
       inLine = clientLines.inLine();
-      if (lineEnded && !asked && !ending) {
-        asked = true;
-        watcher.asked();
+      if (lineEnded && !requestPending && !ending) {
+        requestPending = true;
+        observer.requestRelayed();
       }
     } else {
       before = hostLines.inLine();
@@ -144,58 +148,58 @@
       inLine = hostLines.inLine();
     }
     if (inLine && (lineEnded || !before)) {
-      limits.lineBegun(peers, side(from), relay.now());
-      relay.watch();
+      limits.lineStarted(peers, side(from), relay.nowMicros());
+      relay.scheduleEvaluation();
     } else if (before && !inLine) {
       limits.lineEnded(peers, side(from));
     }
   }
 
   @Override
-  public void answer() {
-    if (asked && !ending) {
-      asked = false;
-      watcher.answered();
+  public void responseReceived() {
+    if (requestPending && !ending) {
+      requestPending = false;
+      observer.responseRelayed();
     }
   }
 
   @Override
-  public void load(String text) {
+  public void loadReported(String text) {
     if (!ending) {
-      watcher.load(text);
+      observer.loadReported(text);
     }
   }
 
   @Override
-  public void bye() {
+  public void byeReceived() {
     if (!ending) {
-      watcher.bye();
+      observer.byeReceived();
     }
   }
 
   @Override
-  public void moving() {
+  public void moveReceived() {
     if (!ending) {
-      watcher.moving();
+      observer.moveReceived();
     }
   }
 
   @Override
-  public void waits(Link link, int bytes) {
-    limits.queued(peers, side(link), bytes, relay.now());
-    if (limits.overBudget(peers)) {
-      relay.hurry();
+  public void queued(Link link, int bytes) {
+    limits.bytesQueued(peers, side(link), bytes, relay.nowMicros());
+    if (limits.isOverBudget(peers)) {
+      relay.evaluateSoon();
     } else {
-      relay.watch();
+      relay.scheduleEvaluation();
     }
   }
 
   @Override
-  public void took(Link link, int bytes) {
-    limits.taken(peers, side(link), bytes);
+  public void drained(Link link, int bytes) {
+    limits.bytesDrained(peers, side(link), bytes);
     SideLimits side = limits.limits().of(side(link));
     // Not at the first free byte: then each turn would read and write a handful.
-    if (!over && link.waiting() <= side.waiting() / 2) {
+    if (!closed && link.queuedBytes() <= side.maxQueuedBytes() / 2) {
       other(link).resume();
     }
   }
@@ -203,32 +207,32 @@
   @Override
   public void released(Link link) {
     if (++released == 2) {
-      relay.over(this);
+      relay.closed(this);
     }
   }
 
   @Override
   public void ended(Link from, boolean reset) {
-    if (over) {
+    if (closed) {
       return;
     }
-    over = reset || ending || relay.net().full();
+    closed = reset || ending || relay.net().isAtCapacity();
     if (reset) {
       from.reset();
       other(from).reset();
-    } else if (over) {
+    } else if (closed) {
       // Both sides have ended, or descriptors run short: then nobody's last lines are waited for.
       from.close();
       other(from).close();
     } else {
-      other(from).finish();
+      other(from).shutdownOutput();
     }
     if (!ending) {
       ending = true;
-      watcher.ended(from == client, reset);
+      observer.ended(from == client, reset);
     }
-    if (over) {
-      tellGone();
+    if (closed) {
+      notifyClosed();
     }
   }
 
@@ -238,82 +242,82 @@
    * @param ended runs once both are ended, by this or otherwise: at once, or after a wait for the
    *     end of a line that is on its way
    */
-  public void farewell(String line, Runnable ended) {
-    gone = ended;
-    farewell(line);
-    if (over) {
-      tellGone();
+  public void sendFinalLine(String line, Runnable ended) {
+    onClosed = ended;
+    sendFinalLine(line);
+    if (closed) {
+      notifyClosed();
     }
   }
 
-  private void tellGone() {
-    if (gone != null) {
-      Runnable told = gone;
-      gone = null;
+  private void notifyClosed() {
+    if (onClosed != null) {
+      Runnable told = onClosed;
+      onClosed = null;
       told.run();
     }
   }
 
-  private void farewell(String line) {
-    if (over || farewell != null) {
+  private void sendFinalLine(String line) {
+    if (closed || sendFinalLine != null) {
       return;
     }
-    farewell = line;
+    sendFinalLine = line;
     if (!hostLines.inLine()) {
-      leave();
+      finish();
     } else {
       // Whatever waits for the client, the end of this line must come.
       target.resume();
-      relay.loop().after(LINE_WAIT_MICROS, this::leave);
+      relay.loop().schedule(LINE_END_TIMEOUT_MICROS, this::finish);
     }
   }
 
-  private void leave() {
-    if (over) {
+  private void finish() {
+    if (closed) {
       return;
     }
-    over = true;
+    closed = true;
     if (hostLines.inLine()) {
       // Half a line must not look like a whole one, nor an end in its midst like a proper one.
       client.reset();
     } else {
-      client.send(farewell);
-      client.close(farewellMicros);
+      client.send(sendFinalLine);
+      client.close(finalLineLimitMicros);
     }
-    if (targetLost) {
+    if (targetUnresponsive) {
       target.reset();
     } else {
       target.close();
     }
-    tellGone();
+    notifyClosed();
   }
 
   /** Whether the client is owed bytes that wait, or a farewell that waits for a line. */
-  boolean owes() {
-    return client.waiting() > 0 || (farewell != null && !over);
+  boolean hasPendingClientData() {
+    return client.queuedBytes() > 0 || (sendFinalLine != null && !closed);
   }
 
-  void abandon() {
-    over = true;
+  void reset() {
+    closed = true;
     client.reset();
     target.reset();
-    tellGone();
+    notifyClosed();
   }
 
   /** Carries out that a peer of this session is given up. */
-  void giveUp(Verdict verdict) {
-    boolean first = !ending && farewell == null;
+  void disconnect(DisconnectDecision verdict) {
+    boolean first = !ending && sendFinalLine == null;
     ending = true;
-    String line = first ? watcher.gaveUp(verdict.side(), verdict.reason()) : null;
-    if (verdict.atOnce()) {
-      over = true;
+    String line = first ? observer.slowPeerDisconnected(verdict.side(), verdict.reason()) : null;
+    if (verdict.immediate()) {
+      closed = true;
       client.reset();
       target.reset();
-      tellGone();
+      notifyClosed();
     } else if (first) {
-      farewellMicros = limits.limits().farewellMicros();
-      targetLost = verdict.side() == Side.TARGET;
-      farewell(line);
+      finalLineLimitMicros = limits.limits().farewellMicros();
+      targetUnresponsive = verdict.side() == Side.TARGET;
+      sendFinalLine(line);
     }
   }
 }
--- a/src/main/java/brassbank/relay/Watcher.java
+++ b/src/main/java/brassbank/relay/SessionObserver.java
@@ -1,24 +1,24 @@
 package brassbank.relay;
 
+import brassbank.relay.limits.DisconnectDecision;
 import brassbank.relay.limits.Side;
-import brassbank.relay.limits.Verdict;
 
 /** Who is told what changes in a standing session; never of each line. */
-public interface Watcher {
+public interface SessionObserver {
   /** The client has sent a line, and the one before it had been answered. */
-  void asked();
+  void requestRelayed();
 
-  /** The target has sent a line other than those below, the first since {@link #asked}. */
-  void answered();
+  /** The target has sent a line other than those below, the first since {@link #requestRelayed}. */
+  void responseRelayed();
 
   /** The target tells a load; the text is anybody's. */
-  void load(String text);
+  void loadReported(String text);
 
   /** The target has served the session to its end: what comes next is the end. */
-  void bye();
+  void byeReceived();
 
   /** The target sends its client away: what comes next is the end. */
-  void moving();
+  void moveReceived();
 
   /** One side has ended the session; nothing is told after that. */
   void ended(boolean byClient, boolean reset);
@@ -28,5 +28,5 @@
    *
    * @return the last line for the client, which is sent where it can be
    */
-  String gaveUp(Side side, Verdict.Reason reason);
+  String slowPeerDisconnected(Side side, DisconnectDecision.Reason reason);
 }
--- a/src/main/java/brassbank/relay/limits/Backlog.java
+++ b/src/main/java/brassbank/relay/limits/Backlog.java
@@ -10,23 +10,23 @@
  * never early.
  */
 final class Backlog {
-  private static final int MARKS = 32;
-  private static final int MARKS_A_LIMIT = 16;
-  private static final int SAMPLES = 16;
-  private static final int SAMPLES_A_WINDOW = 8;
+  private static final int MAX_MARKS = 32;
+  private static final int MARKS_PER_AGE_LIMIT = 16;
+  private static final int MAX_SAMPLES = 16;
+  private static final int SAMPLES_PER_WINDOW = 8;
 
-  private final Ring marks = new Ring(MARKS);
-  private final Ring samples = new Ring(SAMPLES);
+  private final Ring marks = new Ring(MAX_MARKS);
+  private final Ring samples = new Ring(MAX_SAMPLES);
   private long queued;
-  private long taken;
+  private long drained;
 
   /** Bytes that have come; nothing waited before where {@code first}. */
   void queued(long bytes, boolean first, long now, SideLimits limits) {
-    long step = limits.ageMicros() / MARKS_A_LIMIT;
+    long step = limits.maxAgeMicros() / MARKS_PER_AGE_LIMIT;
     if (first) {
       marks.clear();
       samples.clear();
-      samples.add(now, taken);
+      samples.add(now, drained);
     }
     if (marks.isEmpty() || now - marks.lastTime() > step) {
       marks.add(now, queued);
@@ -34,35 +34,37 @@
     queued += bytes;
   }
 
-  void taken(long bytes) {
-    taken += bytes;
+  void drained(long bytes) {
+    drained += bytes;
     // The mark that the oldest byte belongs to is the last one that begins at or before it.
-    while (marks.size() > 1 && marks.secondValue() <= taken) {
+    while (marks.size() > 1 && marks.secondValue() <= drained) {
       marks.removeFirst();
     }
   }
 
   /** When the oldest byte that waits came, or up to a sixteenth of the limit before that. */
-  long oldest() {
+  long oldestByteMicros() {
     return marks.firstTime();
   }
 
   /** Whether the oldest byte has waited for longer than its limit. */
-  boolean tooOld(long now, SideLimits limits) {
-    return now - oldest() - limits.ageMicros() / MARKS_A_LIMIT > limits.ageMicros();
+  boolean exceedsMaxAge(long now, SideLimits limits) {
+    return now - oldestByteMicros() - limits.maxAgeMicros() / MARKS_PER_AGE_LIMIT
+        > limits.maxAgeMicros();
   }
 
   /** Whether too little was taken over the window, something waiting all the time. */
-  boolean tooSlow(long now, SideLimits limits) {
+  boolean isBelowMinRate(long now, SideLimits limits) {
     long window = limits.windowMicros();
     while (samples.size() > 1 && now - samples.secondTime() >= window) {
       samples.removeFirst();
     }
     long span = now - samples.firstTime();
     boolean slow =
-        span >= window && (taken - samples.firstValue()) * 1e6 < (double) limits.rate() * span;
-    if (now - samples.lastTime() >= window / SAMPLES_A_WINDOW) {
-      samples.add(now, taken);
+        span >= window
+            && (drained - samples.firstValue()) * 1e6 < (double) limits.minBytesPerSecond() * span;
+    if (now - samples.lastTime() >= window / SAMPLES_PER_WINDOW) {
+      samples.add(now, drained);
     }
     return slow;
   }
