--- a/src/main/java/brassbank/relay/limits/PeerLimits.java
+++ b/src/main/java/brassbank/relay/limits/PeerLimits.java
@@ -1,6 +1,6 @@
 package brassbank.relay.limits;
 
-import brassbank.relay.limits.Verdict.Reason;
+import brassbank.relay.limits.DisconnectDecision.Reason;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumMap;
@@ -13,15 +13,15 @@
  * The limits on slow peers, over all sessions. A peer is <em>behind</em> while bytes wait for it;
  * who is not, and who is in no line, costs nothing here but its entry.
  *
- * <p>Each call takes constant time, but for {@link #judge}, which looks at those that are behind or
- * in a line, and sorts them only where a budget is broken.
+ * <p>Each call takes constant time, but for {@link #evaluate}, which looks at those that are behind
+ * or in a line, and sorts them only where a budget is broken.
  */
 public final class PeerLimits {
-  private static final long LONGEST_PERIOD = 1_000_000;
-  private static final long LEAST_PERIOD = 20_000;
+  private static final long MAX_EVALUATION_DELAY_MICROS = 1_000_000;
+  private static final long MIN_EVALUATION_DELAY_MICROS = 20_000;
 
   /** How often the shortest of the limits is looked at while it runs. */
-  private static final int LOOKS = 16;
+  private static final int EVALUATIONS_PER_LIMIT = 16;
 
   private RelayLimits limits;
   private final Map<String, Practice> practices = new HashMap<>();
@@ -29,8 +29,8 @@
   /** Peers that are behind or in a line, and some that were so lately. */
   private final List<Peer> watched = new ArrayList<>();
 
-  private final Map<Reason, Long> verdicts = new EnumMap<>(Reason.class);
-  private long waiting;
+  private final Map<Reason, Long> disconnects = new EnumMap<>(Reason.class);
+  private long queuedBytes;
   private int sessions;
 
   public PeerLimits(RelayLimits limits) {
@@ -61,13 +61,13 @@
 
   /** A session is over, and what waited in it is gone; the second call does nothing. */
   public void close(SessionPeers session) {
-    if (session.over) {
+    if (session.closed) {
       return;
     }
-    session.over = true;
+    session.closed = true;
     sessions--;
-    remove(session.known(Side.CLIENT));
-    remove(session.known(Side.TARGET));
+    remove(session.get(Side.CLIENT));
+    remove(session.get(Side.TARGET));
     if (--session.practice.sessions == 0) {
       practices.remove(session.practice.name);
     }
@@ -75,7 +75,7 @@
 
   private void remove(Peer peer) {
     if (peer != null) {
-      count(peer, -peer.waiting);
+      count(peer, -peer.queuedBytes);
       forget(peer);
     }
   }
@@ -87,7 +87,7 @@
   }
 
   /** So many more bytes wait for this side. */
-  public void queued(SessionPeers session, Side side, long bytes, long now) {
+  public void bytesQueued(SessionPeers session, Side side, long bytes, long now) {
     if (bytes == 0) {
       return;
     }
@@ -101,129 +101,135 @@
   }
 
   /** This side has taken so many of the bytes that waited. */
-  public void taken(SessionPeers session, Side side, long bytes) {
-    if (bytes > session.waiting(side)) {
+  public void bytesDrained(SessionPeers session, Side side, long bytes) {
+    if (bytes > session.queuedBytes(side)) {
       throw new IllegalArgumentException(
-          bytes + " bytes taken, " + session.waiting(side) + " waited");
+          bytes + " bytes taken, " + session.queuedBytes(side) + " waited");
     }
     if (bytes > 0) {
       Peer peer = peer(session, side, bytes);
-      peer.backlog.taken(bytes);
+      peer.backlog.drained(bytes);
       count(peer, -bytes);
     }
   }
 
   private static Peer peer(SessionPeers session, Side side, long bytes) {
-    if (session.over || bytes < 0) {
+    if (session.closed || bytes < 0) {
       throw new IllegalArgumentException("the session is over, or there are " + bytes + " bytes");
     }
-    return session.of(side);
+    return session.getOrCreate(side);
   }
 
   private void count(Peer peer, long bytes) {
-    peer.waiting += bytes;
-    peer.session.practice.waiting += bytes;
-    waiting += bytes;
+    peer.queuedBytes += bytes;
+    peer.session.practice.queuedBytes += bytes;
+    queuedBytes += bytes;
   }
 
   /** What came last from this side ends within a line, which began now. */
-  public void lineBegun(SessionPeers session, Side side, long now) {
+  public void lineStarted(SessionPeers session, Side side, long now) {
     Peer peer = peer(session, side, 0);
-    peer.lineSince = now;
+    peer.lineStartMicros = now;
     watch(peer);
   }
 
   /** What came last from this side ends with a line's end. */
   public void lineEnded(SessionPeers session, Side side) {
-    Peer peer = session.known(side);
+    Peer peer = session.get(side);
     if (peer != null) {
-      peer.lineSince = Peer.NONE;
+      peer.lineStartMicros = Peer.NO_LINE;
     }
   }
 
   /** Whether this side has as much waiting as it may, so that the other one is not to be read. */
-  public boolean full(SessionPeers session, Side side) {
-    return session.waiting(side) >= limits.of(side).waiting();
+  public boolean isFull(SessionPeers session, Side side) {
+    return session.queuedBytes(side) >= limits.of(side).maxQueuedBytes();
   }
 
   private void watch(Peer peer) {
-    if (peer.place < 0) {
-      peer.place = watched.size();
+    if (peer.watchedIndex < 0) {
+      peer.watchedIndex = watched.size();
       watched.add(peer);
     }
   }
 
   private void unwatch(Peer peer) {
-    if (peer.place >= 0) {
+    if (peer.watchedIndex >= 0) {
       Peer last = watched.remove(watched.size() - 1);
       if (last != peer) {
-        watched.set(peer.place, last);
-        last.place = peer.place;
+        watched.set(peer.watchedIndex, last);
+        last.watchedIndex = peer.watchedIndex;
       }
-      peer.place = -1;
+      peer.watchedIndex = -1;
     }
   }
 
-  /** Whether a budget is broken, so that {@link #judge} should be asked now and not in a while. */
-  public boolean overBudget(SessionPeers session) {
-    return waiting > limits.budget()
-        || session.practice.waiting > limits.budgetOf(session.practice.name);
+  /**
+   * Whether a budget is broken, so that {@link #evaluate} should be asked now and not in a while.
+   */
+  public boolean isOverBudget(SessionPeers session) {
+    return queuedBytes > limits.budgetBytes()
+        || session.practice.queuedBytes > limits.budgetOf(session.practice.name);
   }
 
-  /** How many microseconds from now {@link #judge} is to be asked again, or -1: not until news. */
-  public long period() {
-    if (watched.isEmpty() || !limits.giveUp()) {
+  /**
+   * How many microseconds from now {@link #evaluate} is to be asked again, or -1: not until news.
+   */
+  public long evaluationDelayMicros() {
+    if (watched.isEmpty() || !limits.canDisconnect()) {
       return -1;
     }
     long shortest = Math.min(shortest(limits.client()), shortest(limits.target()));
-    return Math.max(LEAST_PERIOD, Math.min(LONGEST_PERIOD, shortest / LOOKS));
+    return Math.max(
+        MIN_EVALUATION_DELAY_MICROS,
+        Math.min(MAX_EVALUATION_DELAY_MICROS, shortest / EVALUATIONS_PER_LIMIT));
   }
 
   private static long shortest(SideLimits side) {
-    return Math.min(side.lineMicros(), Math.min(side.ageMicros(), side.windowMicros()));
+    return Math.min(side.maxLineMicros(), Math.min(side.maxAgeMicros(), side.windowMicros()));
   }
 
   /**
    * Who is given up now. A session is told once politely and once at once, at most. The caller ends
    * them all; whoever is told at once is taken to be gone, with what waits on both its sides.
    */
-  public List<Verdict> judge(long now) {
-    List<Verdict> given = new ArrayList<>();
+  public List<DisconnectDecision> evaluate(long now) {
+    List<DisconnectDecision> given = new ArrayList<>();
     for (int i = watched.size() - 1; i >= 0; i--) {
       Peer peer = watched.get(i);
-      if (!peer.isBehind() && peer.lineSince == Peer.NONE) {
+      if (!peer.isBehind() && peer.lineStartMicros == Peer.NO_LINE) {
         forget(peer);
-      } else if (!peer.session.givenUp) {
-        Reason reason = reason(peer, now);
+      } else if (!peer.session.disconnecting) {
+        Reason reason = violatedLimit(peer, now);
         if (reason != null) {
-          peer.session.givenUp = true;
+          peer.session.disconnecting = true;
           given.add(verdict(peer, reason, false, now));
         }
       }
     }
-    if (budgets(now, given)) {
-      given.removeIf(verdict -> !verdict.atOnce() && verdict.session().dropped);
+    if (enforceBudgets(now, given)) {
+      given.removeIf(verdict -> !verdict.immediate() && verdict.session().disconnected);
     }
-    given.forEach(verdict -> verdicts.merge(verdict.reason(), 1L, Long::sum));
+    given.forEach(verdict -> disconnects.merge(verdict.reason(), 1L, Long::sum));
     return given;
   }
 
   /** What is wrong with a peer by itself, or null. */
-  private Reason reason(Peer peer, long now) {
+  private Reason violatedLimit(Peer peer, long now) {
     SideLimits own = limits.of(peer.side);
     if (peer.isBehind()) {
-      if (peer.backlog.tooSlow(now, own)) {
+      if (peer.backlog.isBelowMinRate(now, own)) {
         return Reason.RATE;
       }
-      if (peer.backlog.tooOld(now, own)) {
+      if (peer.backlog.exceedsMaxAge(now, own)) {
         return Reason.AGE;
       }
     }
-    if (peer.lineSince != Peer.NONE) {
-      if (full(peer.session, peer.side.other())) {
+    if (peer.lineStartMicros != Peer.NO_LINE) {
+      if (isFull(peer.session, peer.side.other())) {
         // It is not read while the other side is full, and so cannot end its line: no fault of its.
-        peer.lineSince = now;
-      } else if (now - peer.lineSince > own.lineMicros()) {
+        peer.lineStartMicros = now;
+      } else if (now - peer.lineStartMicros > own.maxLineMicros()) {
         return Reason.LINE;
       }
     }
@@ -231,39 +237,39 @@
   }
 
   /** Drops sessions until all budgets hold; false where none was broken. */
-  private boolean budgets(long now, List<Verdict> given) {
-    long all = waiting;
+  private boolean enforceBudgets(long now, List<DisconnectDecision> given) {
+    long all = queuedBytes;
     Map<Practice, Long> held = new LinkedHashMap<>();
     for (Peer peer : watched) {
       Practice practice = peer.session.practice;
-      held.putIfAbsent(practice, practice.waiting);
-      if (peer.session.dropped) {
-        all -= peer.waiting;
-        held.merge(practice, -peer.waiting, Long::sum);
+      held.putIfAbsent(practice, practice.queuedBytes);
+      if (peer.session.disconnected) {
+        all -= peer.queuedBytes;
+        held.merge(practice, -peer.queuedBytes, Long::sum);
       }
     }
-    if (all <= limits.budget() && held.entrySet().stream().noneMatch(this::isOver)) {
+    if (all <= limits.budgetBytes() && held.entrySet().stream().noneMatch(this::isOver)) {
       return false;
     }
     // Those that were given up before go first, the worst offenders next.
     List<Peer> worst = new ArrayList<>(watched);
-    worst.removeIf(peer -> !peer.isBehind() || peer.session.dropped);
+    worst.removeIf(peer -> !peer.isBehind() || peer.session.disconnected);
     worst.sort(
-        Comparator.comparing((Peer peer) -> !peer.session.givenUp)
-            .thenComparing(peer -> -peer.offence(now))
+        Comparator.comparing((Peer peer) -> !peer.session.disconnecting)
+            .thenComparing(peer -> -peer.severity(now))
             .thenComparing(peer -> peer.session.id)
             .thenComparing(peer -> peer.side));
     for (Map.Entry<Practice, Long> practice : held.entrySet()) {
       for (int i = 0; i < worst.size() && isOver(practice); i++) {
         if (worst.get(i).session.practice == practice.getKey()) {
-          long freed = drop(worst.get(i), Reason.PRACTICE_BUDGET, now, given);
+          long freed = disconnectImmediately(worst.get(i), Reason.PRACTICE_BUDGET, now, given);
           practice.setValue(practice.getValue() - freed);
           all -= freed;
         }
       }
     }
-    for (int i = 0; i < worst.size() && all > limits.budget(); i++) {
-      all -= drop(worst.get(i), Reason.BUDGET, now, given);
+    for (int i = 0; i < worst.size() && all > limits.budgetBytes(); i++) {
+      all -= disconnectImmediately(worst.get(i), Reason.BUDGET, now, given);
     }
     return true;
   }
@@ -273,24 +279,26 @@
   }
 
   /** Gives a session up at once, and returns how many bytes that frees. */
-  private long drop(Peer peer, Reason reason, long now, List<Verdict> given) {
+  private long disconnectImmediately(
+      Peer peer, Reason reason, long now, List<DisconnectDecision> given) {
     SessionPeers session = peer.session;
-    if (session.dropped) {
+    if (session.disconnected) {
       return 0;
     }
-    session.dropped = true;
-    session.givenUp = true;
+    session.disconnected = true;
+    session.disconnecting = true;
     given.add(verdict(peer, reason, true, now));
-    return session.waiting(Side.CLIENT) + session.waiting(Side.TARGET);
+    return session.queuedBytes(Side.CLIENT) + session.queuedBytes(Side.TARGET);
   }
 
-  private static Verdict verdict(Peer peer, Reason reason, boolean atOnce, long now) {
-    return new Verdict(peer.session, peer.side, reason, atOnce, peer.waiting, peer.age(now));
+  private static DisconnectDecision verdict(Peer peer, Reason reason, boolean atOnce, long now) {
+    return new DisconnectDecision(
+        peer.session, peer.side, reason, atOnce, peer.queuedBytes, peer.ageMicros(now));
   }
 
   /** Bytes that wait for all peers. */
-  public long waiting() {
-    return waiting;
+  public long queuedBytes() {
+    return queuedBytes;
   }
 
   /** Sessions that are open. */
@@ -299,7 +307,7 @@
   }
 
   /** How many peers have been given up for this reason so far. */
-  public long verdicts(Reason reason) {
-    return verdicts.getOrDefault(reason, 0L);
+  public long disconnects(Reason reason) {
+    return disconnects.getOrDefault(reason, 0L);
   }
 }
--- a/src/main/java/brassbank/relay/limits/Practice.java
+++ b/src/main/java/brassbank/relay/limits/Practice.java
@@ -4,7 +4,7 @@
 final class Practice {
   final String name;
   int sessions;
-  long waiting;
+  long queuedBytes;
 
   Practice(String name) {
     this.name = name;
--- a/src/main/java/brassbank/relay/limits/RelayLimits.java
+++ b/src/main/java/brassbank/relay/limits/RelayLimits.java
@@ -7,17 +7,17 @@
 /**
  * What passing sessions on may cost.
  *
- * @param turn the most bytes that are taken from one link before others have their turn
- * @param budget the most bytes that may wait for all peers together
- * @param practiceBudget the same for the peers of each practice
- * @param practices budgets of single practices, in place of {@code practiceBudget}
+ * @param readQuotaBytes the most bytes that are taken from one link before others have their turn
+ * @param budgetBytes the most bytes that may wait for all peers together
+ * @param practiceBudgetBytes the same for the peers of each practice
+ * @param practiceBudgets budgets of single practices, in place of {@code practiceBudget}
  * @param farewellMicros how long a slow client may take to read up to its last line
  */
 public record RelayLimits(
-    int turn,
-    long budget,
-    long practiceBudget,
-    Map<String, Long> practices,
+    int readQuotaBytes,
+    long budgetBytes,
+    long practiceBudgetBytes,
+    Map<String, Long> practiceBudgets,
     SideLimits client,
     SideLimits target,
     long farewellMicros) {
@@ -28,10 +28,10 @@
 
   /** Throws IllegalArgumentException where a figure cannot be meant. */
   public RelayLimits {
-    if (turn < 1 || budget < 1 || practiceBudget < 1 || farewellMicros < 1) {
+    if (readQuotaBytes < 1 || budgetBytes < 1 || practiceBudgetBytes < 1 || farewellMicros < 1) {
       throw new IllegalArgumentException("a limit must be above 0");
     }
-    practices = Collections.unmodifiableMap(new TreeMap<>(practices));
+    practiceBudgets = Collections.unmodifiableMap(new TreeMap<>(practiceBudgets));
   }
 
   private static RelayLimits none() {
@@ -40,13 +40,13 @@
   }
 
   /** Whether anybody can be given up at all. */
-  boolean giveUp() {
+  boolean canDisconnect() {
     return this != NONE;
   }
 
   /** What may wait for the peers of this practice. */
   long budgetOf(String practice) {
-    return practices.getOrDefault(practice, practiceBudget);
+    return practiceBudgets.getOrDefault(practice, practiceBudgetBytes);
   }
 
   /** The limits of one side. */
--- a/src/main/java/brassbank/relay/limits/SessionPeers.java
+++ b/src/main/java/brassbank/relay/limits/SessionPeers.java
@@ -10,13 +10,13 @@
 
   private Peer target;
 
-  boolean over;
+  boolean closed;
 
   /** Given up politely, or at once. */
-  boolean givenUp;
+  boolean disconnecting;
 
   /** Given up at once. */
-  boolean dropped;
+  boolean disconnected;
 
   SessionPeers(long id, Practice practice) {
     this.id = id;
@@ -34,7 +34,7 @@
   }
 
   /** The peer of a side, made where there is none. */
-  Peer of(Side side) {
+  Peer getOrCreate(Side side) {
     if (side == Side.CLIENT) {
       client = client == null ? new Peer(this, Side.CLIENT) : client;
       return client;
@@ -44,7 +44,7 @@
   }
 
   /** The peer of a side, or null where there is none. */
-  Peer known(Side side) {
+  Peer get(Side side) {
     return side == Side.CLIENT ? client : target;
   }
 
@@ -57,8 +57,8 @@
   }
 
   /** Bytes that wait for this side. */
-  long waiting(Side side) {
-    Peer peer = known(side);
-    return peer == null ? 0 : peer.waiting;
+  long queuedBytes(Side side) {
+    Peer peer = get(side);
+    return peer == null ? 0 : peer.queuedBytes;
   }
 }
--- a/src/main/java/brassbank/sim/Run.java
+++ b/src/main/java/brassbank/sim/Run.java
@@ -133,11 +133,11 @@
    * rule goes on past those that the same bug breaks before.
    */
   Outcome go(Predicate<Breach> ends) {
-    Log.onThisThread(this::logged);
+    Log.setThreadSink(this::logged);
     try {
       return run(ends);
     } finally {
-      Log.onThisThread(null);
+      Log.setThreadSink(null);
     }
   }
 
--- a/src/main/java/brassbank/sim/cli/ExperimentCommand.java
+++ b/src/main/java/brassbank/sim/cli/ExperimentCommand.java
@@ -1,6 +1,6 @@
 package brassbank.sim.cli;
 
-import brassbank.cli.Exit;
+import brassbank.cli.ExitStatus;
 import brassbank.cli.UsageException;
 import brassbank.sim.experiment.Experiment;
 import brassbank.sim.experiment.Figure;
@@ -124,7 +124,7 @@
     Map<Variant, List<Map<Figure, Double>>> results =
         new Experiment(this::plan, jobs).run(variants, range.first(), range.last());
     output.print(json ? json(range, results) : csv ? csv(range, results) : table(range, results));
-    return Exit.OK;
+    return ExitStatus.OK;
   }
 
   private Plan plan(Variant variant, long seed) {
--- a/src/main/java/brassbank/sim/cli/SimulateCommand.java
+++ b/src/main/java/brassbank/sim/cli/SimulateCommand.java
@@ -1,6 +1,6 @@
 package brassbank.sim.cli;
 
-import brassbank.cli.Exit;
+import brassbank.cli.ExitStatus;
 import brassbank.cli.UsageException;
 import brassbank.sim.Run;
 import brassbank.sim.Shrinker;
@@ -132,7 +132,7 @@
       output.printf(
           "%-24s %-6s %s%n", kind, kind.on().name().toLowerCase(Locale.ROOT), kind.about());
     }
-    return Exit.OK;
+    return ExitStatus.OK;
   }
 
   private int one(Plan plan) {
@@ -152,7 +152,7 @@
         outcome.sound() ? "all rules hold" : "a rule is broken",
         outcome.steps(),
         outcome.fingerprint());
-    return outcome.sound() ? Exit.OK : Exit.FAILED;
+    return outcome.sound() ? ExitStatus.OK : ExitStatus.FAILED;
   }
 
   private int seeds() {
@@ -164,7 +164,7 @@
     }
     Seeds.Summary summary = new Seeds(site::plan, jobs, notes).run(range);
     output.println(json ? summary.json() : summary.text());
-    return summary.failed().isEmpty() ? Exit.OK : Exit.FAILED;
+    return summary.failed().isEmpty() ? ExitStatus.OK : ExitStatus.FAILED;
   }
 
   private int shrink() throws IOException {
@@ -178,7 +178,7 @@
                 notes.printf("%d faults, %d clients left after %d runs%n", faults, clients, runs));
     if (shrunk == null) {
       output.printf("seed %d breaks no rule: there is nothing to shrink%n", seed);
-      return Exit.OK;
+      return ExitStatus.OK;
     }
     Path file = out != null ? out : Path.of("seed-" + seed + ".toml");
     Files.writeString(
@@ -188,6 +188,6 @@
     output.printf(
         "%s%n%d of %d faults are left after %d runs: %s%n",
         shrunk.breach(), shrunk.plan().faults().size(), plan.faults().size(), shrunk.runs(), file);
-    return Exit.FAILED;
+    return ExitStatus.FAILED;
   }
 }
--- a/src/main/java/brassbank/sim/members/MembersDrillCommand.java
+++ b/src/main/java/brassbank/sim/members/MembersDrillCommand.java
@@ -1,6 +1,6 @@
 package brassbank.sim.members;
 
-import brassbank.cli.Exit;
+import brassbank.cli.ExitStatus;
 import brassbank.cli.UsageException;
 import brassbank.log.Log;
 import brassbank.membership.Settings;
@@ -87,15 +87,15 @@
               .toList();
       sound &= told(scene, results);
     }
-    return sound ? Exit.OK : Exit.FAILED;
+    return sound ? ExitStatus.OK : ExitStatus.FAILED;
   }
 
   private Scene.Result quietly(Scene scene, long seed, Settings settings) {
-    Log.onThisThread(event -> {});
+    Log.setThreadSink(event -> {});
     try {
       return scene.play(seed, members, scene.fitting(settings), UnaryOperator.identity());
     } finally {
-      Log.onThisThread(null);
+      Log.setThreadSink(null);
     }
   }
 
--- a/src/main/java/brassbank/sim/proxy/HttpCall.java
+++ b/src/main/java/brassbank/sim/proxy/HttpCall.java
@@ -33,7 +33,7 @@
   private final Program program;
   private final InetSocketAddress address;
   private final String path;
-  private final Network.Answer answer;
+  private final Network.ResponseHandler answer;
   private Program.Connecting connecting;
   private Endpoint endpoint;
   private boolean over;
@@ -50,7 +50,7 @@
       Program program,
       InetSocketAddress address,
       String path,
-      Network.Answer answer) {
+      Network.ResponseHandler answer) {
     this.network = network;
     this.program = program;
     this.address = address;
@@ -205,7 +205,7 @@
         left = Long.parseLong(value);
       }
     } else {
-      network.turn(() -> answer.begun(status));
+      network.turn(() -> answer.statusReceived(status));
       if (chunked) {
         part = Part.CHUNK_SIZE;
       } else if (left == 0) {
@@ -223,6 +223,6 @@
     if (last) {
       cancel();
     }
-    network.turn(() -> answer.content(status, ByteBuffer.wrap(bytes, offset, count), last));
+    network.turn(() -> answer.contentReceived(status, ByteBuffer.wrap(bytes, offset, count), last));
   }
 }
--- a/src/main/java/brassbank/sim/proxy/ProxyNode.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyNode.java
@@ -239,7 +239,7 @@
       Network network = wrapping.apply(new SimNetwork(program, clock, exhausted, door));
       try {
         Config read = Config.of(config(0));
-        Config mine = inherits ? read.inheriting(Path.of(name)) : read;
+        Config mine = inherits ? read.withInheritedListener(Path.of(name)) : read;
         proxy = new Proxy(mine, RelayLimits.NONE, joining, network);
         if (joining != null) {
           proxy.fleet().listen(change -> viewed());
--- a/src/main/java/brassbank/sim/proxy/SimNetwork.java
+++ b/src/main/java/brassbank/sim/proxy/SimNetwork.java
@@ -1,7 +1,7 @@
 package brassbank.sim.proxy;
 
 import brassbank.net.Channel;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import brassbank.net.Network;
 import brassbank.sim.net.Endpoint;
 import brassbank.sim.net.Port;
@@ -28,7 +28,7 @@
   private final Clock clock;
   private final Exhausted exhausted;
   private final SharedDoor door;
-  private Loop loop;
+  private EventLoop loop;
   private Agenda.Entry timer;
   private long armedFor = Long.MAX_VALUE;
 
@@ -45,20 +45,20 @@
   }
 
   @Override
-  public void start(Loop timers) {
+  public void start(EventLoop timers) {
     loop = timers;
     arm();
   }
 
   /** Runs something of the proxy's, on a turn that has come, and sees to its timers after it. */
   void turn(Runnable task) {
-    Loop.guarded(task);
+    EventLoop.runGuarded(task);
     arm();
   }
 
   /** As the real selector does, which waits for whole milliseconds, rounded up. */
   private void arm() {
-    long due = loop == null ? Long.MAX_VALUE : loop.nextDue();
+    long due = loop == null ? Long.MAX_VALUE : loop.nextDeadlineNanos();
     if (due == armedFor && timer != null && timer.pending()) {
       return;
     }
@@ -68,7 +68,7 @@
     armedFor = due;
     if (due != Long.MAX_VALUE) {
       long millis = Math.max(0, (due - clock.nanos() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
-      timer = program.later(millis * Agenda.MILLI, () -> turn(loop::runDue));
+      timer = program.later(millis * Agenda.MILLI, () -> turn(loop::runDueTimers));
     }
   }
 
@@ -142,14 +142,14 @@
   }
 
   @Override
-  public Attempt connect(InetSocketAddress address, Connected then) {
+  public Attempt connect(InetSocketAddress address, ConnectHandler then) {
     Program.Connecting connecting =
         program.connect(
             address,
             new Program.Connected() {
               @Override
               public void up(Endpoint endpoint) {
-                turn(() -> then.up(new SimChannel(SimNetwork.this, endpoint)));
+                turn(() -> then.connected(new SimChannel(SimNetwork.this, endpoint)));
               }
 
               @Override
@@ -164,14 +164,15 @@
   }
 
   @Override
-  public Attempt get(InetSocketAddress address, String path, Answer answer) {
+  public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
     HttpCall call = new HttpCall(this, program, address, path, answer);
     call.start();
     return call;
   }
 
   @Override
-  public Network.Datagrams datagrams(InetSocketAddress address, Heard heard) throws IOException {
+  public Network.Datagrams datagrams(InetSocketAddress address, DatagramHandler heard)
+      throws IOException {
     if (!address.getAddress().equals(program.machine().address())) {
       throw new IOException("cannot assign the requested address " + address);
     }
@@ -179,7 +180,7 @@
         program.datagrams(
             address.getPort(),
             (from, port, bytes) ->
-                turn(() -> heard.heard(new InetSocketAddress(from.address(), port), bytes)));
+                turn(() -> heard.received(new InetSocketAddress(from.address(), port), bytes)));
     return new Network.Datagrams() {
       @Override
       public void send(InetSocketAddress to, byte[] bytes) {
--- a/src/main/java/brassbank/sources/Randomness.java
+++ b/src/main/java/brassbank/sources/Randomness.java
@@ -28,7 +28,7 @@
    * The stream of the part with this name, from its first draw on. The same seed and name give the
    * same stream on every machine. One thread may draw from it at a time.
    */
-  public RandomGenerator part(String name) {
+  public RandomGenerator stream(String name) {
     long hash = FNV_BASIS;
     for (int i = 0; i < name.length(); i++) {
       hash = (hash ^ name.charAt(i)) * FNV_PRIME;
--- a/src/test/java/brassbank/cli/ProgramTest.java
+++ b/src/test/java/brassbank/cli/ProgramTest.java
@@ -25,13 +25,13 @@
   }
 
   private int run(Callable<Integer> body, String... args) {
-    CommandLine frame = Program.frame(List.of(new Trial(body)));
+    CommandLine frame = Program.commandLine(List.of(new Trial(body)));
     return frame.setOut(new PrintWriter(out)).setErr(new PrintWriter(err)).execute(args);
   }
 
   @Test
   void givesACommandItsOwnStatusAndSaysNothing() {
-    assertThat(run(() -> Exit.FAILED, "try")).isEqualTo(Exit.FAILED);
+    assertThat(run(() -> ExitStatus.FAILED, "try")).isEqualTo(ExitStatus.FAILED);
     assertThat(out + "" + err).isEmpty();
   }
 
@@ -41,7 +41,7 @@
         () -> {
           throw new UsageException("day.toml:3: no such\nfault: 'x\u0007'");
         };
-    assertThat(run(body, "try")).isEqualTo(Exit.USAGE);
+    assertThat(run(body, "try")).isEqualTo(ExitStatus.USAGE);
     assertThat(err.toString())
         .isEqualTo("brassbank try: day.toml:3: no such fault: 'x?' (see brassbank try --help)\n");
   }
@@ -49,13 +49,13 @@
   @Test
   void tellsWhichFileIsMissing() {
     assertThat(run(() -> Files.readString(Path.of("none.toml")).length(), "try"))
-        .isEqualTo(Exit.FAILED);
+        .isEqualTo(ExitStatus.FAILED);
     assertThat(err.toString()).isEqualTo("brassbank try: none.toml: no such file\n");
   }
 
   @Test
   void showsThePlaceOfAFaultOfItsOwn() {
-    assertThat(run(() -> Integer.parseInt("x"), "try")).isEqualTo(Exit.FAILED);
+    assertThat(run(() -> Integer.parseInt("x"), "try")).isEqualTo(ExitStatus.FAILED);
     assertThat(err.toString())
         .startsWith("brassbank try: java.lang.NumberFormatException")
         .contains("\tat ");
--- a/src/test/java/brassbank/decide/AcceptedSettingsTest.java
+++ b/src/test/java/brassbank/decide/AcceptedSettingsTest.java
@@ -97,11 +97,11 @@
 
   /** A reload in the midst of flows, a host that joins cold, and a planned stop. */
   private void work(Config first, Config next) {
-    Decider decider = new Decider(first.settings(), 1, first.known(), clock);
+    Decider decider = new Decider(first.settings(), 1, first.knownTargets(), clock);
     flows(decider, 1, first);
     decider.report(new Happening.Configured(next.settings()));
     flows(decider, 100, next);
-    TargetList.Entry known = first.known().entries().get(0);
+    TargetList.Entry known = first.knownTargets().entries().get(0);
     TargetList.Entry joins =
         new TargetList.Entry(
             "cold",
--- a/src/test/java/brassbank/decide/DeciderTest.java
+++ b/src/test/java/brassbank/decide/DeciderTest.java
@@ -43,7 +43,7 @@
   @BeforeEach
   void start() throws Exception {
     config = Config.read(Map.of("LB_CONFIG", "example/config.json"));
-    decider = new Decider(config.settings(), 1, config.known(), clock);
+    decider = new Decider(config.settings(), 1, config.knownTargets(), clock);
   }
 
   private static Flow flow(long id, long leftMicros, String at) {
@@ -118,7 +118,7 @@
     decider.report(new Happening.Load(1, 2_000));
     List<Standing> held = decider.standing();
     assertThat(held).hasSize(1);
-    Decider successor = new Decider(config.settings(), 2, config.known(), clock);
+    Decider successor = new Decider(config.settings(), 2, config.knownTargets(), clock);
     Standing foreign = new Standing(9, "key", "no-such", null, null, 0, "s-1", 1);
     successor.report(new Happening.Predecessor(3, List.of(), List.of(held.get(0), foreign)));
     assertThat(successor.open()).as("they are not its own").isZero();
--- a/src/test/java/brassbank/fleet/JournalTest.java
+++ b/src/test/java/brassbank/fleet/JournalTest.java
@@ -23,7 +23,7 @@
 
   @AfterEach
   void loud() {
-    Log.onThisThread(null);
+    Log.setThreadSink(null);
   }
 
   private static Change change(int version) {
@@ -35,7 +35,7 @@
   /** A storm of a thousand changes is some lines and a count, and none of them is lost. */
   @Test
   void countsInAStormWhatItDoesNotTell() {
-    Log.onThisThread(event -> lines.add(event.name() + " " + event.fields()));
+    Log.setThreadSink(event -> lines.add(event.name() + " " + event.fields()));
     Journal journal = new Journal();
     for (int i = 0; i < 1_000; i++) {
       journal.changed(SECOND + i, change(i));
@@ -48,7 +48,7 @@
 
   @Test
   void warnsOfWhatItDropsOnceInTenSeconds() {
-    Log.onThisThread(event -> lines.add(event.name() + " " + event.fields()));
+    Log.setThreadSink(event -> lines.add(event.name() + " " + event.fields()));
     Journal journal = new Journal();
     for (int i = 0; i < 500; i++) {
       journal.refused(i * SECOND / 25, Refused.FLEET, "another fleet's", ADDRESS);
--- a/src/test/java/brassbank/gateway/link/Gateway.java
+++ b/src/test/java/brassbank/gateway/link/Gateway.java
@@ -165,7 +165,7 @@
             new Randomness(start),
             this);
     links.listen(new InetSocketAddress("127.0.0.1", port));
-    net.execute(() -> Log.onThisThread(events::add));
+    net.execute(() -> Log.setThreadSink(events::add));
     net.start();
   }
 
--- a/src/test/java/brassbank/log/ConsoleTest.java
+++ b/src/test/java/brassbank/log/ConsoleTest.java
@@ -36,11 +36,11 @@
 
   @AfterEach
   void giveBack() {
-    Log.onThisThread(null);
+    Log.setThreadSink(null);
   }
 
   private Log log(Format format) {
-    Log.onThisThread(new Console(new PrintStream(written, true), format, clock));
+    Log.setThreadSink(new Console(new PrintStream(written, true), format, clock));
     return Log.of("part");
   }
 
@@ -159,7 +159,7 @@
   @Test
   void handsEventsAsValuesToTheRunOfAThread() {
     List<Event> events = new ArrayList<>();
-    Log.onThisThread(events::add);
+    Log.setThreadSink(events::add);
     Log.of("part").info("serving", Field.target("s-1"));
     assertThat(events)
         .containsExactly(
--- a/src/test/java/brassbank/net/LineBufferTest.java
+++ b/src/test/java/brassbank/net/LineBufferTest.java
@@ -18,10 +18,10 @@
     come("ab\r\nc");
     assertThat(buffer.nextLine()).isEqualTo("ab");
     assertThat(buffer.nextLine()).isNull();
-    assertThat(buffer.held()).isEqualTo(1);
+    assertThat(buffer.unreadBytes()).isEqualTo(1);
     come("d\nmore");
     assertThat(buffer.nextLine()).isEqualTo("cd");
-    assertThat(StandardCharsets.ISO_8859_1.decode(buffer.rest()).toString()).isEqualTo("more");
+    assertThat(StandardCharsets.ISO_8859_1.decode(buffer.unread()).toString()).isEqualTo("more");
   }
 
   @Test
@@ -32,7 +32,7 @@
     }
     come("BYE\r\nnext\r\n");
     assertThat(buffer.nextLine()).isEqualTo("next");
-    assertThat(buffer.overlong()).isTrue();
+    assertThat(buffer.hasOverlongLine()).isTrue();
   }
 
   @Test
@@ -47,6 +47,6 @@
     for (; taken < 500; taken++) {
       assertThat(buffer.nextLine()).isEqualTo("line " + taken);
     }
-    assertThat(buffer.held()).isZero();
+    assertThat(buffer.unreadBytes()).isZero();
   }
 }
--- a/src/test/java/brassbank/net/LinkTest.java
+++ b/src/test/java/brassbank/net/LinkTest.java
@@ -80,7 +80,7 @@
   /** A network without any, for what needs its clock only. */
   private static final class Still implements Network {
     @Override
-    public void start(Loop loop) {}
+    public void start(EventLoop loop) {}
 
     @Override
     public Listener listen(InetSocketAddress address, boolean first, Consumer<Channel> accepted) {
@@ -88,12 +88,12 @@
     }
 
     @Override
-    public Attempt connect(InetSocketAddress address, Connected then) {
+    public Attempt connect(InetSocketAddress address, ConnectHandler then) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public Attempt get(InetSocketAddress address, String path, Answer answer) {
+    public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
       throw new UnsupportedOperationException();
     }
 
@@ -113,24 +113,24 @@
     }
   }
 
-  private final class Told implements Link.Stream {
+  private final class Told implements Link.StreamHandler {
     @Override
-    public int room(Link from) {
+    public int readQuota(Link from) {
       return 7;
     }
 
     @Override
-    public void came(Link from, ByteBuffer bytes) {
+    public void received(Link from, ByteBuffer bytes) {
       told.add("came " + bytes.remaining());
     }
 
     @Override
-    public void waits(Link to, int bytes) {
+    public void queued(Link to, int bytes) {
       told.add("waits " + bytes);
     }
 
     @Override
-    public void took(Link to, int bytes) {
+    public void drained(Link to, int bytes) {
       told.add("took " + bytes);
     }
 
@@ -152,7 +152,7 @@
       new Link(
           net,
           channel,
-          new Link.Owner() {
+          new Link.LineHandler() {
             @Override
             public void received(Link from) {}
 
@@ -185,7 +185,7 @@
   void endsItsSendingBehindTheLastByteThatWaits() {
     channel.room = 2;
     send("last");
-    link.finish();
+    link.shutdownOutput();
     send("too late");
     assertThat(channel.log).hasToString("la[");
     channel.room(10);
@@ -196,24 +196,24 @@
   void tellsAStreamWhatWaitsWhatWasTakenAndThatItsMemoryIsFree() {
     channel.room = 4;
     link.send("UP r-1");
-    link.stream(new Told());
+    link.startStreaming(new Told());
     link.send(ByteBuffer.wrap(new byte[20_000]));
-    assertThat(link.waiting()).isEqualTo(20_004);
-    assertThat(net.buffers().lent()).isGreaterThanOrEqualTo(20_004);
+    assertThat(link.queuedBytes()).isEqualTo(20_004);
+    assertThat(net.buffers().leasedBytes()).isGreaterThanOrEqualTo(20_004);
     channel.room(3_000);
     channel.room(20_000);
     assertThat(told).containsExactly("waits 4", "waits 20000", "took 3000", "took 17004");
-    assertThat(net.buffers().lent()).isZero();
+    assertThat(net.buffers().leasedBytes()).isZero();
     channel.room = 0;
     link.send("x");
     link.reset();
     assertThat(told).endsWith("waits 3", "released");
-    assertThat(net.buffers().lent()).isZero();
+    assertThat(net.buffers().leasedBytes()).isZero();
   }
 
   @Test
   void readsNoMoreInATurnThanTheStreamHasRoomFor() {
-    link.stream(new Told());
+    link.startStreaming(new Told());
     channel.unread = 10;
     channel.handler.readable();
     channel.handler.readable();
--- a/src/test/java/brassbank/relay/LinesTest.java
+++ b/src/test/java/brassbank/relay/LinesTest.java
@@ -12,27 +12,27 @@
 
 class LinesTest {
   private final List<String> told = new ArrayList<>();
-  private final HostLines host =
-      new HostLines(
-          new Feeds(),
-          new HostLines.Told() {
+  private final HostLineParser host =
+      new HostLineParser(
+          new LineFeedScanner(),
+          new HostLineParser.Listener() {
             @Override
-            public void load(String text) {
+            public void loadReported(String text) {
               told.add("load " + text);
             }
 
             @Override
-            public void bye() {
+            public void byeReceived() {
               told.add("bye");
             }
 
             @Override
-            public void moving() {
+            public void moveReceived() {
               told.add("moving");
             }
 
             @Override
-            public void answer() {
+            public void responseReceived() {
               told.add("answer");
             }
           });
@@ -80,13 +80,13 @@
     for (int i = 0; i < 4096; i++) {
       assertThat(come("L", true)).isFalse();
     }
-    assertThat(host.overlong()).isFalse();
+    assertThat(host.isOverlong()).isFalse();
     assertThat(come("\n", true)).isTrue();
     assertThat(told).containsExactly("answer");
     for (int i = 0; i < 4097; i++) {
       come("M", true);
     }
-    assertThat(host.overlong()).isTrue();
+    assertThat(host.isOverlong()).isTrue();
     come("\r\n" + "x".repeat(5_000) + "\r\nr\r\n", false);
     assertThat(told).containsExactly("answer", "answer");
   }
@@ -94,7 +94,7 @@
   @Test
   void findsEveryLineFeedAndNoOther() {
     Random random = new Random(1);
-    Feeds feeds = new Feeds();
+    LineFeedScanner feeds = new LineFeedScanner();
     for (int round = 0; round < 2_000; round++) {
       int length = 1 + random.nextInt(100);
       int from = round % 2 == 0 ? 0 : random.nextInt(length);
@@ -110,7 +110,7 @@
           expected.add(i);
         }
       }
-      feeds.look(bytes, from, length);
+      feeds.reset(bytes, from, length);
       List<Integer> found = new ArrayList<>();
       for (int at = feeds.next(from); at >= 0; at = at + 1 < length ? feeds.next(at + 1) : -1) {
         found.add(at);
@@ -121,7 +121,7 @@
 
   @Test
   void knowsWhetherAClientsLineHasEndedAndWhetherOneHasBegun() {
-    ClientLines client = new ClientLines();
+    ClientLineTracker client = new ClientLineTracker();
     assertThat(client.follow(ByteBuffer.wrap("m".getBytes()), 0, 1)).isFalse();
     assertThat(client.inLine()).isTrue();
     assertThat(client.follow(ByteBuffer.wrap("\nm 2".getBytes()), 0, 4)).isTrue();
--- a/src/test/java/brassbank/relay/limits/PeerLimitsModelTest.java
+++ b/src/test/java/brassbank/relay/limits/PeerLimitsModelTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import brassbank.relay.limits.Verdict.Reason;
+import brassbank.relay.limits.DisconnectDecision.Reason;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -83,16 +83,16 @@
       Side side = random.nextBoolean() ? Side.CLIENT : Side.TARGET;
       act(random, session, side);
       if (random.nextInt(3) == 0) {
-        long period = limits.period();
+        long period = limits.evaluationDelayMicros();
         now += period < 0 ? SECOND : Math.min(period, 1 + random.nextInt(400_000));
         judge();
       }
       check();
     }
     List.copyOf(open).forEach(this::leave);
-    assertThat(limits.waiting()).isZero();
+    assertThat(limits.queuedBytes()).isZero();
     assertThat(limits.sessions()).isZero();
-    assertThat(limits.period()).isEqualTo(-1);
+    assertThat(limits.evaluationDelayMicros()).isEqualTo(-1);
   }
 
   private void enter(Random random) {
@@ -116,19 +116,19 @@
     switch (random.nextInt(6)) {
       case 0, 1 -> {
         long bytes = 1 + random.nextInt(300);
-        if (!limits.full(session, side)) {
+        if (!limits.isFull(session, side)) {
           model.queue(now, bytes);
-          limits.queued(session, side, bytes, now);
+          limits.bytesQueued(session, side, bytes, now);
         }
       }
       case 2, 3 -> {
         long bytes = Math.min(model.bytes(), random.nextInt(400));
         model.take(now, bytes);
-        limits.taken(session, side, bytes);
+        limits.bytesDrained(session, side, bytes);
       }
       case 4 -> {
         model.lineSince = now;
-        limits.lineBegun(session, side, now);
+        limits.lineStarted(session, side, now);
       }
       default -> {
         model.lineSince = -1;
@@ -141,13 +141,13 @@
   }
 
   private void judge() {
-    List<Verdict> verdicts = limits.judge(now);
-    for (Verdict verdict : verdicts) {
+    List<DisconnectDecision> verdicts = limits.evaluate(now);
+    for (DisconnectDecision verdict : verdicts) {
       Model model = models.get(verdict.session()).get(verdict.side());
-      assertThat(told.merge(verdict.session(), verdict.atOnce() ? 2 : 1, Integer::sum))
+      assertThat(told.merge(verdict.session(), verdict.immediate() ? 2 : 1, Integer::sum))
           .as("politely once, then at once")
           .isLessThanOrEqualTo(3);
-      assertThat(verdict.waiting()).isEqualTo(model.bytes());
+      assertThat(verdict.queuedBytes()).isEqualTo(model.bytes());
       if (verdict.reason() == Reason.AGE) {
         assertThat(model.age(now)).isGreaterThan(AGE);
       } else if (verdict.reason() == Reason.RATE) {
@@ -156,16 +156,19 @@
       } else if (verdict.reason() == Reason.LINE) {
         assertThat(now - model.lineSince).isGreaterThan(LINE);
       } else {
-        assertThat(verdict.atOnce()).isTrue();
+        assertThat(verdict.immediate()).isTrue();
       }
     }
-    verdicts.stream().filter(Verdict::atOnce).map(Verdict::session).forEach(this::leave);
-    if (verdicts.stream().noneMatch(Verdict::atOnce)) {
+    verdicts.stream()
+        .filter(DisconnectDecision::immediate)
+        .map(DisconnectDecision::session)
+        .forEach(this::leave);
+    if (verdicts.stream().noneMatch(DisconnectDecision::immediate)) {
       // Nobody was ended for memory: then none was short before either.
-      assertThat(limits.waiting()).isLessThanOrEqualTo(LIMITS.budget());
+      assertThat(limits.queuedBytes()).isLessThanOrEqualTo(LIMITS.budgetBytes());
     }
     for (SessionPeers session : open) {
-      assertThat(limits.overBudget(session)).isFalse();
+      assertThat(limits.isOverBudget(session)).isFalse();
       for (Model model : models.get(session).values()) {
         boolean late = model.age(now) > AGE * 5 / 4;
         assertThat(late && !told.containsKey(session)).as("given up late").isFalse();
@@ -180,6 +183,6 @@
         sum += model.bytes();
       }
     }
-    assertThat(limits.waiting()).isEqualTo(sum);
+    assertThat(limits.queuedBytes()).isEqualTo(sum);
   }
 }
--- a/src/test/java/brassbank/relay/limits/PeerLimitsTest.java
+++ b/src/test/java/brassbank/relay/limits/PeerLimitsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import brassbank.relay.limits.Verdict.Reason;
+import brassbank.relay.limits.DisconnectDecision.Reason;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -22,10 +22,10 @@
   private final SessionPeers session = limits.open(1, "acme");
 
   /** Judges each 0.25 s of a span, and returns the first verdicts, or none. */
-  private List<Verdict> judged(long from, long to, Runnable each) {
+  private List<DisconnectDecision> judged(long from, long to, Runnable each) {
     for (long now = from; now <= to; now += SECOND / 4) {
       each.run();
-      List<Verdict> verdicts = limits.judge(now);
+      List<DisconnectDecision> verdicts = limits.evaluate(now);
       if (!verdicts.isEmpty()) {
         return verdicts;
       }
@@ -35,47 +35,50 @@
 
   @Test
   void letsAPeerLiveThatStopsForThreeSecondsAndGoesOn() {
-    limits.queued(session, Side.CLIENT, 900, 0);
+    limits.bytesQueued(session, Side.CLIENT, 900, 0);
     assertThat(judged(0, 3 * SECOND, () -> {})).isEmpty();
-    limits.taken(session, Side.CLIENT, 600);
+    limits.bytesDrained(session, Side.CLIENT, 600);
     assertThat(judged(3 * SECOND, 5 * SECOND, () -> {})).isEmpty();
-    limits.taken(session, Side.CLIENT, 300);
+    limits.bytesDrained(session, Side.CLIENT, 300);
     assertThat(judged(5 * SECOND, 60 * SECOND, () -> {})).isEmpty();
-    assertThat(limits.period()).isEqualTo(-1);
+    assertThat(limits.evaluationDelayMicros()).isEqualTo(-1);
   }
 
   @Test
   void givesAPeerUpThatReadsOneByteASecondOnceTheWindowIsOver() {
-    limits.queued(session, Side.CLIENT, 900, 0);
+    limits.bytesQueued(session, Side.CLIENT, 900, 0);
     int[] turn = {0};
-    List<Verdict> verdicts =
+    List<DisconnectDecision> verdicts =
         judged(
-            0, 60 * SECOND, () -> limits.taken(session, Side.CLIENT, turn[0]++ % 4 == 0 ? 1 : 0));
+            0,
+            60 * SECOND,
+            () -> limits.bytesDrained(session, Side.CLIENT, turn[0]++ % 4 == 0 ? 1 : 0));
     assertThat(verdicts)
         .containsExactly(
-            new Verdict(session, Side.CLIENT, Reason.RATE, false, 900 - 5, 4 * SECOND));
+            new DisconnectDecision(session, Side.CLIENT, Reason.RATE, false, 900 - 5, 4 * SECOND));
     assertThat(judged(5 * SECOND, 60 * SECOND, () -> {})).as("told once").isEmpty();
   }
 
   @Test
   void givesAPeerUpWhoseBytesGrowOldThoughItKeepsTheLeastRate() {
-    limits.queued(session, Side.TARGET, 2_000, 0);
-    List<Verdict> verdicts = judged(0, 60 * SECOND, () -> limits.taken(session, Side.TARGET, 30));
-    assertThat(verdicts).extracting(Verdict::reason).containsExactly(Reason.AGE);
+    limits.bytesQueued(session, Side.TARGET, 2_000, 0);
+    List<DisconnectDecision> verdicts =
+        judged(0, 60 * SECOND, () -> limits.bytesDrained(session, Side.TARGET, 30));
+    assertThat(verdicts).extracting(DisconnectDecision::reason).containsExactly(Reason.AGE);
     assertThat(verdicts.get(0).ageMicros()).isBetween(10 * SECOND, 11 * SECOND);
   }
 
   @Test
   void givesUpWhoeverDoesNotEndItsLineButNotWhileTheOtherSideKeepsItFromBeingRead() {
-    limits.lineBegun(session, Side.CLIENT, 0);
-    limits.queued(session, Side.TARGET, 1_000, 0);
-    assertThat(limits.full(session, Side.TARGET)).isTrue();
+    limits.lineStarted(session, Side.CLIENT, 0);
+    limits.bytesQueued(session, Side.TARGET, 1_000, 0);
+    assertThat(limits.isFull(session, Side.TARGET)).isTrue();
     assertThat(judged(0, 3 * SECOND, () -> {})).isEmpty();
-    limits.taken(session, Side.TARGET, 1_000);
+    limits.bytesDrained(session, Side.TARGET, 1_000);
     assertThat(judged(3 * SECOND, 8 * SECOND, () -> {})).isEmpty();
     assertThat(judged(8 * SECOND + 1, 9 * SECOND, () -> {}))
-        .containsExactly(new Verdict(session, Side.CLIENT, Reason.LINE, false, 0, 0));
-    assertThat(limits.verdicts(Reason.LINE)).isEqualTo(1);
+        .containsExactly(new DisconnectDecision(session, Side.CLIENT, Reason.LINE, false, 0, 0));
+    assertThat(limits.disconnects(Reason.LINE)).isEqualTo(1);
   }
 
   @Test
@@ -83,37 +86,38 @@
     SessionPeers young = limits.open(2, "acme");
     SessionPeers stranger = limits.open(3, "other");
     SessionPeers small = limits.open(4, "small");
-    limits.queued(stranger, Side.CLIENT, 2_900, 0);
-    limits.queued(session, Side.CLIENT, 1_000, SECOND);
-    limits.queued(young, Side.TARGET, 2_100, 2 * SECOND);
-    limits.queued(small, Side.CLIENT, 501, 2 * SECOND);
-    assertThat(limits.overBudget(young)).isTrue();
-    assertThat(limits.overBudget(stranger)).isFalse();
-    assertThat(limits.judge(3 * SECOND))
+    limits.bytesQueued(stranger, Side.CLIENT, 2_900, 0);
+    limits.bytesQueued(session, Side.CLIENT, 1_000, SECOND);
+    limits.bytesQueued(young, Side.TARGET, 2_100, 2 * SECOND);
+    limits.bytesQueued(small, Side.CLIENT, 501, 2 * SECOND);
+    assertThat(limits.isOverBudget(young)).isTrue();
+    assertThat(limits.isOverBudget(stranger)).isFalse();
+    assertThat(limits.evaluate(3 * SECOND))
         .containsExactly(
-            new Verdict(young, Side.TARGET, Reason.PRACTICE_BUDGET, true, 2_100, SECOND),
-            new Verdict(small, Side.CLIENT, Reason.PRACTICE_BUDGET, true, 501, SECOND));
+            new DisconnectDecision(young, Side.TARGET, Reason.PRACTICE_BUDGET, true, 2_100, SECOND),
+            new DisconnectDecision(small, Side.CLIENT, Reason.PRACTICE_BUDGET, true, 501, SECOND));
     // Not closed yet, and not told twice either; nobody else pays for them.
-    assertThat(limits.judge(3 * SECOND)).isEmpty();
+    assertThat(limits.evaluate(3 * SECOND)).isEmpty();
   }
 
   @Test
   void takesThoseThatWereGivenUpBeforeAnyOther() {
-    limits.queued(session, Side.CLIENT, 100, 0);
+    limits.bytesQueued(session, Side.CLIENT, 100, 0);
     assertThat(judged(0, 5 * SECOND, () -> {})).hasSize(1);
     SessionPeers large = limits.open(2, "acme");
-    limits.queued(large, Side.CLIENT, 2_950, 5 * SECOND);
-    assertThat(limits.judge(5 * SECOND))
+    limits.bytesQueued(large, Side.CLIENT, 2_950, 5 * SECOND);
+    assertThat(limits.evaluate(5 * SECOND))
         .containsExactly(
-            new Verdict(session, Side.CLIENT, Reason.PRACTICE_BUDGET, true, 100, 5 * SECOND));
+            new DisconnectDecision(
+                session, Side.CLIENT, Reason.PRACTICE_BUDGET, true, 100, 5 * SECOND));
   }
 
   @Test
   void refusesWhatCannotBe() {
-    assertThatThrownBy(() -> limits.taken(session, Side.CLIENT, 1))
+    assertThatThrownBy(() -> limits.bytesDrained(session, Side.CLIENT, 1))
         .hasMessage("1 bytes taken, 0 waited");
     limits.close(session);
-    assertThatThrownBy(() -> limits.queued(session, Side.CLIENT, 1, 0))
+    assertThatThrownBy(() -> limits.bytesQueued(session, Side.CLIENT, 1, 0))
         .isInstanceOf(IllegalArgumentException.class);
   }
 }
--- a/src/test/java/brassbank/sim/PlantedBug.java
+++ b/src/test/java/brassbank/sim/PlantedBug.java
@@ -179,7 +179,7 @@
         return instead(from, "");
       }
       if (late) {
-        network.loop.after(1_500_000, () -> later(text));
+        network.loop.schedule(1_500_000, () -> later(text));
         return instead(from, "");
       }
       if (!text.startsWith(begins)) {
@@ -202,7 +202,7 @@
                   + text.substring(middle + 2));
         case LATE:
           late = true;
-          network.loop.after(1_500_000, () -> later(text));
+          network.loop.schedule(1_500_000, () -> later(text));
           return instead(from, "");
         case DROPPED_FOR_GOOD, DEAF:
           mute = true;
@@ -263,9 +263,9 @@
     private void again(InetSocketAddress address, String line) {
       real.connect(
           address,
-          new Connected() {
+          new ConnectHandler() {
             @Override
-            public void up(Channel channel) {
+            public void connected(Channel channel) {
               channel.handler(nobody());
               try {
                 channel.write(ByteBuffer.wrap(line.getBytes(StandardCharsets.ISO_8859_1)));
@@ -311,7 +311,7 @@
             return super.write(from);
           }
           kept = true;
-          loop.after(
+          loop.schedule(
               500_000,
               () -> {
                 try {
@@ -418,11 +418,11 @@
     }
 
     @Override
-    public Attempt get(InetSocketAddress address, String path, Answer answer) {
+    public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
       return super.get(
           address,
           path,
-          new Answer() {
+          new ResponseHandler() {
             private boolean failed;
 
             @Override
@@ -431,18 +431,18 @@
             }
 
             @Override
-            public void begun(int status) {
-              answer.begun(status);
+            public void statusReceived(int status) {
+              answer.statusReceived(status);
             }
 
             @Override
-            public void content(int status, ByteBuffer bytes, boolean last) {
+            public void contentReceived(int status, ByteBuffer bytes, boolean last) {
               ByteBuffer copy = ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
-              loop.after(
+              loop.schedule(
                   2_000_000,
                   () -> {
                     if (!failed) {
-                      answer.content(status, copy, last);
+                      answer.contentReceived(status, copy, last);
                     }
                   });
             }
@@ -468,25 +468,25 @@
     }
 
     @Override
-    public Attempt get(InetSocketAddress address, String path, Answer answer) {
+    public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
       return super.get(
           address,
           path,
-          new Answer() {
+          new ResponseHandler() {
             @Override
             public void connected() {
               answer.connected();
             }
 
             @Override
-            public void begun(int status) {
-              answer.begun(status);
+            public void statusReceived(int status) {
+              answer.statusReceived(status);
             }
 
             @Override
-            public void content(int status, ByteBuffer bytes, boolean last) {
+            public void contentReceived(int status, ByteBuffer bytes, boolean last) {
               look(StandardCharsets.ISO_8859_1.decode(bytes.duplicate()).toString());
-              answer.content(status, bytes, last);
+              answer.contentReceived(status, bytes, last);
             }
 
             @Override
@@ -508,7 +508,7 @@
     }
 
     @Override
-    public Attempt connect(InetSocketAddress address, Connected then) {
+    public Attempt connect(InetSocketAddress address, ConnectHandler then) {
       return super.connect(newest == null ? address : newest, then);
     }
   }
@@ -521,7 +521,7 @@
     }
 
     @Override
-    public Attempt connect(InetSocketAddress address, Connected then) {
+    public Attempt connect(InetSocketAddress address, ConnectHandler then) {
       if (given.containsKey(address)) {
         real.execute(() -> then.failed(new IOException("given up long ago")));
         return () -> {};
@@ -529,10 +529,10 @@
       Attempt attempt =
           super.connect(
               address,
-              new Connected() {
+              new ConnectHandler() {
                 @Override
-                public void up(Channel channel) {
-                  then.up(channel);
+                public void connected(Channel channel) {
+                  then.connected(channel);
                 }
 
                 @Override
@@ -618,13 +618,13 @@
     }
 
     @Override
-    public Attempt connect(InetSocketAddress address, Connected then) {
+    public Attempt connect(InetSocketAddress address, ConnectHandler then) {
       for (int i = 0; i < 30; i++) {
         real.connect(
             address,
-            new Connected() {
+            new ConnectHandler() {
               @Override
-              public void up(Channel channel) {
+              public void connected(Channel channel) {
                 channel.close();
               }
 
@@ -642,20 +642,20 @@
     }
 
     @Override
-    public Attempt get(InetSocketAddress address, String path, Answer answer) {
+    public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
       for (int i = 0; i < 30; i++) {
         real.get(
             address,
             path,
-            new Answer() {
+            new ResponseHandler() {
               @Override
               public void connected() {}
 
               @Override
-              public void begun(int status) {}
+              public void statusReceived(int status) {}
 
               @Override
-              public void content(int status, ByteBuffer bytes, boolean last) {}
+              public void contentReceived(int status, ByteBuffer bytes, boolean last) {}
 
               @Override
               public void failed(String why) {}
--- a/src/test/java/brassbank/sim/Wrapped.java
+++ b/src/test/java/brassbank/sim/Wrapped.java
@@ -1,7 +1,7 @@
 package brassbank.sim;
 
 import brassbank.net.Channel;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import brassbank.net.Network;
 import brassbank.sources.Clock;
 import java.io.IOException;
@@ -12,7 +12,7 @@
 /** A network that does what another one does; a planted bug overrides what it spoils. */
 class Wrapped implements Network {
   final Network real;
-  Loop loop;
+  EventLoop loop;
 
   Wrapped(Network real) {
     this.real = real;
@@ -29,7 +29,7 @@
   }
 
   @Override
-  public void start(Loop timers) throws IOException {
+  public void start(EventLoop timers) throws IOException {
     loop = timers;
     real.start(timers);
   }
@@ -46,13 +46,13 @@
   }
 
   @Override
-  public Attempt connect(InetSocketAddress address, Connected then) {
+  public Attempt connect(InetSocketAddress address, ConnectHandler then) {
     return real.connect(
         address,
-        new Connected() {
+        new ConnectHandler() {
           @Override
-          public void up(Channel channel) {
-            then.up(opened(address, channel));
+          public void connected(Channel channel) {
+            then.connected(opened(address, channel));
           }
 
           @Override
@@ -63,12 +63,12 @@
   }
 
   @Override
-  public Attempt get(InetSocketAddress address, String path, Answer answer) {
+  public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
     return real.get(address, path, answer);
   }
 
   @Override
-  public Datagrams datagrams(InetSocketAddress address, Heard heard) throws IOException {
+  public Datagrams datagrams(InetSocketAddress address, DatagramHandler heard) throws IOException {
     return real.datagrams(address, heard);
   }
 
--- a/src/test/java/brassbank/sim/members/SceneTest.java
+++ b/src/test/java/brassbank/sim/members/SceneTest.java
@@ -33,12 +33,12 @@
 
   @BeforeEach
   void quiet() {
-    Log.onThisThread(event -> {});
+    Log.setThreadSink(event -> {});
   }
 
   @AfterEach
   void loud() {
-    Log.onThisThread(null);
+    Log.setThreadSink(null);
   }
 
   private static Sum played(Scene scene, Settings settings, UnaryOperator<Network> bug) {
@@ -61,7 +61,7 @@
   }
 
   private static Scene.Result quietly(Supplier<Scene.Result> play) {
-    Log.onThisThread(event -> {});
+    Log.setThreadSink(event -> {});
     return play.get();
   }
 
@@ -236,7 +236,7 @@
     flock.run(6_000_000);
     Flock.One one = flock.all().get(5);
     Flock.One twin = flock.twin(one);
-    Log.onThisThread(
+    Log.setThreadSink(
         event -> {
           if (event.name().equals("name-taken")) {
             warnings[flock.fabric().running().machine() == one.machine ? 0 : 1]++;
--- a/src/test/java/brassbank/sim/members/Spoiled.java
+++ b/src/test/java/brassbank/sim/members/Spoiled.java
@@ -5,7 +5,7 @@
 import brassbank.membership.wire.Codec;
 import brassbank.membership.wire.RefusedException;
 import brassbank.net.Channel;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import brassbank.net.Network;
 import brassbank.sources.Clock;
 import java.io.IOException;
@@ -71,21 +71,21 @@
   }
 
   @Override
-  public Datagrams datagrams(InetSocketAddress address, Heard heard) throws IOException {
+  public Datagrams datagrams(InetSocketAddress address, DatagramHandler heard) throws IOException {
     Datagrams socket =
         real.datagrams(
             address,
             (from, bytes) -> {
               Message message = read(bytes);
               senders.put(message.sender().name(), message.sender());
-              heard(message).forEach(one -> heard.heard(from, write(one)));
+              heard(message).forEach(one -> heard.received(from, write(one)));
             });
     return new Datagrams() {
       @Override
       public void send(InetSocketAddress to, byte[] bytes) {
         Message message = read(bytes);
         sent(to, message).forEach(one -> socket.send(to, write(one)));
-        forged(message).forEach(one -> real.execute(() -> heard.heard(to, write(one))));
+        forged(message).forEach(one -> real.execute(() -> heard.received(to, write(one))));
       }
 
       @Override
@@ -108,7 +108,7 @@
   }
 
   @Override
-  public void start(Loop loop) throws IOException {
+  public void start(EventLoop loop) throws IOException {
     real.start(loop);
   }
 
@@ -124,12 +124,12 @@
   }
 
   @Override
-  public Attempt connect(InetSocketAddress address, Connected then) {
+  public Attempt connect(InetSocketAddress address, ConnectHandler then) {
     return real.connect(address, then);
   }
 
   @Override
-  public Attempt get(InetSocketAddress address, String path, Answer answer) {
+  public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
     return real.get(address, path, answer);
   }
 
--- a/src/test/java/brassbank/sim/members/SpoiledSeats.java
+++ b/src/test/java/brassbank/sim/members/SpoiledSeats.java
@@ -34,14 +34,14 @@
   }
 
   @Override
-  public Datagrams datagrams(InetSocketAddress address, Heard heard) throws IOException {
+  public Datagrams datagrams(InetSocketAddress address, DatagramHandler heard) throws IOException {
     Datagrams socket =
         real.datagrams(
             address,
             (from, bytes) -> {
               byte[] spoiled = SeatCodec.marked(bytes) ? write(taken(read(bytes))) : bytes;
               if (spoiled != null) {
-                heard.heard(from, spoiled);
+                heard.received(from, spoiled);
               }
             });
     return new Datagrams() {
@@ -53,7 +53,7 @@
         }
         SeatMessage forged = SeatCodec.marked(bytes) ? forged(to, read(bytes)) : null;
         if (forged != null) {
-          real.execute(() -> heard.heard(to, write(forged)));
+          real.execute(() -> heard.received(to, write(forged)));
         }
       }
 
