--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -6,13 +6,13 @@
 import brassbank.config.Config;
 import brassbank.decide.Decider;
 import brassbank.decide.FlowClock;
-import brassbank.decide.Happening;
+import brassbank.decide.NetworkEvent;
 import brassbank.discovery.Discovery;
 import brassbank.fleet.Fleet;
 import brassbank.forward.Dispatcher;
-import brassbank.front.Front;
+import brassbank.front.ClientFrontend;
 import brassbank.handover.DescriptorShare;
-import brassbank.handover.Holding;
+import brassbank.handover.HandoverState;
 import brassbank.lifecycle.State;
 import brassbank.log.Log;
 import brassbank.management.Management;
@@ -76,7 +76,7 @@
   private final Decider decider;
   private final Dispatcher dispatcher;
   private final Discovery discovery;
-  private final Front front;
+  private final ClientFrontend front;
 
   /** Null for a proxy that is in none. */
   private final Fleet fleet;
@@ -113,7 +113,7 @@
             config.connectTimeoutMicros(),
             config.idleTimeoutMicros(),
             config.reportFields());
-    front = new Front(net, dispatcher);
+    front = new ClientFrontend(net, dispatcher);
     discovery =
         new Discovery(
             net,
@@ -146,7 +146,7 @@
             fleet.open();
           }
           if (net.isAcceptingClients()) {
-            dispatcher.report(new Happening.Serving());
+            dispatcher.report(new NetworkEvent.ServingStarted());
           }
         });
   }
@@ -156,12 +156,12 @@
    *
    * @param first whether no other process takes them: then an old list is better than none
    */
-  public boolean able(boolean first) {
+  public boolean isReadyToServe(boolean first) {
     net.execute(
         () -> {
           this.first = first;
           boolean patient = !first && clock.now() - made < LIST_PATIENCE;
-          able = decider.ready() && (decider.listed() || !patient);
+          able = decider.hasTargets() && (decider.hasTargetList() || !patient);
         });
     return able;
   }
@@ -171,13 +171,13 @@
    *
    * @param done runs on the loop's thread once that holds
    */
-  public void accept(boolean on, Runnable done) {
+  public void setAccepting(boolean on, Runnable done) {
     net.execute(
         () -> {
-          share.needs(on, net.requiredDescriptors(dispatcher.waiting()));
+          share.needs(on, net.requiredDescriptors(dispatcher.flowsAwaitingTarget()));
           net.descriptorLimit(share.limit());
           if (on) {
-            front.opened(first);
+            front.listenerOpened(first);
           }
           net.acceptClients(on);
           if (fleet != null && on) {
@@ -186,21 +186,21 @@
             // Another process of this name is the member from here on: no goodbye.
             fleet.close(false);
           }
-          dispatcher.report(new Happening.Succeeded(!on));
+          dispatcher.report(new NetworkEvent.SuccessorChanged(!on));
           if (on) {
-            dispatcher.report(new Happening.Serving());
+            dispatcher.report(new NetworkEvent.ServingStarted());
           }
           if (on && standby) {
             standby = false;
-            dispatcher.report(new Happening.StandbyAsked());
+            dispatcher.report(new NetworkEvent.StandbyRequested());
           }
           done.run();
         });
   }
 
   /** Sends the clients away and lives on; any thread may call. */
-  public void standby() {
-    net.execute(() -> dispatcher.report(new Happening.StandbyAsked()));
+  public void enterStandby() {
+    net.execute(() -> dispatcher.report(new NetworkEvent.StandbyRequested()));
   }
 
   /**
@@ -208,7 +208,7 @@
    *
    * @param told hears on the loop's thread whether the clients are sent away now
    */
-  public void standby(Consumer<Boolean> told) {
+  public void requestStandby(Consumer<Boolean> told) {
     Operation operation = new Operation(decider, dispatcher, net, fleet);
     net.execute(
         () -> {
@@ -219,39 +219,41 @@
   }
 
   /** Takes clients again; any thread may call. */
-  public void active() {
-    net.execute(() -> dispatcher.report(new Happening.ActiveAsked()));
+  public void activate() {
+    net.execute(() -> dispatcher.report(new NetworkEvent.ActivationRequested()));
   }
 
   /** Has told what this process holds, on the loop's thread; any thread may call. */
-  public void holds(Consumer<Holding> told) {
+  public void captureState(Consumer<HandoverState> told) {
     net.execute(
         () -> {
-          share.needs(net.isAcceptingClients(), net.requiredDescriptors(dispatcher.waiting()));
+          share.needs(
+              net.isAcceptingClients(), net.requiredDescriptors(dispatcher.flowsAwaitingTarget()));
           net.descriptorLimit(share.limit());
           told.accept(
-              new Holding(
+              new HandoverState(
                   share.limit(),
                   decider.state() == State.DRAINING || decider.state() == State.STANDBY,
-                  front.ids(),
+                  front.openFlowIds(),
                   decider.targets(),
-                  decider.standing()));
+                  decider.establishedConnections()));
         });
   }
 
   /** What a predecessor with this number holds now; any thread may call. */
-  public void predecessor(long number, Holding holding) {
+  public void updatePredecessor(long number, HandoverState holding) {
     net.execute(
         () -> {
-          share.predecessor(number, holding.descriptors());
+          share.predecessor(number, holding.descriptorLimit());
           net.descriptorLimit(share.limit());
           // A process that already serves hears its operators itself.
           standby =
               !net.isAcceptingClients()
-                  && (holding.standby() || (standby && holding.descriptors() == 0));
-          front.elsewhere(number, holding.ids());
+                  && (holding.standby() || (standby && holding.descriptorLimit() == 0));
+          front.setPredecessorFlowIds(number, holding.flowIds());
           dispatcher.report(
-              new Happening.Predecessor(number, holding.targets(), holding.standing()));
+              new NetworkEvent.PredecessorReported(
+                  number, holding.targets(), holding.connections()));
         });
   }
 
@@ -276,12 +278,12 @@
           net.descriptorLimit(share.limit());
           relay.configure(limits);
           settings = next.settings();
-          dispatcher.settings(
+          dispatcher.configure(
               next.settings(),
               next.connectTimeoutMicros(),
               next.idleTimeoutMicros(),
               next.reportFields());
-          discovery.move(next.discovery());
+          discovery.changeAddress(next.discovery());
           if (fleet != null && joining != null) {
             fleet.seeds(joining.seeds());
           }
@@ -312,7 +314,7 @@
     long start = clock.now();
     net.execute(
         () -> {
-          dispatcher.report(new Happening.Stopping(start + left));
+          dispatcher.report(new NetworkEvent.StopRequested(start + left));
           net.loop().schedule(left - KILL_MARGIN - LAST_RESETS, this::abandon);
           awaitEmpty(
               start,
@@ -342,7 +344,7 @@
   }
 
   private boolean idle(long start) {
-    return decider.open() == 0
+    return decider.openFlowCount() == 0
         && !relay.hasPendingClientData()
         && clock.now() - start >= STILL_COMING;
   }
@@ -351,7 +353,7 @@
   private void awaitEmpty(long start, long emptyFor, Runnable empty) {
     if (idle(start)) {
       // What has come on a resting connection meanwhile may be one more flow.
-      front.dismiss();
+      front.closeIdleConnections();
     }
     boolean over = idle(start);
     if (over && (!net.hasClosingLinks() || emptyFor >= LAST_WORDS)) {
