--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -100,10 +100,10 @@
     settings = config.settings();
     clock = new FlowClock(network.clock());
     made = clock.now();
-    share = new DescriptorShare(config.sockets(), config.handover() != null);
+    share = new DescriptorShare(config.descriptorLimit(), config.handover() != null);
     net = new Net(share.limit(), network);
     relay = new Relay(net, limits);
-    decider = new Decider(config.settings(), config.seed(), config.known(), clock);
+    decider = new Decider(config.settings(), config.seed(), config.knownTargets(), clock);
     dispatcher =
         new Dispatcher(
             decider,
@@ -118,9 +118,9 @@
         new Discovery(
             net,
             config.discovery(),
-            config.known().index(),
+            config.knownTargets().index(),
             dispatcher,
-            new Randomness(config.seed()).part("discovery of " + config.name()));
+            new Randomness(config.seed()).stream("discovery of " + config.name()));
     fleet = joining == null ? null : new Member(config, decider, dispatcher, net, joining).fleet();
   }
 
@@ -145,7 +145,7 @@
           if (fleet != null && config.handover() == null) {
             fleet.open();
           }
-          if (net.isOpen()) {
+          if (net.isAcceptingClients()) {
             dispatcher.report(new NetworkEvent.ServingStarted());
           }
         });
@@ -174,12 +174,12 @@
   public void setAccepting(boolean on, Runnable done) {
     net.execute(
         () -> {
-          share.updateNeed(on, net.needs(dispatcher.flowsAwaitingTarget()));
-          net.limit(share.limit());
+          share.updateNeed(on, net.requiredDescriptors(dispatcher.flowsAwaitingTarget()));
+          net.descriptorLimit(share.limit());
           if (on) {
             front.listenerOpened(first);
           }
-          net.open(on);
+          net.acceptClients(on);
           if (fleet != null && on) {
             fleet.open();
           } else if (fleet != null) {
@@ -227,8 +227,9 @@
   public void captureState(Consumer<HandoverState> told) {
     net.execute(
         () -> {
-          share.updateNeed(net.isOpen(), net.needs(dispatcher.flowsAwaitingTarget()));
-          net.limit(share.limit());
+          share.updateNeed(
+              net.isAcceptingClients(), net.requiredDescriptors(dispatcher.flowsAwaitingTarget()));
+          net.descriptorLimit(share.limit());
           told.accept(
               new HandoverState(
                   share.limit(),
@@ -244,10 +245,11 @@
     net.execute(
         () -> {
           share.setPredecessorLimit(number, holding.descriptorLimit());
-          net.limit(share.limit());
+          net.descriptorLimit(share.limit());
           // A process that already serves hears its operators itself.
           standby =
-              !net.isOpen() && (holding.standby() || (standby && holding.descriptorLimit() == 0));
+              !net.isAcceptingClients()
+                  && (holding.standby() || (standby && holding.descriptorLimit() == 0));
           front.setPredecessorFlowIds(number, holding.flowIds());
           dispatcher.report(
               new NetworkEvent.PredecessorReported(
@@ -272,8 +274,8 @@
   public void reload(Config next, RelayLimits limits, Joining joining) {
     net.execute(
         () -> {
-          share.setTotalLimit(next.sockets());
-          net.limit(share.limit());
+          share.setTotalLimit(next.descriptorLimit());
+          net.descriptorLimit(share.limit());
           relay.configure(limits);
           settings = next.settings();
           dispatcher.configure(
@@ -313,7 +315,7 @@
     net.execute(
         () -> {
           dispatcher.report(new NetworkEvent.StopRequested(start + left));
-          net.loop().after(left - KILL_MARGIN - LAST_RESETS, this::abandon);
+          net.loop().schedule(left - KILL_MARGIN - LAST_RESETS, this::abandon);
           awaitEmpty(
               start,
               0,
@@ -326,7 +328,7 @@
   }
 
   private void abandon() {
-    relay.abandon();
+    relay.resetPending();
     goodbye();
   }
 
@@ -342,7 +344,9 @@
   }
 
   private boolean idle(long start) {
-    return decider.openFlowCount() == 0 && !relay.owes() && clock.now() - start >= STILL_COMING;
+    return decider.openFlowCount() == 0
+        && !relay.hasPendingClientData()
+        && clock.now() - start >= STILL_COMING;
   }
 
   /** Empty is a proxy with no flow left, whose clients have seen the end or had time to. */
@@ -352,11 +356,11 @@
       front.closeIdleConnections();
     }
     boolean over = idle(start);
-    if (over && (!net.closing() || emptyFor >= LAST_WORDS)) {
+    if (over && (!net.hasClosingLinks() || emptyFor >= LAST_WORDS)) {
       empty.run();
     } else {
       long next = over ? emptyFor + LOOK_AGAIN : 0;
-      net.loop().after(LOOK_AGAIN, () -> awaitEmpty(start, next, empty));
+      net.loop().schedule(LOOK_AGAIN, () -> awaitEmpty(start, next, empty));
     }
   }
 }
