--- a/src/main/java/brassbank/management/Request.java
+++ b/src/main/java/brassbank/management/Request.java
@@ -6,17 +6,20 @@
 import java.util.regex.Pattern;
 
 /**
- * One call as it comes, line by line (RFC 9112, sections 2 to 6, as far as three calls without
- * content need them). No I/O, no clock: whoever has the connection hands in its lines.
+ * Parses one management request line by line and executes it. Implements as much of RFC 9112,
+ * sections 2 to 6, as requests without content need.
+ *
+ * <p>Not thread-safe. Performs no I/O and reads no clock; the owner of the connection passes in the
+ * lines.
  */
 final class Request {
-  /** The most lines that a call's head may have, its first one included. */
-  static final int MOST_LINES = 64;
+  /** The most lines that the head may have, including the request line. */
+  static final int MAX_HEAD_LINES = 64;
 
-  /** The most content that is read, in bytes; none of it means anything. */
-  static final int MOST_CONTENT = 1024;
+  /** The most content that a request may have, in bytes. The content is ignored. */
+  static final int MAX_CONTENT_BYTES = 1024;
 
-  private static final Pattern FIRST =
+  private static final Pattern REQUEST_LINE =
       Pattern.compile("([!#$%&'*+.^_`|~0-9A-Za-z-]+) (\\S+) HTTP/1\\.[0-9]");
 
   private static final Pattern FIELD =
@@ -26,131 +29,140 @@
 
   private String method;
   private String path;
-  private int lines;
-  private int content = -1;
+  private int headLines;
+  private int contentLength = -1;
 
-  /** The first error, which is the answer; null while there is none. */
-  private Reply error;
+  /** The first error, which becomes the response; null while there is none. */
+  private Response error;
 
-  private boolean head = true;
+  private boolean inHead = true;
 
-  /** The answer comes later. */
-  private boolean waits;
+  /** Whether the response is pending because the fleet was asked for permission. */
+  private boolean pending;
 
-  /** Takes the next line of the head, without its end. */
-  void line(String line) {
+  /**
+   * Parses the next line of the head.
+   *
+   * @param line the line without its line end
+   */
+  void headLine(String line) {
     if (method == null && error == null) {
-      // An empty line before the first is to be passed over (RFC 9112, section 2.2).
+      // Empty lines before the request line are ignored (RFC 9112, section 2.2).
       if (!line.isEmpty()) {
-        first(line);
+        requestLine(line);
       }
     } else if (line.isEmpty()) {
-      head = false;
+      inHead = false;
     } else {
-      field(line);
+      fieldLine(line);
     }
-    if (++lines > MOST_LINES) {
-      tooLong();
+    if (++headLines > MAX_HEAD_LINES) {
+      rejectTooLong();
     }
   }
 
-  private void first(String line) {
-    Matcher parts = FIRST.matcher(line);
+  private void requestLine(String line) {
+    Matcher parts = REQUEST_LINE.matcher(line);
     if (!parts.matches()) {
-      fail(new Reply(400, "not METHOD TARGET HTTP/1.1"));
+      fail(new Response(400, "not METHOD TARGET HTTP/1.1"));
       return;
     }
     method = parts.group(1);
     path = parts.group(2).split("\\?", 2)[0];
   }
 
-  private void field(String line) {
+  private void fieldLine(String line) {
     Matcher parts = FIELD.matcher(line);
     if (!parts.matches()) {
-      fail(new Reply(400, "a header line is malformed"));
+      fail(new Response(400, "a header line is malformed"));
     } else if (parts.group(1).equalsIgnoreCase("Content-Length")) {
       if (!LENGTH.matcher(parts.group(2)).matches()
-          || (content >= 0 && content != Integer.parseInt(parts.group(2)))) {
-        fail(new Reply(400, "Content-Length is malformed"));
+          || (contentLength >= 0 && contentLength != Integer.parseInt(parts.group(2)))) {
+        fail(new Response(400, "Content-Length is malformed"));
       } else {
-        content = Integer.parseInt(parts.group(2));
-        if (content > MOST_CONTENT) {
-          fail(new Reply(413, "these calls have no content"));
+        contentLength = Integer.parseInt(parts.group(2));
+        if (contentLength > MAX_CONTENT_BYTES) {
+          fail(new Response(413, "these calls have no content"));
         }
       }
     } else if (parts.group(1).equalsIgnoreCase("Transfer-Encoding")) {
-      fail(new Reply(411, "content only with Content-Length"));
+      fail(new Response(411, "content only with Content-Length"));
     }
   }
 
-  /** A line or the whole head is longer than allowed. */
-  void tooLong() {
-    fail(new Reply(431, "the call's head is too long"));
+  /** Rejects the request because one of its head lines or the whole head is too long. */
+  void rejectTooLong() {
+    fail(new Response(431, "the call's head is too long"));
   }
 
-  private void fail(Reply reply) {
+  private void fail(Response response) {
     if (error == null) {
-      error = reply;
+      error = response;
     }
   }
 
-  /** Whether more lines of the head are to come. */
+  /** Returns whether further lines of the head are expected. */
   boolean inHead() {
-    return head && error == null;
+    return inHead && error == null;
   }
 
   /**
-   * The answer, once the call is whole or cannot become so; null until then. What the call asks for
-   * is done here.
+   * Executes the request once it is complete.
    *
-   * @param held how many bytes have come after the head
-   * @param later hears the answer where others are asked first, perhaps within this call
+   * @param contentBytes how many bytes have arrived after the head
+   * @param operations executes the operation that the request names
+   * @param callback receives the response of an operation for which the fleet has to be asked,
+   *     possibly before this method returns
+   * @return the response, or null if the request is incomplete or the callback receives the
+   *     response; a malformed request is answered before it is complete
    */
-  Reply reply(int held, Operators operators, Consumer<Reply> later) {
-    if (waits) {
+  Response execute(int contentBytes, ManagementOperations operations, Consumer<Response> callback) {
+    if (pending) {
       return null;
     }
     if (error != null) {
       return error;
     }
-    if (head || held < content) {
+    if (inHead || contentBytes < contentLength) {
       return null;
     }
     return switch (path) {
-      case "/status" -> reply("GET", operators::status);
-      case "/standby" -> standby(operators, later);
-      case "/active" -> reply("PUT", operators::active);
-      case "/members" -> members(operators);
-      default -> new Reply(404, "only /status, /standby, /active and /members are here");
+      case "/status" -> execute("GET", operations::status);
+      case "/standby" -> standby(operations, callback);
+      case "/active" -> execute("PUT", operations::activate);
+      case "/members" -> members(operations);
+      default -> new Response(404, "only /status, /standby, /active and /members are here");
     };
   }
 
-  private Reply standby(Operators operators, Consumer<Reply> later) {
-    waits = method.equals("PUT") && operators.standby(answer -> later.accept(put(answer)));
-    return waits ? null : reply("PUT", operators::standby);
+  private Response standby(ManagementOperations operations, Consumer<Response> callback) {
+    pending =
+        method.equals("PUT")
+            && operations.requestStandby(result -> callback.accept(responseToPut(result)));
+    return pending ? null : execute("PUT", operations::enterStandby);
   }
 
-  private static Reply put(Operators.Answer answer) {
-    return new Reply(answer.yes() ? 200 : 409, answer.text());
+  private static Response responseToPut(ManagementOperations.Result result) {
+    return new Response(result.success() ? 200 : 409, result.text());
   }
 
-  private Reply members(Operators operators) {
+  private Response members(ManagementOperations operations) {
     if (!method.equals("GET")) {
-      return new Reply(405, "only GET", "Allow: GET\r\n");
+      return new Response(405, "only GET", "Allow: GET\r\n");
     }
-    String members = operators.members();
+    String members = operations.membersJson();
     return members == null
-        ? new Reply(404, "this proxy keeps no view of a fleet")
-        : new Reply(200, members);
+        ? new Response(404, "this proxy keeps no view of a fleet")
+        : new Response(200, members);
   }
 
-  private Reply reply(String allowed, Supplier<Operators.Answer> asked) {
-    if (!method.equals(allowed)) {
-      return new Reply(405, "only " + allowed, "Allow: " + allowed + "\r\n");
+  private Response execute(String allowedMethod, Supplier<ManagementOperations.Result> operation) {
+    if (!method.equals(allowedMethod)) {
+      return new Response(405, "only " + allowedMethod, "Allow: " + allowedMethod + "\r\n");
     }
-    Operators.Answer answer = asked.get();
-    // A proxy that is not serving is no error of the call's, and may serve the next time.
-    int no = allowed.equals("GET") ? 503 : 409;
-    return new Reply(answer.yes() ? 200 : no, answer.text());
+    ManagementOperations.Result result = operation.get();
+    // A status query of a proxy that does not serve is a valid request, which may succeed later.
+    int failureStatus = allowedMethod.equals("GET") ? 503 : 409;
+    return new Response(result.success() ? 200 : failureStatus, result.text());
   }
 }
--- a/src/main/java/brassbank/management/Reply.java
+++ b/src/main/java/brassbank/management/Response.java
@@ -1,14 +1,14 @@
 package brassbank.management;
 
 /**
- * An answer to a call.
+ * A response to a management request.
  *
- * @param status the status of RFC 9110
+ * @param status the status code of RFC 9110
  * @param text one line for a person, in ASCII
- * @param fields further header lines, each with its end
+ * @param fields additional header lines, each with its line end
  */
-record Reply(int status, String text, String fields) {
-  Reply(int status, String text) {
+record Response(int status, String text, String fields) {
+  Response(int status, String text) {
     this(status, text, "");
   }
 
@@ -24,11 +24,14 @@
       case 413 -> "Content Too Large";
       case 431 -> "Request Header Fields Too Large";
       case 503 -> "Service Unavailable";
-      default -> throw new IllegalStateException("no reason for status " + status);
+      default -> throw new IllegalStateException("no reason phrase for status " + status);
     };
   }
 
-  /** The answer as it goes over the connection, which ends with it; its last line end is left. */
+  /**
+   * Returns the response as sent over the connection, which closes after it. The line end of the
+   * last line is left to the link, which appends it.
+   */
   String lines() {
     return "HTTP/1.1 "
         + status
--- a/src/main/java/brassbank/management/package-info.java
+++ b/src/main/java/brassbank/management/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The operators' door: calls by HTTP/1.1 in, answers out, and no state of the proxy's. What a call
- * asks for goes to {@link brassbank.management.Operators}. docs/management.md has the calls.
+ * The management interface: receives operators' HTTP/1.1 requests and answers them. The package
+ * holds no state of the proxy; {@link brassbank.management.ManagementOperations} executes the
+ * requests. docs/management.md lists them.
  */
 package brassbank.management;
--- a/src/main/java/brassbank/proxy/Operation.java
+++ b/src/main/java/brassbank/proxy/Operation.java
@@ -5,13 +5,13 @@
 import brassbank.fleet.Fleet;
 import brassbank.forward.Dispatcher;
 import brassbank.lifecycle.State;
-import brassbank.management.Operators;
+import brassbank.management.ManagementOperations;
 import brassbank.net.Net;
 import java.util.Locale;
 import java.util.function.Consumer;
 
 /** What operators ask for, as the facade hears it, and its state, as they do. */
-final class Operation implements Operators {
+final class Operation implements ManagementOperations {
   private final Decider decider;
   private final Dispatcher dispatcher;
   private final Net net;
@@ -25,40 +25,40 @@
   }
 
   @Override
-  public String members() {
+  public String membersJson() {
     return fleet == null ? null : fleet.json();
   }
 
   /** Of this process: one that another has succeeded takes no clients. */
   @Override
-  public Answer status() {
+  public Result status() {
     return answer(net.isAcceptingClients() && decider.admitsClients());
   }
 
   @Override
-  public Answer standby() {
+  public Result enterStandby() {
     dispatcher.report(new NetworkEvent.StandbyRequested());
     return answer(decider.isLeaving());
   }
 
   @Override
-  public boolean standby(Consumer<Answer> then) {
+  public boolean requestStandby(Consumer<Result> then) {
     if (fleet == null || !fleet.leavesInTurn() || decider.state() != State.ACTIVE) {
       return false;
     }
-    fleet.askToLeave(why -> then.accept(why == null ? standby() : new Answer(false, why)));
+    fleet.askToLeave(why -> then.accept(why == null ? enterStandby() : new Result(false, why)));
     return true;
   }
 
   /** A proxy that will end takes no clients, whoever asks. */
   @Override
-  public Answer active() {
+  public Result activate() {
     dispatcher.report(new NetworkEvent.ActivationRequested());
     return answer(decider.state() != State.STOPPING);
   }
 
-  private Answer answer(boolean yes) {
+  private Result answer(boolean yes) {
     String state = decider.state().name().toLowerCase(Locale.ROOT);
-    return new Answer(yes, state + " flows=" + decider.openFlowCount());
+    return new Result(yes, state + " flows=" + decider.openFlowCount());
   }
 }
--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -15,7 +15,7 @@
 import brassbank.handover.HandoverState;
 import brassbank.lifecycle.State;
 import brassbank.log.Log;
-import brassbank.management.Management;
+import brassbank.management.ManagementServer;
 import brassbank.membership.Joining;
 import brassbank.net.Net;
 import brassbank.net.Network;
@@ -131,7 +131,7 @@
   public void start() throws IOException {
     net.start();
     if (config.management() != null) {
-      new Management(net, new Operation(decider, dispatcher, net, fleet))
+      new ManagementServer(net, new Operation(decider, dispatcher, net, fleet))
           .listen(config.management());
     }
     if (config.handover() != null) {
@@ -212,8 +212,8 @@
     Operation operation = new Operation(decider, dispatcher, net, fleet);
     net.execute(
         () -> {
-          if (!operation.standby(answer -> told.accept(answer.yes()))) {
-            told.accept(operation.standby().yes());
+          if (!operation.requestStandby(result -> told.accept(result.success()))) {
+            told.accept(operation.enterStandby().success());
           }
         });
   }
--- a/src/test/java/brassbank/management/RequestTest.java
+++ b/src/test/java/brassbank/management/RequestTest.java
@@ -10,35 +10,35 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class RequestTest {
-  private final List<String> asked = new ArrayList<>();
+  private final List<String> invoked = new ArrayList<>();
 
-  private final Operators operators =
-      new Operators() {
+  private final ManagementOperations operations =
+      new ManagementOperations() {
         @Override
-        public Answer status() {
-          asked.add("status");
-          return new Answer(false, "starting");
+        public Result status() {
+          invoked.add("status");
+          return new Result(false, "starting");
         }
 
         @Override
-        public Answer standby() {
-          asked.add("standby");
-          return new Answer(true, "draining");
+        public Result enterStandby() {
+          invoked.add("standby");
+          return new Result(true, "draining");
         }
 
         @Override
-        public Answer active() {
-          asked.add("active");
-          return new Answer(false, "stopping");
+        public Result activate() {
+          invoked.add("active");
+          return new Result(false, "stopping");
         }
       };
 
-  private Reply reply(String text) {
+  private Response respond(String text) {
     Request request = new Request();
     for (String line : text.split("~", -1)) {
-      request.line(line);
+      request.headLine(line);
     }
-    return request.reply(0, operators, later -> {});
+    return request.execute(0, operations, response -> {});
   }
 
   @ParameterizedTest
@@ -61,81 +61,83 @@
     "PUT /standby HTTP/1.1~Content-Length: 2000~, 413",
     "PUT /standby HTTP/1.1~Transfer-Encoding: chunked~, 411"
   })
-  void eachCallHasItsAnswer(String text, int status) {
-    assertThat(reply(text).status()).isEqualTo(status);
-    assertThat(asked).hasSize(status == 200 || status == 409 || status == 503 ? 1 : 0);
+  void answersEachRequestWithItsStatus(String text, int status) {
+    assertThat(respond(text).status()).isEqualTo(status);
+    assertThat(invoked).hasSize(status == 200 || status == 409 || status == 503 ? 1 : 0);
   }
 
   @Test
-  void anotherMethodIsToldWhichOneIsAllowed() {
-    assertThat(reply("POST /active HTTP/1.1~").lines()).contains("\r\nAllow: PUT\r\n");
+  void namesTheAllowedMethodWhenItRejectsAnother() {
+    assertThat(respond("POST /active HTTP/1.1~").lines()).contains("\r\nAllow: PUT\r\n");
   }
 
   @Test
-  void nothingIsDoneBeforeTheCallIsWhole() {
+  void executesNothingBeforeTheRequestIsComplete() {
     Request request = new Request();
-    request.line("PUT /standby HTTP/1.1");
-    request.line("Content-Length: 3");
-    assertThat(request.reply(3, operators, later -> {})).as("the head has not ended").isNull();
-    request.line("");
-    assertThat(request.reply(2, operators, later -> {})).as("a byte is missing").isNull();
-    assertThat(asked).isEmpty();
-    assertThat(request.reply(3, operators, later -> {}).status()).isEqualTo(200);
+    request.headLine("PUT /standby HTTP/1.1");
+    request.headLine("Content-Length: 3");
+    assertThat(request.execute(3, operations, response -> {}))
+        .as("the head is incomplete")
+        .isNull();
+    request.headLine("");
+    assertThat(request.execute(2, operations, response -> {})).as("a byte is missing").isNull();
+    assertThat(invoked).isEmpty();
+    assertThat(request.execute(3, operations, response -> {}).status()).isEqualTo(200);
   }
 
   @Test
-  void aHeadWithoutEndIsTooLong() {
+  void rejectsAHeadThatDoesNotEnd() {
     Request request = new Request();
-    request.line("GET /status HTTP/1.1");
+    request.headLine("GET /status HTTP/1.1");
     for (int i = 0; request.inHead(); i++) {
-      assertThat(i).isLessThan(Request.MOST_LINES);
-      request.line("a: b");
+      assertThat(i).isLessThan(Request.MAX_HEAD_LINES);
+      request.headLine("a: b");
     }
-    assertThat(request.reply(0, operators, later -> {}).status()).isEqualTo(431);
+    assertThat(request.execute(0, operations, response -> {}).status()).isEqualTo(431);
   }
 
   @Test
-  void theLengthOfTheAnswerIsRight() {
-    String lines = new Reply(200, "active flows=0").lines() + "\r\n";
-    int content = lines.indexOf("\r\n\r\n") + 4;
-    assertThat(lines).contains("\r\nContent-Length: " + (lines.length() - content) + "\r\n");
+  void contentLengthCountsTheTextWithItsLineEnd() {
+    String lines = new Response(200, "active flows=0").lines() + "\r\n";
+    int contentStart = lines.indexOf("\r\n\r\n") + 4;
+    assertThat(lines).contains("\r\nContent-Length: " + (lines.length() - contentStart) + "\r\n");
   }
 
-  /** A fleet is asked first: nothing is answered until it has said something. */
+  /** The fleet has to permit the standby; the request is not answered before it has replied. */
   @Test
-  void standbyIsAnsweredOnceTheOthersHaveSaidWhetherItMay() {
-    List<Consumer<Operators.Answer>> asked = new ArrayList<>();
-    Operators fleet =
-        new Operators() {
+  void standbyIsAnsweredOnceTheFleetHasDecided() {
+    List<Consumer<ManagementOperations.Result>> callbacks = new ArrayList<>();
+    ManagementOperations fleet =
+        new ManagementOperations() {
           @Override
-          public Answer status() {
-            return new Answer(true, "");
+          public Result status() {
+            return new Result(true, "");
           }
 
           @Override
-          public Answer standby() {
-            throw new AssertionError("the others are asked first");
+          public Result enterStandby() {
+            throw new AssertionError("the fleet has to be asked first");
           }
 
           @Override
-          public boolean standby(Consumer<Answer> then) {
-            asked.add(then);
+          public boolean requestStandby(Consumer<Result> callback) {
+            callbacks.add(callback);
             return true;
           }
 
           @Override
-          public Answer active() {
-            return new Answer(true, "");
+          public Result activate() {
+            return new Result(true, "");
           }
         };
     Request request = new Request();
-    request.line("PUT /standby HTTP/1.1");
-    request.line("");
-    List<Reply> later = new ArrayList<>();
-    assertThat(request.reply(0, fleet, later::add)).isNull();
-    assertThat(request.reply(0, fleet, later::add)).as("more bytes have come").isNull();
-    assertThat(asked).hasSize(1);
-    asked.get(0).accept(new Operators.Answer(false, "put off: n3 leaves"));
-    assertThat(later).containsExactly(new Reply(409, "put off: n3 leaves"));
+    request.headLine("PUT /standby HTTP/1.1");
+    request.headLine("");
+    List<Response> responses = new ArrayList<>();
+    assertThat(request.execute(0, fleet, responses::add)).isNull();
+    assertThat(request.execute(0, fleet, responses::add)).as("further bytes arrived").isNull();
+    assertThat(callbacks).hasSize(1);
+    callbacks.get(0).accept(new ManagementOperations.Result(false, "put off: n3 leaves"));
+    assertThat(responses).containsExactly(new Response(409, "put off: n3 leaves"));
   }
 }
