--- a/src/main/java/brassbank/OwnOptions.java
+++ b/src/main/java/brassbank/OwnOptions.java
@@ -4,7 +4,7 @@
 import brassbank.config.file.Options;
 import brassbank.config.file.OptionsFile;
 import brassbank.config.file.Problem;
-import brassbank.membership.Joining;
+import brassbank.membership.MembershipConfig;
 import brassbank.membership.Update;
 import brassbank.relay.limits.RelayLimits;
 import java.nio.file.Path;
@@ -46,7 +46,7 @@
    *
    * @param joining null where it says nothing of a fleet
    */
-  record Said(RelayLimits relay, Joining joining) {
+  record Said(RelayLimits relay, MembershipConfig joining) {
     static final Said NOTHING = new Said(RelayLimits.NONE, null);
   }
 
@@ -68,20 +68,20 @@
           options.joining() == null ? null : usable(file, options.joining(), config));
     }
 
-    private static Joining usable(Path file, Joining joining, Config config)
+    private static MembershipConfig usable(Path file, MembershipConfig joining, Config config)
         throws UnusableException {
-      Joining whole = joining.at(config.listen());
+      MembershipConfig whole = joining.withDefaultAddress(config.listen());
       if (whole.advertised().getAddress().isAnyLocalAddress()) {
         throw new UnusableException(
             List.of(
                 file + ": membership.advertise is needed where datagrams are taken everywhere"));
       }
-      if (!Update.nameable(config.name())) {
+      if (!Update.isValidName(config.name())) {
         throw new UnusableException(
             List.of(file + ": the proxy's name cannot be a member's: " + config.name()));
       }
       String zone = config.settings().zone();
-      if (zone != null && !zone.isEmpty() && !Update.nameable(zone)) {
+      if (zone != null && !zone.isEmpty() && !Update.isValidName(zone)) {
         throw new UnusableException(
             List.of(file + ": the proxy's zone cannot be a member's: " + zone));
       }
--- a/src/main/java/brassbank/config/file/Kind.java
+++ b/src/main/java/brassbank/config/file/Kind.java
@@ -87,7 +87,7 @@
 
       @Override
       String taken(Object toml) {
-        if (!(toml instanceof String text) || !Update.nameable(text)) {
+        if (!(toml instanceof String text) || !Update.isValidName(text)) {
           throw new IllegalArgumentException();
         }
         return text;
--- a/src/main/java/brassbank/config/file/Options.java
+++ b/src/main/java/brassbank/config/file/Options.java
@@ -1,6 +1,6 @@
 package brassbank.config.file;
 
-import brassbank.membership.Joining;
+import brassbank.membership.MembershipConfig;
 import brassbank.membership.Settings;
 import brassbank.relay.limits.RelayLimits;
 import brassbank.relay.limits.SideLimits;
@@ -12,7 +12,7 @@
  * @param relay how sessions are passed on, and what slow peers may cost
  * @param joining how the proxy becomes a member of its fleet; null for none
  */
-public record Options(RelayLimits relay, Joining joining) {
+public record Options(RelayLimits relay, MembershipConfig joining) {
   /** Who is told of values that are good by themselves and bad together. */
   interface Problems {
     void problem(int line, String text);
@@ -22,7 +22,7 @@
     return new Options(relay(values, problems), joining(values, problems));
   }
 
-  private static Joining joining(Values values, Problems problems) {
+  private static MembershipConfig joining(Values values, Problems problems) {
     String fleet = values.get(Keys.FLEET);
     int line = values.line(Keys.LISTEN, Keys.ADVERTISE, Keys.SEEDS, Keys.SUSPICION, Keys.FORGET);
     if (fleet == null && values.get(Keys.BASE) != null) {
@@ -47,12 +47,14 @@
       problems.problem(
           values.line(Keys.ADVERTISE), "membership.advertise must be one machine's address");
     }
-    return new Joining(
+    return new MembershipConfig(
         fleet,
         listen == null ? null : listen.one(),
         advertised == null ? null : advertised.one(),
         values.get(Keys.SEEDS).all(),
-        Settings.USUAL.suspicion(values.get(Keys.SUSPICION)).forget(values.get(Keys.FORGET)),
+        Settings.DEFAULTS
+            .withMinSuspicion(values.get(Keys.SUSPICION))
+            .withTombstoneRetention(values.get(Keys.FORGET)),
         base == null ? Double.NaN : base,
         askers == null ? 0 : askers.intValue());
   }
--- a/src/main/java/brassbank/decide/Decider.java
+++ b/src/main/java/brassbank/decide/Decider.java
@@ -171,7 +171,7 @@
       lifecycle.on(Event.SERVING, now);
     } else if (happening instanceof Happening.Peers peers) {
       subset = peers.subset();
-      module.own(now, subset == null ? null : subset.of(group.peers()));
+      module.own(now, subset == null ? null : subset.select(group.peers()));
     }
     return decided();
   }
@@ -553,7 +553,7 @@
   private void list(TargetList list, Balancer.ListKind kind) {
     List<Balancer.ServerEntry> entries = group.take(list, kind, delays::forget);
     if (subset != null) {
-      module.own(now, subset.of(group.peers()));
+      module.own(now, subset.select(group.peers()));
     }
     module.servers(now, kind, entries);
   }
--- a/src/main/java/brassbank/fleet/Sharing.java
+++ b/src/main/java/brassbank/fleet/BudgetSharing.java
@@ -2,13 +2,13 @@
 
 import brassbank.membership.Member;
 import brassbank.membership.View;
-import brassbank.membership.wire.RefusedException;
-import brassbank.shares.Leave;
-import brassbank.shares.Part;
-import brassbank.shares.SeatOutbox;
-import brassbank.shares.SeatSettings;
-import brassbank.shares.Seats;
-import brassbank.shares.wire.SeatCodec;
+import brassbank.membership.wire.InvalidDatagramException;
+import brassbank.shares.BudgetShare;
+import brassbank.shares.DrainPermit;
+import brassbank.shares.LeaseOutbox;
+import brassbank.shares.LeaseParticipant;
+import brassbank.shares.LeaseSettings;
+import brassbank.shares.wire.LeaseCodec;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,13 +20,13 @@
  * This program among those that share the fleet's budgets. It takes nothing from membership but
  * addresses. For the loop's thread.
  */
-final class Sharing {
-  private final Seats seats;
-  private final SeatCodec codec;
+final class BudgetSharing {
+  private final LeaseParticipant seats;
+  private final LeaseCodec codec;
   private final LongSupplier taken;
-  private final Consumer<Part> told;
-  private final SeatOutbox outbox;
-  private Part last;
+  private final Consumer<BudgetShare> told;
+  private final LeaseOutbox outbox;
+  private BudgetShare last;
   private Consumer<String> leaving;
 
   /**
@@ -34,23 +34,25 @@
    * @param process by chance, new with each start
    * @param send a datagram to an address
    */
-  Sharing(
-      Sharer sharer,
+  BudgetSharing(
+      ShareParticipant sharer,
       double base,
       String fleet,
       long process,
       long now,
       BiConsumer<InetSocketAddress, byte[]> send) {
-    seats = new Seats(SeatSettings.of(base), sharer.rank(), sharer.of(), process, now);
-    codec = new SeatCodec(fleet);
-    taken = sharer.taken();
-    told = sharer.told();
-    outbox = (to, message) -> send.accept(to, codec.write(message));
+    seats =
+        new LeaseParticipant(
+            LeaseSettings.withBaseShare(base), sharer.rank(), sharer.rankCount(), process, now);
+    codec = new LeaseCodec(fleet);
+    taken = sharer.clientsAccepted();
+    told = sharer.shareListener();
+    outbox = (to, message) -> send.accept(to, codec.encode(message));
   }
 
   private static List<InetSocketAddress> others(View view) {
     List<InetSocketAddress> others = new ArrayList<>();
-    for (Member member : view.live()) {
+    for (Member member : view.liveMembers()) {
       if (!member.name().equals(view.self())) {
         others.add(member.address());
       }
@@ -59,14 +61,15 @@
   }
 
   void beat(long now, boolean wants, View view) {
-    seats.taken(now, taken.getAsLong());
-    seats.beat(now, wants && !view.displaced(), others(view), outbox);
+    seats.recordClients(now, taken.getAsLong());
+    seats.tick(now, wants && !view.displaced(), others(view), outbox);
     tell(now);
     leave(now, view);
   }
 
-  void heard(long now, InetSocketAddress from, byte[] bytes, View view) throws RefusedException {
-    seats.receive(now, from, codec.read(bytes), outbox);
+  void heard(long now, InetSocketAddress from, byte[] bytes, View view)
+      throws InvalidDatagramException {
+    seats.receive(now, from, codec.decode(bytes), outbox);
     tell(now);
     leave(now, view);
   }
@@ -82,34 +85,34 @@
       return;
     }
     leaving = then;
-    answer(seats.askToLeave(now, others(view), outbox), view);
+    answer(seats.requestDrainPermit(now, others(view), outbox), view);
   }
 
   private void leave(long now, View view) {
     if (leaving != null) {
-      answer(seats.leave(now, others(view), outbox), view);
+      answer(seats.pollDrainPermit(now, others(view), outbox), view);
     }
   }
 
-  private void answer(Leave known, View view) {
-    if (known.answer() != Leave.Answer.ASKED) {
+  private void answer(DrainPermit known, View view) {
+    if (known.status() != DrainPermit.Status.PENDING) {
       Consumer<String> then = leaving;
       leaving = null;
       then.accept(text(known, view));
     }
   }
 
-  private String text(Leave known, View view) {
-    return switch (known.answer()) {
-      case OTHER_LEAVES -> "put off: " + name(known.other(), view) + " leaves";
-      case TOO_FEW -> "put off: too few others could carry its clients";
-      case NOBODY_ANSWERS -> "put off: no majority of the fleet answers";
+  private String text(DrainPermit known, View view) {
+    return switch (known.status()) {
+      case OTHER_DRAINS -> "put off: " + name(known.otherRank(), view) + " leaves";
+      case TOO_FEW_LEASES -> "put off: too few others could carry its clients";
+      case NO_MAJORITY -> "put off: no majority of the fleet answers";
       default -> null;
     };
   }
 
   private String name(int rank, View view) {
-    InetSocketAddress address = seats.address(rank);
+    InetSocketAddress address = seats.addressOfRank(rank);
     for (Member member : view.members()) {
       if (member.address().equals(address)) {
         return member.name();
@@ -128,7 +131,7 @@
   }
 
   private void tell(long now) {
-    Part part = seats.part(now);
+    BudgetShare part = seats.share(now);
     if (!part.equals(last)) {
       last = part;
       told.accept(part);
@@ -136,11 +139,11 @@
   }
 
   /** What may be spent now. */
-  Part part(long now) {
-    return seats.part(now);
+  BudgetShare part(long now) {
+    return seats.share(now);
   }
 
-  Seats seats() {
+  LeaseParticipant seats() {
     return seats;
   }
 }
--- a/src/main/java/brassbank/fleet/Traffic.java
+++ b/src/main/java/brassbank/fleet/DatagramCounters.java
@@ -1,16 +1,16 @@
 package brassbank.fleet;
 
-import brassbank.membership.wire.Refused;
+import brassbank.membership.wire.DropReason;
 import java.util.EnumMap;
 import java.util.Map;
 
 /** Datagrams of a member since its start. */
-public final class Traffic {
+public final class DatagramCounters {
   long sent;
   long sentBytes;
   long received;
   long receivedBytes;
-  final Map<Refused, Long> refused = new EnumMap<>(Refused.class);
+  final Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
 
   public long sent() {
     return sent;
@@ -29,7 +29,7 @@
   }
 
   /** Those that were dropped unread, by the reason. */
-  public Map<Refused, Long> refused() {
-    return java.util.Collections.unmodifiableMap(refused);
+  public Map<DropReason, Long> dropped() {
+    return java.util.Collections.unmodifiableMap(dropped);
   }
 }
--- a/src/main/java/brassbank/fleet/Fleet.java
+++ b/src/main/java/brassbank/fleet/Fleet.java
@@ -1,21 +1,21 @@
 package brassbank.fleet;
 
 import brassbank.membership.Activity;
-import brassbank.membership.Change;
 import brassbank.membership.Incarnation;
-import brassbank.membership.Joining;
 import brassbank.membership.Membership;
+import brassbank.membership.MembershipConfig;
 import brassbank.membership.Message;
 import brassbank.membership.Outbox;
 import brassbank.membership.State;
 import brassbank.membership.Update;
 import brassbank.membership.View;
+import brassbank.membership.ViewChange;
 import brassbank.membership.wire.Codec;
-import brassbank.membership.wire.RefusedException;
+import brassbank.membership.wire.InvalidDatagramException;
 import brassbank.net.Loop;
 import brassbank.net.Net;
 import brassbank.net.Network;
-import brassbank.shares.wire.SeatCodec;
+import brassbank.shares.wire.LeaseCodec;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -38,21 +38,21 @@
   private static final int BIRTH_SHIFT = 12;
 
   private final Net net;
-  private final Joining joining;
+  private final MembershipConfig joining;
   private final String name;
   private final String zone;
   private final RandomGenerator chance;
   private final Supplier<Activity> activity;
   private final Codec codec;
-  private final Journal journal = new Journal();
-  private final Traffic traffic = new Traffic();
-  private final List<Consumer<Change>> listeners = new ArrayList<>();
+  private final FleetLog journal = new FleetLog();
+  private final DatagramCounters traffic = new DatagramCounters();
+  private final List<Consumer<ViewChange>> listeners = new ArrayList<>();
   private final Outbox outbox = new Out();
 
   /** Null where budgets go by the file's numbers. */
-  private final Sharer sharer;
+  private final ShareParticipant sharer;
 
-  private Sharing sharing;
+  private BudgetSharing sharing;
   private Network.Datagrams socket;
   private Membership membership;
   private Loop.Timer timer;
@@ -67,12 +67,12 @@
    */
   public Fleet(
       Net net,
-      Joining joining,
+      MembershipConfig joining,
       String name,
       String zone,
       RandomGenerator chance,
       Supplier<Activity> activity,
-      Sharer sharer) {
+      ShareParticipant sharer) {
     this.net = net;
     this.joining = joining;
     this.name = name;
@@ -125,8 +125,8 @@
     journal.opened(joining.advertised(), joining.fleet());
     if (sharer != null) {
       sharing =
-          new Sharing(
-              sharer, joining.base(), joining.fleet(), chance.nextLong(), now(), this::send);
+          new BudgetSharing(
+              sharer, joining.baseShare(), joining.fleet(), chance.nextLong(), now(), this::send);
     }
     beat();
   }
@@ -156,12 +156,12 @@
 
   private void beat() {
     long now = now();
-    membership.activity(now, activity.get(), outbox);
-    membership.beat(now, outbox);
+    membership.setActivity(now, activity.get(), outbox);
+    membership.tick(now, outbox);
     if (sharing != null) {
       sharing.beat(now, activity.get() == Activity.ACTIVE, membership.view());
     }
-    timer = net.loop().after(membership.nextDue() - now(), this::beat);
+    timer = net.loop().after(membership.nextTickAtMicros() - now(), this::beat);
   }
 
   private void heard(InetSocketAddress from, byte[] bytes) {
@@ -171,14 +171,14 @@
     traffic.received++;
     traffic.receivedBytes += bytes.length;
     try {
-      if (sharing != null && SeatCodec.marked(bytes)) {
+      if (sharing != null && LeaseCodec.hasMagic(bytes)) {
         sharing.heard(now(), from, bytes, membership.view());
       } else {
-        membership.receive(now(), from, codec.read(bytes), outbox);
+        membership.receive(now(), from, codec.decode(bytes), outbox);
       }
-    } catch (RefusedException e) {
-      traffic.refused.merge(e.why(), 1L, Long::sum);
-      journal.refused(now(), e.why(), e.getMessage(), from);
+    } catch (InvalidDatagramException e) {
+      traffic.dropped.merge(e.reason(), 1L, Long::sum);
+      journal.refused(now(), e.reason(), e.getMessage(), from);
     }
   }
 
@@ -191,19 +191,19 @@
   private final class Out implements Outbox {
     @Override
     public void send(InetSocketAddress to, Message message) {
-      Fleet.this.send(to, codec.write(message));
+      Fleet.this.send(to, codec.encode(message));
     }
 
     @Override
-    public void changed(Change change) {
+    public void viewChanged(ViewChange change) {
       journal.changed(now(), change);
       if (change.before() == null && change.after() == null) {
         View view = membership.view();
         if (view.settled()) {
-          journal.settled(view.version(), view.live().size());
+          journal.settled(view.version(), view.liveMembers().size());
         }
       }
-      for (Consumer<Change> listener : listeners) {
+      for (Consumer<ViewChange> listener : listeners) {
         listener.accept(change);
       }
     }
@@ -215,7 +215,7 @@
   }
 
   /** Whether the fleet is asked before this program leaves by its operators' call. */
-  public boolean leavesInTurn() {
+  public boolean requiresDrainPermit() {
     return sharing != null;
   }
 
@@ -224,25 +224,25 @@
    *
    * @param then hears null where it may, and else in one line why not, within a second
    */
-  public void askToLeave(Consumer<String> then) {
+  public void requestDrainPermit(Consumer<String> then) {
     sharing.askToLeave(now(), membership.view(), then);
   }
 
   /** Has each change told, in order. */
-  public void listen(Consumer<Change> listener) {
+  public void addListener(Consumer<ViewChange> listener) {
     listeners.add(listener);
   }
 
   /** Other addresses to look for others at, from here on. */
-  public void seeds(List<InetSocketAddress> seeds) {
+  public void setSeeds(List<InetSocketAddress> seeds) {
     if (membership != null) {
-      membership.seeds(seeds);
+      membership.setSeeds(seeds);
     }
   }
 
   /** The view and its figures, for operators; in ASCII. */
-  public String json() {
-    return Told.json(now(), name, membership, sharing, traffic);
+  public String statusJson() {
+    return StatusJson.render(now(), name, membership, sharing, traffic);
   }
 
   /** Null while this program is no member. */
@@ -255,7 +255,7 @@
     return membership;
   }
 
-  public Traffic traffic() {
+  public DatagramCounters traffic() {
     return traffic;
   }
 }
--- a/src/main/java/brassbank/fleet/Journal.java
+++ b/src/main/java/brassbank/fleet/FleetLog.java
@@ -3,14 +3,14 @@
 import static brassbank.log.Field.value;
 
 import brassbank.log.Log;
-import brassbank.membership.Change;
 import brassbank.membership.Member;
-import brassbank.membership.wire.Refused;
+import brassbank.membership.ViewChange;
+import brassbank.membership.wire.DropReason;
 import java.net.InetSocketAddress;
 import java.util.Locale;
 
 /** What a member logs: each change, damped in a storm, and what it drops, at a bounded pace. */
-final class Journal {
+final class FleetLog {
   private static final Log LOG = Log.of("fleet");
   private static final long SECOND = 1_000_000;
 
@@ -25,7 +25,7 @@
   private long warnedAt = Long.MIN_VALUE / 2;
   private long refused;
 
-  void changed(long now, Change change) {
+  void changed(long now, ViewChange change) {
     if (change.before() == null && change.after() == null) {
       return;
     }
@@ -73,7 +73,7 @@
         value("outcome", yields ? "gives way" : "takes it over"));
   }
 
-  void refused(long now, Refused why, String what, InetSocketAddress from) {
+  void refused(long now, DropReason why, String what, InetSocketAddress from) {
     refused++;
     if (now - warnedAt >= WARN_EVERY) {
       warnedAt = now;
--- a/src/main/java/brassbank/fleet/Sharer.java
+++ b/src/main/java/brassbank/fleet/ShareParticipant.java
@@ -1,6 +1,6 @@
 package brassbank.fleet;
 
-import brassbank.shares.Part;
+import brassbank.shares.BudgetShare;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
@@ -12,4 +12,5 @@
  * @param taken how many clients have come so far
  * @param told hears on the loop's thread of each change of what it may spend
  */
-public record Sharer(int rank, int of, LongSupplier taken, Consumer<Part> told) {}
+public record ShareParticipant(
+    int rank, int rankCount, LongSupplier clientsAccepted, Consumer<BudgetShare> shareListener) {}
--- a/src/main/java/brassbank/fleet/Told.java
+++ b/src/main/java/brassbank/fleet/StatusJson.java
@@ -4,22 +4,26 @@
 import brassbank.membership.Member;
 import brassbank.membership.Membership;
 import brassbank.membership.View;
-import brassbank.shares.Part;
-import brassbank.shares.Seats;
+import brassbank.shares.BudgetShare;
+import brassbank.shares.LeaseParticipant;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.net.InetSocketAddress;
 import java.util.Locale;
 
 /** A view as operators get it; docs/management.md has the fields. */
-final class Told {
+final class StatusJson {
   private static final double MICROS = 1e6;
   private static final double MICROS_PER_MILLI = 1e3;
 
-  private Told() {}
+  private StatusJson() {}
 
-  static String json(
-      long now, String name, Membership membership, Sharing sharing, Traffic traffic) {
+  static String render(
+      long now,
+      String name,
+      Membership membership,
+      BudgetSharing sharing,
+      DatagramCounters traffic) {
     JsonObject json = new JsonObject();
     json.addProperty("self", name);
     json.addProperty("member", membership != null);
@@ -41,36 +45,36 @@
     figures.addProperty("sent_bytes", traffic.sentBytes());
     figures.addProperty("received", traffic.received());
     figures.addProperty("received_bytes", traffic.receivedBytes());
-    traffic.refused().forEach((why, count) -> figures.addProperty("dropped_" + lower(why), count));
+    traffic.dropped().forEach((why, count) -> figures.addProperty("dropped_" + lower(why), count));
     Counters counters = membership.counters();
-    figures.addProperty("round_trip_ms", membership.roundTrip() / MICROS_PER_MILLI);
-    figures.addProperty("health", membership.health());
+    figures.addProperty("round_trip_ms", membership.smoothedRoundTripMicros() / MICROS_PER_MILLI);
+    figures.addProperty("health", membership.localHealth());
     figures.addProperty("probes", counters.probes());
-    figures.addProperty("probes_failed", counters.probesFailed());
+    figures.addProperty("probes_failed", counters.failedProbes());
     figures.addProperty("late_acks", counters.lateAcks());
     figures.addProperty("suspicions", counters.suspicions());
     figures.addProperty("refutations", counters.refutations());
-    figures.addProperty("deaths", counters.deaths());
-    figures.addProperty("views_asked", counters.pulls());
-    figures.addProperty("views_sent", counters.views());
-    figures.addProperty("old", counters.old());
-    figures.addProperty("own", counters.own());
-    figures.addProperty("overfull", counters.overfull());
-    figures.addProperty("unanswered", counters.unanswered());
+    figures.addProperty("deaths", counters.declaredDead());
+    figures.addProperty("views_asked", counters.viewRequests());
+    figures.addProperty("views_sent", counters.viewsSent());
+    figures.addProperty("old", counters.staleDatagrams());
+    figures.addProperty("own", counters.ownDatagrams());
+    figures.addProperty("overfull", counters.rejectedMembers());
+    figures.addProperty("unanswered", counters.unansweredRequests());
     json.add("figures", figures);
     return json.toString();
   }
 
-  private static JsonObject share(long now, Part part, Seats seats) {
+  private static JsonObject share(long now, BudgetShare part, LeaseParticipant seats) {
     JsonObject json = new JsonObject();
-    json.addProperty("part", part.part());
-    json.addProperty("base", part.base());
-    json.addProperty("seated", part.seated());
-    json.addProperty("turn", part.turn());
-    json.addProperty("of", part.of());
+    json.addProperty("part", part.fraction());
+    json.addProperty("base", part.baseFraction());
+    json.addProperty("seated", part.hasLease());
+    json.addProperty("turn", part.index());
+    json.addProperty("of", part.participants());
     json.addProperty("weight", seats.weight(now));
-    json.addProperty("rank_taken", seats.taken());
-    json.addProperty("other_size", seats.refused());
+    json.addProperty("rank_taken", seats.rankConflicts());
+    json.addProperty("other_size", seats.rankCountMismatches());
     return json;
   }
 
@@ -81,9 +85,9 @@
     json.addProperty("zone", member.zone());
     json.addProperty("state", lower(member.state()));
     json.addProperty("activity", lower(member.activity()));
-    json.addProperty("birth", member.incarnation().birth());
-    json.addProperty("raised", member.incarnation().raised());
-    json.addProperty("for_s", Math.max(0, now - member.since()) / MICROS);
+    json.addProperty("birth", member.incarnation().startTime());
+    json.addProperty("raised", member.incarnation().revision());
+    json.addProperty("for_s", Math.max(0, now - member.changedAtMicros()) / MICROS);
     return json;
   }
 
--- a/src/main/java/brassbank/lab/RealProxy.java
+++ b/src/main/java/brassbank/lab/RealProxy.java
@@ -1,6 +1,6 @@
 package brassbank.lab;
 
-import brassbank.shares.SeatSettings;
+import brassbank.shares.LeaseSettings;
 import brassbank.sim.actor.Instance;
 import brassbank.sim.actor.Site;
 import brassbank.sim.actor.World;
@@ -503,7 +503,7 @@
     seeds.forEach(other -> text.append('"').append(text(other.common())).append("\","));
     text.append("]\n");
     if (plan.shares()) {
-      text.append("[shares]\nbase = ").append(SeatSettings.USUAL_BASE).append('\n');
+      text.append("[shares]\nbase = ").append(LeaseSettings.DEFAULT_BASE_SHARE).append('\n');
     }
     if (plan.subsets()) {
       text.append("[subsets]\naskers = ").append(plan.askers()).append('\n');
--- a/src/main/java/brassbank/membership/Counters.java
+++ b/src/main/java/brassbank/membership/Counters.java
@@ -3,17 +3,17 @@
 /** What a member has counted since its start. */
 public final class Counters {
   long probes;
-  long probesFailed;
+  long failedProbes;
   long lateAcks;
   long suspicions;
   long refutations;
-  long deaths;
-  long pulls;
-  long views;
-  long old;
-  long own;
-  long overfull;
-  long unanswered;
+  long declaredDead;
+  long viewRequests;
+  long viewsSent;
+  long staleDatagrams;
+  long ownDatagrams;
+  long rejectedMembers;
+  long unansweredRequests;
 
   /** Pings sent to find out whether another is there. */
   public long probes() {
@@ -21,8 +21,8 @@
   }
 
   /** Of them those without an answer, neither direct nor by others. */
-  public long probesFailed() {
-    return probesFailed;
+  public long failedProbes() {
+    return failedProbes;
   }
 
   /** Answers that came when they were no longer waited for. */
@@ -41,37 +41,37 @@
   }
 
   /** Suspicions that ended with a death here. */
-  public long deaths() {
-    return deaths;
+  public long declaredDead() {
+    return declaredDead;
   }
 
   /** Whole views asked for. */
-  public long pulls() {
-    return pulls;
+  public long viewRequests() {
+    return viewRequests;
   }
 
   /** Whole views sent. */
-  public long views() {
-    return views;
+  public long viewsSent() {
+    return viewsSent;
   }
 
   /** Datagrams of a member whose newer incarnation is known. */
-  public long old() {
-    return old;
+  public long staleDatagrams() {
+    return staleDatagrams;
   }
 
   /** Datagrams that came from this member itself. */
-  public long own() {
-    return own;
+  public long ownDatagrams() {
+    return ownDatagrams;
   }
 
   /** Members that there was no room for. */
-  public long overfull() {
-    return overfull;
+  public long rejectedMembers() {
+    return rejectedMembers;
   }
 
   /** Questions left without an answer, since too many came at once. */
-  public long unanswered() {
-    return unanswered;
+  public long unansweredRequests() {
+    return unansweredRequests;
   }
 }
--- a/src/main/java/brassbank/membership/Entry.java
+++ b/src/main/java/brassbank/membership/Entry.java
@@ -42,7 +42,7 @@
     incarnation = update.incarnation();
     state = update.state();
     activity = update.activity();
-    by = update.by();
+    by = update.reportedBy();
     since = now;
   }
 
@@ -59,7 +59,7 @@
         incarnation,
         state,
         activity,
-        (int) Math.min(Update.MOST_AGE, seconds),
+        (int) Math.min(Update.MAX_AGE_SECONDS, seconds),
         by);
   }
 }
--- a/src/main/java/brassbank/membership/Incarnation.java
+++ b/src/main/java/brassbank/membership/Incarnation.java
@@ -8,32 +8,32 @@
  *     machine's clock says (see {@link Membership})
  * @param raised once for each refutation and each change of what the member does
  */
-public record Incarnation(long birth, int raised) implements Comparable<Incarnation> {
+public record Incarnation(long startTime, int revision) implements Comparable<Incarnation> {
   /** Neither part may come near its end, so that a member can always go beyond what it hears. */
-  public static final long MOST_BIRTH = 1L << 60;
+  public static final long MAX_START_TIME = 1L << 60;
 
-  public static final int MOST_RAISED = 1 << 30;
+  public static final int MAX_REVISION = 1 << 30;
 
   public Incarnation {
-    if (birth < 0 || birth > MOST_BIRTH || raised < 0 || raised > MOST_RAISED) {
-      throw new IllegalArgumentException("no incarnation: " + birth + "." + raised);
+    if (startTime < 0 || startTime > MAX_START_TIME || revision < 0 || revision > MAX_REVISION) {
+      throw new IllegalArgumentException("no incarnation: " + startTime + "." + revision);
     }
   }
 
   /** The next one of the same life. */
   Incarnation next() {
-    return new Incarnation(birth, raised + 1);
+    return new Incarnation(startTime, revision + 1);
   }
 
   @Override
   public int compareTo(Incarnation other) {
-    return birth != other.birth
-        ? Long.compare(birth, other.birth)
-        : Integer.compare(raised, other.raised);
+    return startTime != other.startTime
+        ? Long.compare(startTime, other.startTime)
+        : Integer.compare(revision, other.revision);
   }
 
   @Override
   public String toString() {
-    return birth + "." + raised;
+    return startTime + "." + revision;
   }
 }
--- a/src/main/java/brassbank/membership/Member.java
+++ b/src/main/java/brassbank/membership/Member.java
@@ -16,4 +16,4 @@
     Incarnation incarnation,
     State state,
     Activity activity,
-    long since) {}
+    long changedAtMicros) {}
--- a/src/main/java/brassbank/membership/Membership.java
+++ b/src/main/java/brassbank/membership/Membership.java
@@ -20,7 +20,7 @@
   private static final long SECOND = 1_000_000;
 
   /** A longer time without a beat was not lived. */
-  private static final long LONGEST_STEP = 5 * Settings.BEAT / 2;
+  private static final long LONGEST_STEP = 5 * Settings.TICK_MICROS / 2;
 
   /** Others that are asked to ping for one, and that hear of news in one beat (both papers: 3). */
   private static final int FANOUT = 3;
@@ -148,8 +148,8 @@
 
   // ------------------------------------------------------------------ time
 
-  /** When {@link #beat} is next wanted, of the caller's clock. */
-  public long nextDue() {
+  /** When {@link #tick} is next wanted, of the caller's clock. */
+  public long nextTickAtMicros() {
     return nextBeat;
   }
 
@@ -163,13 +163,16 @@
     now = Math.max(now, time);
   }
 
-  /** Does what time brings; to be called at {@link #nextDue}, and late where that cannot be. */
-  public void beat(long time, Outbox out) {
+  /**
+   * Does what time brings; to be called at {@link #nextTickAtMicros}, and late where that cannot
+   * be.
+   */
+  public void tick(long time, Outbox out) {
     passed(time);
     if (left || now < nextBeat) {
       return;
     }
-    nextBeat = now + Settings.BEAT;
+    nextBeat = now + Settings.TICK_MICROS;
     beats++;
     if (displaced) {
       askWhetherNameIsFree(out);
@@ -180,8 +183,8 @@
       if (lived >= nextProbe) {
         nextProbe =
             lived
-                + settings.probeBeats() * Settings.BEAT * (1 + Math.min(health, 1))
-                - Settings.BEAT / 2;
+                + settings.probeIntervalTicks() * Settings.TICK_MICROS * (1 + Math.min(health, 1))
+                - Settings.TICK_MICROS / 2;
         probe(out);
       }
       if (beats % REACH_BEATS == 0) {
@@ -199,13 +202,13 @@
     boolean calm =
         !displaced
             && !roster.suspects()
-            && lived - changedAt >= settings.quiet()
+            && lived - changedAt >= settings.settleMicros()
             && (!roster.live().isEmpty() || looks >= LOOKS || seeds.isEmpty());
     if (calm != settled) {
       settled = calm;
       version++;
       view = null;
-      out.changed(new Change(version, null, null));
+      out.viewChanged(new ViewChange(version, null, null));
     }
   }
 
@@ -217,7 +220,7 @@
       return;
     }
     counters.probes++;
-    long direct = Math.max(settings.direct(), roundTrip.most()) * (1 + health);
+    long direct = Math.max(settings.minProbeTimeoutMicros(), roundTrip.most()) * (1 + health);
     direct = Math.min(direct, SECOND);
     Probe probe =
         new Probe(
@@ -230,7 +233,7 @@
     for (int i = 0; i < 2; i++) {
       while (!round.isEmpty()) {
         Entry entry = roster.get(round.remove(round.size() - 1));
-        if (entry != null && entry.state.live()) {
+        if (entry != null && entry.state.isLive()) {
           return entry;
         }
       }
@@ -265,7 +268,7 @@
               return lived - probe.sentAt > LATE_FOR;
             });
     for (Probe probe : failed) {
-      counters.probesFailed++;
+      counters.failedProbes++;
       // Those who were asked say nothing either: then it may be this member that hears nothing.
       ill(probe.silent > 0 || !probe.asked ? 1 : 0);
       Entry target = roster.get(probe.target);
@@ -284,7 +287,7 @@
     List<Entry> asked = roster.some(FANOUT, target, chance);
     probe.silent = asked.size();
     for (Entry one : asked) {
-      out.send(one.address, message(Kind.ASK, probe.sequence, probe.target, target));
+      out.send(one.address, message(Kind.PING_REQ, probe.sequence, probe.target, target));
     }
   }
 
@@ -303,7 +306,7 @@
   }
 
   private void ill(int by) {
-    health = Math.max(0, Math.min(settings.mostHealth(), health + by));
+    health = Math.max(0, Math.min(settings.maxLocalHealth(), health + by));
   }
 
   // -------------------------------------------------- those who are not there
@@ -323,7 +326,7 @@
   }
 
   private void forget(Outbox out) {
-    for (Entry entry : roster.forget(now, settings.forget())) {
+    for (Entry entry : roster.forget(now, settings.tombstoneRetentionMicros())) {
       news.forget(entry);
       changed(entry.member(), null, out);
     }
@@ -357,7 +360,7 @@
     int listeners = FANOUT + Math.min(MORE_LISTENERS, news.size() / NEWS_IN_ONE);
     for (Entry one : roster.some(listeners, null, chance)) {
       if (!news.isEmpty()) {
-        out.send(one.address, message(Kind.NEWS, 0, "", one));
+        out.send(one.address, message(Kind.GOSSIP, 0, "", one));
       }
     }
   }
@@ -390,19 +393,20 @@
   private Message message(Kind kind, int number, String target, Entry receiver) {
     List<Update> updates = new ArrayList<>();
     Update sender = self.update(now);
-    int room = Message.MOST_BYTES - Message.FIXED - sender.size() - 1 - target.length();
+    int room = Message.MAX_BYTES - Message.FIXED_BYTES - sender.sizeBytes() - 1 - target.length();
     if (receiver != null && receiver.state != State.ALIVE) {
       // Lifeguard's buddy system: the suspect hears of it first.
       Update buddy = receiver.update(now);
       updates.add(buddy);
-      room -= buddy.size();
+      room -= buddy.sizeBytes();
     }
     news.take(room, tellings(), now, updates);
     return new Message(kind, number, sender, roster.digest(), target, updates);
   }
 
   private int tellings() {
-    return settings.tellings() * (int) Math.ceil(Math.log10(roster.live().size() + 2.0));
+    return settings.retransmitMultiplier()
+        * (int) Math.ceil(Math.log10(roster.live().size() + 2.0));
   }
 
   // -------------------------------------------------------------- receiving
@@ -415,8 +419,8 @@
     }
     Update sender = message.sender();
     if (sender.name().equals(self.name)
-        && sender.incarnation().birth() == self.incarnation.birth()) {
-      counters.own++;
+        && sender.incarnation().startTime() == self.incarnation.startTime()) {
+      counters.ownDatagrams++;
       return;
     }
     if (sender.name().equals(self.name)) {
@@ -429,7 +433,7 @@
     }
     Entry entry = roster.get(sender.name());
     if (entry != null && order.compare(sender.incarnation(), entry.incarnation) < 0) {
-      counters.old++;
+      counters.staleDatagrams++;
       answerOld(from, entry, out);
       return;
     }
@@ -445,7 +449,7 @@
         }
       }
       case ACK -> acked(message, out);
-      case ASK -> relay(from, message, out);
+      case PING_REQ -> relay(from, message, out);
       case NACK -> {
         Probe probe = probes.get(message.sequence());
         if (probe != null && probe.silent > 0) {
@@ -466,7 +470,7 @@
     if (answers.spend(1, now)) {
       out.send(to, message(kind, number, "", receiver));
     } else {
-      counters.unanswered++;
+      counters.unansweredRequests++;
     }
   }
 
@@ -475,7 +479,7 @@
     if (answers.spend(1, now)) {
       Message message =
           new Message(
-              Kind.NEWS, 0, self.update(now), roster.digest(), "", List.of(entry.update(now)));
+              Kind.GOSSIP, 0, self.update(now), roster.digest(), "", List.of(entry.update(now)));
       out.send(from, message);
     }
   }
@@ -522,7 +526,7 @@
       return;
     }
     int number = next();
-    long wait = Math.max(settings.direct(), roundTrip.most());
+    long wait = Math.max(settings.minProbeTimeoutMicros(), roundTrip.most());
     relayed.put(
         number, new Relayed(from, message.sequence(), target.name, lived + Math.min(SECOND, wait)));
     out.send(target.address, message(Kind.PING, number, target.name, target));
@@ -535,20 +539,20 @@
     boolean calm = news.isEmpty() && lived - changedAt >= SECOND / 2;
     if (message.kind() != Kind.PULL
         && message.digest() != roster.digest()
-        && sender.state.live()
+        && sender.state.isLive()
         && (calm || roster.live().size() < 2)
         && pulls.spend(1, now)) {
-      counters.pulls++;
+      counters.viewRequests++;
       out.send(sender.address, message(Kind.PULL, next(), "", sender));
     }
   }
 
   private void sendView(InetSocketAddress to, Message message, Entry asker, Outbox out) {
     if (message.digest() == roster.digest()) {
-      answer(to, Kind.NEWS, 0, asker, out);
+      answer(to, Kind.GOSSIP, 0, asker, out);
       return;
     }
-    int room = Message.MOST_BYTES - Message.FIXED - self.update(now).size() - 1;
+    int room = Message.MAX_BYTES - Message.FIXED_BYTES - self.update(now).sizeBytes() - 1;
     long bytes = 0;
     List<List<Update>> parts = new ArrayList<>();
     int left = 0;
@@ -558,21 +562,21 @@
         continue;
       }
       if (parts.isEmpty()
-          || left < update.size()
-          || parts.get(parts.size() - 1).size() == Message.MOST_UPDATES) {
+          || left < update.sizeBytes()
+          || parts.get(parts.size() - 1).size() == Message.MAX_UPDATES) {
         parts.add(new ArrayList<>());
         left = room;
       }
       parts.get(parts.size() - 1).add(update);
-      left -= update.size();
-      bytes += update.size();
+      left -= update.sizeBytes();
+      bytes += update.sizeBytes();
     }
     if (!viewBytes.spend(bytes, now)) {
-      counters.unanswered++;
-      answer(to, Kind.NEWS, 0, asker, out);
+      counters.unansweredRequests++;
+      answer(to, Kind.GOSSIP, 0, asker, out);
       return;
     }
-    counters.views++;
+    counters.viewsSent++;
     for (List<Update> part : parts) {
       out.send(to, new Message(Kind.VIEW, 0, self.update(now), roster.digest(), "", part));
     }
@@ -597,14 +601,14 @@
       return;
     }
     int newer = order.compare(update.incarnation(), entry.incarnation);
-    if (update.state() == State.SUSPECT && (newer < 0 || (newer == 0 && !entry.state.live()))) {
+    if (update.state() == State.SUSPECT && (newer < 0 || (newer == 0 && !entry.state.isLive()))) {
       correct(teller, entry, out);
     }
     if (newer > 0) {
       newer(entry, update, kind, teller, out);
     } else if (newer == 0) {
       switch (update.state()) {
-        case SUSPECT -> doubt(entry, update.by(), kind != Kind.VIEW, out);
+        case SUSPECT -> doubt(entry, update.reportedBy(), kind != Kind.VIEW, out);
         case DEAD -> dead(entry, update, kind, teller, out);
         case LEFT -> {
           if (entry.state != State.LEFT) {
@@ -621,28 +625,30 @@
   /** Whoever suspects what is long known to be otherwise has missed news, and gets it again. */
   private void correct(String teller, Entry entry, Outbox out) {
     Entry missed = roster.get(teller);
-    if (missed != null && missed.state.live() && answers.spend(1, now)) {
+    if (missed != null && missed.state.isLive() && answers.spend(1, now)) {
       out.send(
           missed.address,
           new Message(
-              Kind.NEWS, 0, self.update(now), roster.digest(), "", List.of(entry.update(now))));
+              Kind.GOSSIP, 0, self.update(now), roster.digest(), "", List.of(entry.update(now))));
     }
   }
 
   private void meet(Update update, Outbox out) {
-    long since = now - update.age() * SECOND;
-    if (update.state().live() ? !roster.room() : now - since >= settings.forget()) {
-      counters.overfull += update.state().live() ? 1 : 0;
+    long since = now - update.ageSeconds() * SECOND;
+    if (update.state().isLive()
+        ? !roster.room()
+        : now - since >= settings.tombstoneRetentionMicros()) {
+      counters.rejectedMembers += update.state().isLive() ? 1 : 0;
       return;
     }
-    Entry entry = new Entry(update, update.state().live() ? now : since);
+    Entry entry = new Entry(update, update.state().isLive() ? now : since);
     entry.state = update.state() == State.SUSPECT ? State.ALIVE : update.state();
     roster.add(entry);
     news.of(entry);
     changed(null, entry.member(), out);
     if (update.state() == State.SUSPECT) {
-      doubt(entry, update.by(), true, out);
-    } else if (update.state() == State.DEAD && update.age() < NEWLY_DEAD) {
+      doubt(entry, update.reportedBy(), true, out);
+    } else if (update.state() == State.DEAD && update.ageSeconds() < NEWLY_DEAD) {
       // A newcomer hears it from one side of a cut; the other side may know better.
       tell(entry);
     }
@@ -654,10 +660,10 @@
       case LEFT -> set(entry, update, State.LEFT, out);
       default -> {
         // It has been heard of in that incarnation, so that it was there: now it is in doubt.
-        boolean live = entry.state.live();
+        boolean live = entry.state.isLive();
         if (live || update.state() == State.SUSPECT) {
           set(entry, update, State.ALIVE, out);
-          doubt(entry, update.by(), kind != Kind.VIEW, out);
+          doubt(entry, update.reportedBy(), kind != Kind.VIEW, out);
         } else {
           set(entry, update, State.DEAD, out);
         }
@@ -670,15 +676,19 @@
    * suspicion here: else what one half of a fleet thought behind a cut would be the other's loss.
    */
   private void dead(Entry entry, Update update, Kind kind, String teller, Outbox out) {
-    if (!entry.state.live()) {
+    if (!entry.state.isLive()) {
       return;
     }
     if (entry.state == State.SUSPECT
         && kind != Kind.VIEW
-        && lived - entry.suspicion.begun() >= settings.suspicion() / 2) {
-      die(entry, update.by(), out);
+        && lived - entry.suspicion.begun() >= settings.minSuspicionMicros() / 2) {
+      die(entry, update.reportedBy(), out);
     } else {
-      doubt(entry, update.by().isEmpty() ? teller : update.by(), kind != Kind.VIEW, out);
+      doubt(
+          entry,
+          update.reportedBy().isEmpty() ? teller : update.reportedBy(),
+          kind != Kind.VIEW,
+          out);
     }
   }
 
@@ -706,14 +716,15 @@
     Member before = entry.member();
     int others = roster.live().size() - 1;
     double tens = Math.max(1, Math.log10(others + 2.0));
-    long least = (long) (settings.suspicion() * tens) + 2 * roundTrip.most();
+    long least = (long) (settings.minSuspicionMicros() * tens) + 2 * roundTrip.most();
     roster.change(
         entry,
         () -> {
           entry.state = State.SUSPECT;
           entry.by = by;
           entry.since = now;
-          entry.suspicion = new Suspicion(by, lived, least, least * settings.stretch(), others);
+          entry.suspicion =
+              new Suspicion(by, lived, least, least * settings.maxSuspicionMultiplier(), others);
         });
     changed(before, entry.member(), out);
   }
@@ -730,7 +741,7 @@
   }
 
   private void die(Entry entry, String by, Outbox out) {
-    counters.deaths++;
+    counters.declaredDead++;
     Member before = entry.member();
     roster.change(
         entry,
@@ -749,7 +760,7 @@
     roster.change(
         entry,
         () -> {
-          entry.take(update, state.live() ? now : now - update.age() * SECOND);
+          entry.take(update, state.isLive() ? now : now - update.ageSeconds() * SECOND);
           entry.state = state;
           entry.suspicion = null;
         });
@@ -762,7 +773,7 @@
     view = null;
     changedAt = lived;
     settled = false;
-    out.changed(new Change(version, before, after));
+    out.viewChanged(new ViewChange(version, before, after));
     if (after != null && roster.overfull()) {
       forget(out);
     }
@@ -774,16 +785,17 @@
     if (left) {
       return;
     }
-    int newer = Long.compare(update.incarnation().birth(), self.incarnation.birth());
+    int newer = Long.compare(update.incarnation().startTime(), self.incarnation.startTime());
     if (newer > 0) {
       nameTaken(update, out);
     } else if (newer == 0
         && update.state() != State.ALIVE
-        && update.incarnation().raised() >= self.incarnation.raised()
+        && update.incarnation().revision() >= self.incarnation.revision()
         && !displaced) {
       counters.refutations++;
       ill(1);
-      raise(new Incarnation(self.incarnation.birth(), update.incarnation().raised() + 1), out);
+      raise(
+          new Incarnation(self.incarnation.startTime(), update.incarnation().revision() + 1), out);
     }
   }
 
@@ -796,7 +808,7 @@
     if (lived - takenAt > TAKEN_WITHIN) {
       taken = 0;
     }
-    if (displaced && update.state().live()) {
+    if (displaced && update.state().isLive()) {
       return;
     }
     if (!displaced && taken >= MOST_TAKEN) {
@@ -813,7 +825,7 @@
     takenAt = lived;
     displaced = false;
     looks = 0;
-    raise(new Incarnation(update.incarnation().birth() + 1, 0), out);
+    raise(new Incarnation(update.incarnation().startTime() + 1, 0), out);
   }
 
   /** A process without a name sees nobody, and is in nobody's way. */
@@ -854,7 +866,7 @@
   }
 
   /** What this member does from now on. */
-  public void activity(long time, Activity activity, Outbox out) {
+  public void setActivity(long time, Activity activity, Outbox out) {
     passed(time);
     if (left || activity == self.activity) {
       return;
@@ -880,14 +892,14 @@
           });
       news.of(self);
       for (Entry one : roster.some(GOODBYES, null, chance)) {
-        out.send(one.address, message(Kind.NEWS, 0, "", one));
+        out.send(one.address, message(Kind.GOSSIP, 0, "", one));
       }
     }
     left = true;
   }
 
   /** Other addresses to look for others at. */
-  public void seeds(List<InetSocketAddress> addresses) {
+  public void setSeeds(List<InetSocketAddress> addresses) {
     seeds = List.copyOf(addresses);
     looks = 0;
     nextLook = lived;
@@ -904,7 +916,7 @@
       if (entry.suspicion != null) {
         text.append(entry.suspicion.deadline() - lived).append(lived - entry.suspicion.begun());
       }
-      text.append(entry.state.live() ? 0 : now - entry.since).append(entry.toBeTold);
+      text.append(entry.state.isLive() ? 0 : now - entry.since).append(entry.toBeTold);
       text.append(entry.hearsay).append(entry.hearsayOf).append(';');
     }
     for (Probe probe : probes.values()) {
@@ -940,12 +952,12 @@
   }
 
   /** Lifeguard's counter of the own health, 0 for sound. */
-  public int health() {
+  public int localHealth() {
     return health;
   }
 
   /** The usual time of an answer, in microseconds; 0 while none has come. */
-  public long roundTrip() {
+  public long smoothedRoundTripMicros() {
     return roundTrip.usual();
   }
 }
--- a/src/main/java/brassbank/membership/Joining.java
+++ b/src/main/java/brassbank/membership/MembershipConfig.java
@@ -14,20 +14,20 @@
  *     does, and nothing is shared by who is there
  * @param askers how many proxies ask a host at least; 0 where all do
  */
-public record Joining(
+public record MembershipConfig(
     String fleet,
     InetSocketAddress listen,
     InetSocketAddress advertised,
     List<InetSocketAddress> seeds,
     Settings settings,
-    double base,
-    int askers) {
-  public Joining {
+    double baseShare,
+    int minProxiesPerHost) {
+  public MembershipConfig {
     seeds = List.copyOf(seeds);
   }
 
   /** Without shares and subsets. */
-  public Joining(
+  public MembershipConfig(
       String fleet,
       InetSocketAddress listen,
       InetSocketAddress advertised,
@@ -37,29 +37,30 @@
   }
 
   /** Whether budgets are shared by who is there. */
-  public boolean shares() {
-    return !Double.isNaN(base);
+  public boolean sharesBudgets() {
+    return !Double.isNaN(baseShare);
   }
 
   /** The same with another base. */
-  public Joining sharing(double part) {
-    return new Joining(fleet, listen, advertised, seeds, settings, part, askers);
+  public MembershipConfig withBaseShare(double part) {
+    return new MembershipConfig(
+        fleet, listen, advertised, seeds, settings, part, minProxiesPerHost);
   }
 
   /** Whether each proxy asks a subset of the hosts. */
-  public boolean subsets() {
-    return askers > 0;
+  public boolean usesSubsets() {
+    return minProxiesPerHost > 0;
   }
 
   /** The same with so many proxies that ask a host at least. */
-  public Joining asking(int proxies) {
-    return new Joining(fleet, listen, advertised, seeds, settings, base, proxies);
+  public MembershipConfig withMinProxiesPerHost(int proxies) {
+    return new MembershipConfig(fleet, listen, advertised, seeds, settings, baseShare, proxies);
   }
 
   /** The same for a program whose clients come to this address. */
-  public Joining at(InetSocketAddress clients) {
+  public MembershipConfig withDefaultAddress(InetSocketAddress clients) {
     InetSocketAddress here = listen == null ? clients : listen;
     InetSocketAddress met = advertised == null ? here : advertised;
-    return new Joining(fleet, here, met, seeds, settings, base, askers);
+    return new MembershipConfig(fleet, here, met, seeds, settings, baseShare, minProxiesPerHost);
   }
 }
--- a/src/main/java/brassbank/membership/News.java
+++ b/src/main/java/brassbank/membership/News.java
@@ -64,11 +64,11 @@
         continue;
       }
       Update update = order.peek().about.update(now);
-      if (update.size() > left || into.size() >= Message.MOST_UPDATES) {
+      if (update.sizeBytes() > left || into.size() >= Message.MAX_UPDATES) {
         break;
       }
       Item item = order.poll();
-      left -= update.size();
+      left -= update.sizeBytes();
       into.add(update);
       if (++item.told < most) {
         again.add(item);
--- a/src/main/java/brassbank/membership/Outbox.java
+++ b/src/main/java/brassbank/membership/Outbox.java
@@ -8,7 +8,7 @@
   void send(InetSocketAddress to, Message message);
 
   /** The view has changed; changes come in order. */
-  default void changed(Change change) {}
+  default void viewChanged(ViewChange change) {}
 
   /** Another process says that it has this one's name, and stands at this address. */
   default void nameTaken(InetSocketAddress by, boolean yields) {}
--- a/src/main/java/brassbank/membership/Roster.java
+++ b/src/main/java/brassbank/membership/Roster.java
@@ -87,7 +87,7 @@
   }
 
   private void enter(Entry entry) {
-    if (entry.state.live()) {
+    if (entry.state.isLive()) {
       digest ^= mark(entry);
       if (entry != self) {
         entry.place = live.size();
@@ -100,7 +100,7 @@
   }
 
   private void leave(Entry entry) {
-    if (entry.state.live()) {
+    if (entry.state.isLive()) {
       digest ^= mark(entry);
       if (entry != self) {
         Entry last = live.remove(live.size() - 1);
@@ -146,7 +146,7 @@
     live.clear();
     gone.clear();
     suspects = 0;
-    digest = self.state.live() ? mark(self) : 0;
+    digest = self.state.isLive() ? mark(self) : 0;
     return others;
   }
 
@@ -173,8 +173,8 @@
 
   /** A hash of a member's name and incarnation (the finalizer of MurmurHash3, 64 bits). */
   private static long mark(Entry entry) {
-    long hash = entry.name.hashCode() * 0x9E3779B97F4A7C15L + entry.incarnation.birth();
-    hash = mix(hash) + entry.incarnation.raised();
+    long hash = entry.name.hashCode() * 0x9E3779B97F4A7C15L + entry.incarnation.startTime();
+    hash = mix(hash) + entry.incarnation.revision();
     return mix(hash);
   }
 
--- a/src/main/java/brassbank/membership/Settings.java
+++ b/src/main/java/brassbank/membership/Settings.java
@@ -13,30 +13,45 @@
  * @param quiet for how long nothing may change in a settled view
  */
 public record Settings(
-    int probeBeats,
-    long direct,
-    long suspicion,
-    int stretch,
-    int tellings,
-    int mostHealth,
-    long forget,
-    long quiet) {
+    int probeIntervalTicks,
+    long minProbeTimeoutMicros,
+    long minSuspicionMicros,
+    int maxSuspicionMultiplier,
+    int retransmitMultiplier,
+    int maxLocalHealth,
+    long tombstoneRetentionMicros,
+    long settleMicros) {
   private static final long SECOND = 1_000_000;
 
-  public static final Settings USUAL =
+  public static final Settings DEFAULTS =
       new Settings(2, SECOND / 10, SECOND, 3, 4, 8, 3_600 * SECOND, 2 * SECOND);
 
   /** One beat: everything that time brings is looked at this often. */
-  public static final long BEAT = SECOND / 10;
+  public static final long TICK_MICROS = SECOND / 10;
 
   /** The same with another time to refute a suspicion. */
-  public Settings suspicion(long micros) {
-    return new Settings(probeBeats, direct, micros, stretch, tellings, mostHealth, forget, quiet);
+  public Settings withMinSuspicion(long micros) {
+    return new Settings(
+        probeIntervalTicks,
+        minProbeTimeoutMicros,
+        micros,
+        maxSuspicionMultiplier,
+        retransmitMultiplier,
+        maxLocalHealth,
+        tombstoneRetentionMicros,
+        settleMicros);
   }
 
   /** The same with another memory of the dead. */
-  public Settings forget(long micros) {
+  public Settings withTombstoneRetention(long micros) {
     return new Settings(
-        probeBeats, direct, suspicion, stretch, tellings, mostHealth, micros, quiet);
+        probeIntervalTicks,
+        minProbeTimeoutMicros,
+        minSuspicionMicros,
+        maxSuspicionMultiplier,
+        retransmitMultiplier,
+        maxLocalHealth,
+        micros,
+        settleMicros);
   }
 }
--- a/src/main/java/brassbank/membership/State.java
+++ b/src/main/java/brassbank/membership/State.java
@@ -15,7 +15,7 @@
   LEFT;
 
   /** Whether it is still counted as there. */
-  public boolean live() {
+  public boolean isLive() {
     return this == ALIVE || this == SUSPECT;
   }
 }
--- a/src/main/java/brassbank/membership/View.java
+++ b/src/main/java/brassbank/membership/View.java
@@ -19,7 +19,7 @@
   }
 
   /** Those that are there, the suspected among them. */
-  public List<Member> live() {
-    return members.stream().filter(member -> member.state().live()).toList();
+  public List<Member> liveMembers() {
+    return members.stream().filter(member -> member.state().isLive()).toList();
   }
 }
--- a/src/main/java/brassbank/membership/Change.java
+++ b/src/main/java/brassbank/membership/ViewChange.java
@@ -7,4 +7,4 @@
  * @param before null for one that was not known
  * @param after null for one that is forgotten
  */
-public record Change(long version, Member before, Member after) {}
+public record ViewChange(long version, Member before, Member after) {}
--- a/src/main/java/brassbank/membership/wire/Codec.java
+++ b/src/main/java/brassbank/membership/wire/Codec.java
@@ -22,7 +22,7 @@
   static final byte VERSION = 1;
 
   private static final int CHECKSUM = 4;
-  private static final int LEAST_BYTES = Message.FIXED + 20;
+  private static final int LEAST_BYTES = Message.FIXED_BYTES + 20;
 
   private static final Message.Kind[] KINDS = Message.Kind.values();
   private static final State[] STATES = State.values();
@@ -34,12 +34,12 @@
    * @param fleet the fleet's name; what comes from another one is dropped
    */
   public Codec(String fleet) {
-    this.fleet = Frame.fleet(fleet);
+    this.fleet = Frame.fleetHash(fleet);
   }
 
   /** The bytes of a message; throws IllegalArgumentException where they are too many. */
-  public byte[] write(Message message) {
-    ByteBuffer to = ByteBuffer.allocate(Message.MOST_BYTES);
+  public byte[] encode(Message message) {
+    ByteBuffer to = ByteBuffer.allocate(Message.MAX_BYTES);
     try {
       to.putShort(MARK).put(VERSION).put((byte) message.kind().ordinal()).putLong(fleet);
       to.putInt(message.sequence()).putLong(message.digest());
@@ -49,7 +49,7 @@
       message.updates().forEach(one -> update(to, one));
       to.putInt(Frame.checksum(to.array(), to.position()));
     } catch (java.nio.BufferOverflowException e) {
-      throw new IllegalArgumentException("a message of more than " + Message.MOST_BYTES, e);
+      throw new IllegalArgumentException("a message of more than " + Message.MAX_BYTES, e);
     }
     byte[] bytes = new byte[to.flip().remaining()];
     to.get(bytes);
@@ -58,7 +58,7 @@
 
   private static void text(ByteBuffer to, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    if (bytes.length > Update.MOST_NAME) {
+    if (bytes.length > Update.MAX_NAME_LENGTH) {
       throw new IllegalArgumentException("a name of " + bytes.length + " bytes");
     }
     to.put((byte) bytes.length).put(bytes);
@@ -69,39 +69,38 @@
     byte[] address = update.address().getAddress().getAddress();
     to.put((byte) address.length).put(address).putShort((short) update.address().getPort());
     text(to, update.zone());
-    to.putLong(update.incarnation().birth()).putInt(update.incarnation().raised());
+    to.putLong(update.incarnation().startTime()).putInt(update.incarnation().revision());
     to.put((byte) (update.state().ordinal() << 4 | update.activity().ordinal()));
-    to.putShort((short) update.age());
-    text(to, update.by());
+    to.putShort((short) update.ageSeconds());
+    text(to, update.reportedBy());
   }
 
   /** The message in a datagram, all of whose fields are within their bounds. */
-  public Message read(byte[] bytes) throws RefusedException {
+  public Message decode(byte[] bytes) throws InvalidDatagramException {
     ByteBuffer from = ByteBuffer.wrap(bytes);
-    if (bytes.length < LEAST_BYTES
-        || bytes.length > Message.MOST_BYTES
-        || from.getShort() != MARK) {
-      throw new RefusedException(Refused.FOREIGN, bytes.length + " bytes that are no message");
+    if (bytes.length < LEAST_BYTES || bytes.length > Message.MAX_BYTES || from.getShort() != MARK) {
+      throw new InvalidDatagramException(
+          DropReason.FOREIGN, bytes.length + " bytes that are no message");
     }
     int end = bytes.length - CHECKSUM;
     if (from.getInt(end) != Frame.checksum(bytes, end)) {
-      throw new RefusedException(Refused.DAMAGED, "cut off or damaged");
+      throw new InvalidDatagramException(DropReason.DAMAGED, "cut off or damaged");
     }
     byte version = from.get();
     if (version != VERSION) {
-      throw new RefusedException(Refused.VERSION, "version " + version);
+      throw new InvalidDatagramException(DropReason.VERSION, "version " + version);
     }
     from.limit(end);
     try {
       Message.Kind kind = one(KINDS, from.get(), "kind");
       if (from.getLong() != fleet) {
-        throw new RefusedException(Refused.FLEET, "another fleet's");
+        throw new InvalidDatagramException(DropReason.FLEET, "another fleet's");
       }
       int sequence = from.getInt();
       long digest = from.getLong();
       String target = name(from, true);
       int count = from.get();
-      if (count < 0 || count > Message.MOST_UPDATES) {
+      if (count < 0 || count > Message.MAX_UPDATES) {
         throw malformed(count + " updates");
       }
       Update sender = update(from);
@@ -118,32 +117,32 @@
     }
   }
 
-  private static RefusedException malformed(String what) {
-    return new RefusedException(Refused.MALFORMED, what);
+  private static InvalidDatagramException malformed(String what) {
+    return new InvalidDatagramException(DropReason.MALFORMED, what);
   }
 
-  private static <T> T one(T[] all, int number, String what) throws RefusedException {
+  private static <T> T one(T[] all, int number, String what) throws InvalidDatagramException {
     if (number < 0 || number >= all.length) {
       throw malformed(what + " " + number);
     }
     return all[number];
   }
 
-  private static String name(ByteBuffer from, boolean mayBeEmpty) throws RefusedException {
+  private static String name(ByteBuffer from, boolean mayBeEmpty) throws InvalidDatagramException {
     int length = from.get();
-    if (length < 0 || length > Update.MOST_NAME) {
+    if (length < 0 || length > Update.MAX_NAME_LENGTH) {
       throw malformed("a name of " + length + " bytes");
     }
     byte[] bytes = new byte[length];
     from.get(bytes);
     String name = new String(bytes, StandardCharsets.US_ASCII);
-    if (!(length == 0 ? mayBeEmpty : Update.nameable(name))) {
+    if (!(length == 0 ? mayBeEmpty : Update.isValidName(name))) {
       throw malformed("a name that is none");
     }
     return name;
   }
 
-  private static Update update(ByteBuffer from) throws RefusedException {
+  private static Update update(ByteBuffer from) throws InvalidDatagramException {
     String name = name(from, false);
     int length = from.get();
     if (length != 4 && length != 16) {
@@ -160,9 +159,9 @@
     int raised = from.getInt();
     // Beyond the bound nobody could contradict it any more.
     if (birth < 0
-        || birth >= Incarnation.MOST_BIRTH
+        || birth >= Incarnation.MAX_START_TIME
         || raised < 0
-        || raised >= Incarnation.MOST_RAISED) {
+        || raised >= Incarnation.MAX_REVISION) {
       throw malformed("incarnation " + birth + "." + raised);
     }
     int both = from.get() & 0xff;
--- a/src/main/java/brassbank/membership/wire/Refused.java
+++ b/src/main/java/brassbank/membership/wire/DropReason.java
@@ -1,7 +1,7 @@
 package brassbank.membership.wire;
 
 /** Why a datagram is dropped. */
-public enum Refused {
+public enum DropReason {
   /** Shorter than any, longer than allowed, or without the mark: something else's. */
   FOREIGN,
   /** Cut off or damaged on its way. */
--- a/src/main/java/brassbank/membership/wire/Frame.java
+++ b/src/main/java/brassbank/membership/wire/Frame.java
@@ -8,7 +8,7 @@
   private Frame() {}
 
   /** A fleet's name as datagrams have it: FNV-1a, 64 bits, over its UTF-8. */
-  public static long fleet(String name) {
+  public static long fleetHash(String name) {
     long hash = 0xcbf29ce484222325L;
     for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
       hash = (hash ^ (b & 0xff)) * 0x100000001b3L;
--- a/src/main/java/brassbank/membership/wire/RefusedException.java
+++ b/src/main/java/brassbank/membership/wire/InvalidDatagramException.java
@@ -1,18 +1,18 @@
 package brassbank.membership.wire;
 
 /** A datagram that is dropped. */
-public final class RefusedException extends Exception {
+public final class InvalidDatagramException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  private final Refused why;
+  private final DropReason reason;
 
-  public RefusedException(Refused why, String what) {
+  public InvalidDatagramException(DropReason why, String what) {
     // Whoever sends rubbish must not make the receiver walk through its stack.
     super(what, null, false, false);
-    this.why = why;
+    this.reason = why;
   }
 
-  public Refused why() {
-    return why;
+  public DropReason reason() {
+    return reason;
   }
 }
--- a/src/main/java/brassbank/proxy/Member.java
+++ b/src/main/java/brassbank/proxy/Member.java
@@ -4,10 +4,10 @@
 import brassbank.decide.Decider;
 import brassbank.decide.Happening;
 import brassbank.fleet.Fleet;
-import brassbank.fleet.Sharer;
+import brassbank.fleet.ShareParticipant;
 import brassbank.forward.Dispatcher;
 import brassbank.membership.Activity;
-import brassbank.membership.Joining;
+import brassbank.membership.MembershipConfig;
 import brassbank.net.Net;
 import brassbank.sources.Randomness;
 
@@ -18,19 +18,19 @@
 
   private final Fleet fleet;
 
-  Member(Config config, Decider decider, Dispatcher dispatcher, Net net, Joining joining) {
+  Member(Config config, Decider decider, Dispatcher dispatcher, Net net, MembershipConfig joining) {
     fleet =
         new Fleet(
             net,
-            joining.at(config.listen()),
+            joining.withDefaultAddress(config.listen()),
             config.name(),
             config.settings().zone() == null ? "" : config.settings().zone(),
             new Randomness(config.seed()).part("fleet of " + config.name()),
             () -> activity(decider),
-            joining.shares() ? sharer(config, decider, dispatcher) : null);
-    if (joining.subsets()) {
-      Peers peers = new Peers(net, dispatcher, fleet, config.name(), joining.askers());
-      fleet.listen(change -> peers.changed());
+            joining.sharesBudgets() ? sharer(config, decider, dispatcher) : null);
+    if (joining.usesSubsets()) {
+      Peers peers = new Peers(net, dispatcher, fleet, config.name(), joining.minProxiesPerHost());
+      fleet.addListener(change -> peers.changed());
     }
   }
 
@@ -38,19 +38,19 @@
     return fleet;
   }
 
-  private static Sharer sharer(Config config, Decider decider, Dispatcher dispatcher) {
-    return new Sharer(
+  private static ShareParticipant sharer(Config config, Decider decider, Dispatcher dispatcher) {
+    return new ShareParticipant(
         config.settings().rank(),
         config.settings().nodes(),
         decider::taken,
         part ->
             dispatcher.report(
                 new Happening.Shared(
-                    part.part(),
-                    part.base(),
-                    part.turn(),
-                    part.of(),
-                    part.seated() ? part.until() * NANOS_PER_MICRO : LONG_AGO)));
+                    part.fraction(),
+                    part.baseFraction(),
+                    part.index(),
+                    part.participants(),
+                    part.hasLease() ? part.leaseEndMicros() * NANOS_PER_MICRO : LONG_AGO)));
   }
 
   private static Activity activity(Decider decider) {
--- a/src/main/java/brassbank/proxy/Operation.java
+++ b/src/main/java/brassbank/proxy/Operation.java
@@ -26,7 +26,7 @@
 
   @Override
   public String members() {
-    return fleet == null ? null : fleet.json();
+    return fleet == null ? null : fleet.statusJson();
   }
 
   /** Of this process: one that another has succeeded takes no clients. */
@@ -43,10 +43,10 @@
 
   @Override
   public boolean standby(Consumer<Answer> then) {
-    if (fleet == null || !fleet.leavesInTurn() || decider.state() != State.ACTIVE) {
+    if (fleet == null || !fleet.requiresDrainPermit() || decider.state() != State.ACTIVE) {
       return false;
     }
-    fleet.askToLeave(why -> then.accept(why == null ? standby() : new Answer(false, why)));
+    fleet.requestDrainPermit(why -> then.accept(why == null ? standby() : new Answer(false, why)));
     return true;
   }
 
--- a/src/main/java/brassbank/proxy/Peers.java
+++ b/src/main/java/brassbank/proxy/Peers.java
@@ -64,7 +64,7 @@
   }
 
   private static List<Peer> peers(View view) {
-    return view.live().stream()
+    return view.liveMembers().stream()
         .filter(member -> takesClients(member.activity()))
         .map(member -> new Peer(member.name(), member.zone()))
         .sorted(Comparator.comparing(Peer::name))
--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -16,7 +16,7 @@
 import brassbank.lifecycle.State;
 import brassbank.log.Log;
 import brassbank.management.Management;
-import brassbank.membership.Joining;
+import brassbank.membership.MembershipConfig;
 import brassbank.net.Net;
 import brassbank.net.Network;
 import brassbank.relay.Relay;
@@ -95,7 +95,7 @@
    *
    * @param joining how it becomes one, or null for none
    */
-  public Proxy(Config config, RelayLimits limits, Joining joining, Network network) {
+  public Proxy(Config config, RelayLimits limits, MembershipConfig joining, Network network) {
     this.config = config;
     settings = config.settings();
     clock = new FlowClock(network.clock());
@@ -267,7 +267,7 @@
   }
 
   /** As above, with other addresses to look for the fleet at, or null for the same. */
-  public void reload(Config next, RelayLimits limits, Joining joining) {
+  public void reload(Config next, RelayLimits limits, MembershipConfig joining) {
     net.execute(
         () -> {
           share.sockets(next.sockets());
@@ -281,7 +281,7 @@
               next.reportFields());
           discovery.move(next.discovery());
           if (fleet != null && joining != null) {
-            fleet.seeds(joining.seeds());
+            fleet.setSeeds(joining.seeds());
           }
           LOG.info("reloaded", value("discovery", next.discovery()));
         });
--- a/src/main/java/brassbank/shares/Part.java
+++ b/src/main/java/brassbank/shares/BudgetShare.java
@@ -10,9 +10,10 @@
  * @param until when its seat ends if nothing is heard, in microseconds of the caller's clock;
  *     Long.MIN_VALUE where it has none
  */
-public record Part(double part, double base, int turn, int of, long until) {
+public record BudgetShare(
+    double fraction, double baseFraction, int index, int participants, long leaseEndMicros) {
   /** Whether it spends with a seat. */
-  public boolean seated() {
-    return until != Long.MIN_VALUE;
+  public boolean hasLease() {
+    return leaseEndMicros != Long.MIN_VALUE;
   }
 }
--- a/src/main/java/brassbank/shares/Demand.java
+++ b/src/main/java/brassbank/shares/Demand.java
@@ -45,19 +45,19 @@
 
   /** Clients in ten seconds. */
   int count() {
-    return (int) Math.min(SeatMessage.MOST_DEMAND, Math.round(rate * PER));
+    return (int) Math.min(LeaseMessage.MAX_DEMAND, Math.round(rate * PER));
   }
 
   /** What this process is to weigh where the mean count is this; NaN where that is not known. */
   int weight(long now, double mean) {
     if (Double.isNaN(mean) || now - startedAt < KNOWN) {
-      return SeatMessage.USUAL_WEIGHT;
+      return LeaseMessage.DEFAULT_WEIGHT;
     }
     double times = (count() + PRIOR) / (mean + PRIOR);
     if (times < ALIKE && times > 1 / ALIKE) {
-      return SeatMessage.USUAL_WEIGHT;
+      return LeaseMessage.DEFAULT_WEIGHT;
     }
-    long weight = Math.round(SeatMessage.USUAL_WEIGHT * times);
-    return (int) Math.min(SeatMessage.MOST_WEIGHT, Math.max(1, weight));
+    long weight = Math.round(LeaseMessage.DEFAULT_WEIGHT * times);
+    return (int) Math.min(LeaseMessage.MAX_WEIGHT, Math.max(1, weight));
   }
 }
--- a/src/main/java/brassbank/shares/Leave.java
+++ b/src/main/java/brassbank/shares/DrainPermit.java
@@ -5,25 +5,25 @@
  *
  * @param other the rank that leaves instead, or one below zero
  */
-public record Leave(Answer answer, int other) {
-  static final Leave ASKED = new Leave(Answer.ASKED, -1);
-  static final Leave GO = new Leave(Answer.GO, -1);
+public record DrainPermit(Status status, int otherRank) {
+  static final DrainPermit ASKED = new DrainPermit(Status.PENDING, -1);
+  static final DrainPermit GO = new DrainPermit(Status.GRANTED, -1);
 
   /** What is known. */
-  public enum Answer {
+  public enum Status {
     /** Not yet known. */
-    ASKED,
+    PENDING,
     /** It may, now. */
-    GO,
+    GRANTED,
     /** Another leaves. */
-    OTHER_LEAVES,
+    OTHER_DRAINS,
     /** Too few others have a seat to carry what it holds. */
-    TOO_FEW,
+    TOO_FEW_LEASES,
     /** No majority of keepers answers. */
-    NOBODY_ANSWERS
+    NO_MAJORITY
   }
 
-  static Leave of(Answer answer) {
-    return new Leave(answer, -1);
+  static DrainPermit of(Status answer) {
+    return new DrainPermit(answer, -1);
   }
 }
--- a/src/main/java/brassbank/shares/Turn.java
+++ b/src/main/java/brassbank/shares/DrainPermitRequest.java
@@ -7,7 +7,7 @@
  * its own clock: one that was stopped meanwhile finds the turn over. Times are microseconds. For
  * one thread at a time.
  */
-final class Turn {
+final class DrainPermitRequest {
   /** Who asks to leave waits so long for a majority. */
   private static final long WITHIN = 700_000;
 
@@ -17,7 +17,7 @@
   private final BitSet letGoBy = new BitSet();
   private int other = -1;
 
-  Turn(int majority, int sequence, long now) {
+  DrainPermitRequest(int majority, int sequence, long now) {
     this.majority = majority;
     this.sequence = sequence;
     askedAt = now;
@@ -38,12 +38,12 @@
   }
 
   /** What is known now. */
-  Leave leave(long now) {
+  DrainPermit leave(long now) {
     if (other >= 0) {
-      return new Leave(Leave.Answer.OTHER_LEAVES, other);
+      return new DrainPermit(DrainPermit.Status.OTHER_DRAINS, other);
     } else if (now - askedAt >= WITHIN) {
-      return Leave.of(Leave.Answer.NOBODY_ANSWERS);
+      return DrainPermit.of(DrainPermit.Status.NO_MAJORITY);
     }
-    return letGoBy.cardinality() >= majority ? Leave.GO : Leave.ASKED;
+    return letGoBy.cardinality() >= majority ? DrainPermit.GO : DrainPermit.ASKED;
   }
 }
--- a/src/main/java/brassbank/shares/Keeper.java
+++ b/src/main/java/brassbank/shares/LeaseGrantor.java
@@ -15,7 +15,7 @@
  *
  * <p>Times are microseconds. A call costs as much as there are seats. For one thread at a time.
  */
-final class Keeper {
+final class LeaseGrantor {
   /**
    * Who is let go has the turn for so long from its asking's arrival: longer than it may wait for
    * the others' answers, and then take to send its clients away (4 s).
@@ -44,7 +44,7 @@
   /** Who has the turn to leave, or had it last; null while nobody has asked. */
   private Held leaving;
 
-  Keeper(long holds, long now) {
+  LeaseGrantor(long holds, long now) {
     this.holds = holds;
     startedAt = now;
   }
--- a/src/main/java/brassbank/shares/SeatMessage.java
+++ b/src/main/java/brassbank/shares/LeaseMessage.java
@@ -14,30 +14,30 @@
  * @param seats ranks that have a seat with the sender, in {@link Kind#HELD}; who leaves, in {@link
  *     Kind#OTHER_LEAVES}; else empty
  * @param weights of those seats in the order of their ranks, in HELD; else empty
- * @param weight of the seat that is asked for, from 1 to {@link #MOST_WEIGHT}
+ * @param weight of the seat that is asked for, from 1 to {@link #MAX_WEIGHT}
  * @param demand clients that come to the asker in ten seconds; in HELD to all with a seat together
  */
-public record SeatMessage(
+public record LeaseMessage(
     Kind kind,
     long process,
     int rank,
-    int of,
+    int rankCount,
     int sequence,
-    BitSet seats,
+    BitSet ranks,
     List<Integer> weights,
     int weight,
     int demand) {
   /** Ranks that one fleet may have. */
-  public static final int MOST_RANKS = 256;
+  public static final int MAX_RANKS = 256;
 
   /** What a seat weighs whose process has about as many clients as others. */
-  public static final int USUAL_WEIGHT = 4;
+  public static final int DEFAULT_WEIGHT = 4;
 
   /** Nobody's part is more than four times the usual one's. */
-  public static final int MOST_WEIGHT = 16;
+  public static final int MAX_WEIGHT = 16;
 
   /** Of one process; a fleet's sum has room in four bytes. */
-  public static final int MOST_DEMAND = 1_000_000;
+  public static final int MAX_DEMAND = 1_000_000;
 
   /** What is said. */
   public enum Kind {
@@ -59,22 +59,26 @@
     STAYS
   }
 
-  public SeatMessage {
-    if (of < 1 || of > MOST_RANKS || rank < 0 || rank >= of || seats.length() > of) {
-      throw new IllegalArgumentException("rank " + rank + " of " + of);
+  public LeaseMessage {
+    if (rankCount < 1
+        || rankCount > MAX_RANKS
+        || rank < 0
+        || rank >= rankCount
+        || ranks.length() > rankCount) {
+      throw new IllegalArgumentException("rank " + rank + " of " + rankCount);
     }
     weights = List.copyOf(weights);
-    if (weights.size() != (kind == Kind.HELD ? seats.cardinality() : 0)
+    if (weights.size() != (kind == Kind.HELD ? ranks.cardinality() : 0)
         || weight < 1
-        || weight > MOST_WEIGHT
+        || weight > MAX_WEIGHT
         || demand < 0
-        || weights.stream().anyMatch(one -> one < 1 || one > MOST_WEIGHT)) {
+        || weights.stream().anyMatch(one -> one < 1 || one > MAX_WEIGHT)) {
       throw new IllegalArgumentException("weights " + weight + " and " + weights);
     }
   }
 
   /** One whose seats weigh as usual. */
-  public SeatMessage(Kind kind, long process, int rank, int of, int sequence, BitSet seats) {
+  public LeaseMessage(Kind kind, long process, int rank, int of, int sequence, BitSet seats) {
     this(
         kind,
         process,
@@ -83,9 +87,9 @@
         sequence,
         seats,
         kind == Kind.HELD
-            ? Collections.nCopies(seats.cardinality(), USUAL_WEIGHT)
+            ? Collections.nCopies(seats.cardinality(), DEFAULT_WEIGHT)
             : Collections.emptyList(),
-        USUAL_WEIGHT,
+        DEFAULT_WEIGHT,
         0);
   }
 }
--- a/src/main/java/brassbank/shares/SeatOutbox.java
+++ b/src/main/java/brassbank/shares/LeaseOutbox.java
@@ -3,6 +3,6 @@
 import java.net.InetSocketAddress;
 
 /** Where what is said of seats goes; it may be lost. */
-public interface SeatOutbox {
-  void send(InetSocketAddress to, SeatMessage message);
+public interface LeaseOutbox {
+  void send(InetSocketAddress to, LeaseMessage message);
 }
--- a/src/main/java/brassbank/shares/Seats.java
+++ b/src/main/java/brassbank/shares/LeaseParticipant.java
@@ -1,6 +1,6 @@
 package brassbank.shares;
 
-import brassbank.shares.SeatMessage.Kind;
+import brassbank.shares.LeaseMessage.Kind;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.BitSet;
@@ -14,7 +14,7 @@
  * rank is a keeper's, holds the others'. It is told the time with each call, in microseconds of a
  * steady clock that goes on while the process is stopped, by one thread.
  */
-public final class Seats {
+public final class LeaseParticipant {
   /** Ranks below this are keepers: a larger fleet does not make more messages of each. */
   static final int MOST_KEEPERS = 15;
 
@@ -23,12 +23,12 @@
 
   private record Asked(int sequence, long at, int weight) {}
 
-  private final SeatSettings settings;
+  private final LeaseSettings settings;
   private final int rank;
   private final int of;
   private final long process;
-  private final Keeper keeper;
-  private final Seat seat;
+  private final LeaseGrantor keeper;
+  private final RankLease seat;
   private final Demand demand;
   private final Deque<Asked> asked = new ArrayDeque<>();
 
@@ -36,7 +36,7 @@
   private final Map<InetSocketAddress, Integer> ranks = new HashMap<>();
 
   /** The asking to leave that is under way, or null. */
-  private Turn turn;
+  private DrainPermitRequest turn;
 
   private long nextAsk;
   private int sequence;
@@ -46,25 +46,25 @@
 
   /**
    * @param rank below {@code of}, and no other live process's
-   * @param of how many ranks there are, the same in all files; 1 to {@link SeatMessage#MOST_RANKS}
+   * @param of how many ranks there are, the same in all files; 1 to {@link LeaseMessage#MAX_RANKS}
    * @param process by chance, new with each start
    */
-  public Seats(SeatSettings settings, int rank, int of, long process, long now) {
-    if (of < 1 || of > SeatMessage.MOST_RANKS || rank < 0 || rank >= of) {
+  public LeaseParticipant(LeaseSettings settings, int rank, int of, long process, long now) {
+    if (of < 1 || of > LeaseMessage.MAX_RANKS || rank < 0 || rank >= of) {
       throw new IllegalArgumentException("rank " + rank + " of " + of);
     }
     this.settings = settings;
     this.rank = rank;
     this.of = of;
     this.process = process;
-    keeper = new Keeper(settings.holds(), now);
-    seat = new Seat(settings, keepers());
+    keeper = new LeaseGrantor(settings.grantMicros(), now);
+    seat = new RankLease(settings, keepers());
     demand = new Demand(now);
     nextAsk = now;
   }
 
   /** So many clients have come to this process in all: what it asks for follows from that. */
-  public void taken(long now, long clients) {
+  public void recordClients(long now, long clients) {
     demand.look(now, clients);
   }
 
@@ -74,7 +74,7 @@
    * @param wants whether this process takes clients, so that it spends
    * @param others where the others of the fleet are
    */
-  public void beat(long now, boolean wants, List<InetSocketAddress> others, SeatOutbox out) {
+  public void tick(long now, boolean wants, List<InetSocketAddress> others, LeaseOutbox out) {
     if (wanted && !wants) {
       giveBack(now, others, out);
     }
@@ -82,15 +82,15 @@
     if (!wants || now < nextAsk) {
       return;
     }
-    nextAsk = now + settings.period();
+    nextAsk = now + settings.renewalMicros();
     int weight = demand.weight(now, seat.meanDemand(now));
     asked.addLast(new Asked(next(), now, weight));
     if (asked.size() > REMEMBERED) {
       asked.removeFirst();
     }
     ranks.keySet().retainAll(others);
-    SeatMessage ask =
-        new SeatMessage(
+    LeaseMessage ask =
+        new LeaseMessage(
             Kind.ASK, process, rank, of, sequence, new BitSet(), List.of(), weight, demand.count());
     for (InetSocketAddress other : others) {
       if (ranks.getOrDefault(other, 0) < MOST_KEEPERS) {
@@ -102,14 +102,14 @@
     }
   }
 
-  private boolean holds(long now, SeatMessage ask) {
+  private boolean holds(long now, LeaseMessage ask) {
     return keeper.hold(now, ask.rank(), ask.process(), ask.sequence(), ask.weight(), ask.demand());
   }
 
   /** The answer of this keeper. */
-  private SeatMessage held(long now, int sequence) {
+  private LeaseMessage held(long now, int sequence) {
     BitSet seats = keeper.seats(now);
-    return new SeatMessage(
+    return new LeaseMessage(
         Kind.HELD,
         process,
         rank,
@@ -117,7 +117,7 @@
         sequence,
         seats,
         keeper.weights(seats),
-        SeatMessage.USUAL_WEIGHT,
+        LeaseMessage.DEFAULT_WEIGHT,
         keeper.demand());
   }
 
@@ -129,16 +129,16 @@
     return Math.min(of, MOST_KEEPERS);
   }
 
-  private SeatMessage message(Kind kind, int sequence, BitSet seats) {
-    return new SeatMessage(kind, process, rank, of, sequence, seats);
+  private LeaseMessage message(Kind kind, int sequence, BitSet seats) {
+    return new LeaseMessage(kind, process, rank, of, sequence, seats);
   }
 
   /** What is given back is not spent with any more: first the one, then the other. */
-  private void giveBack(long now, List<InetSocketAddress> others, SeatOutbox out) {
+  private void giveBack(long now, List<InetSocketAddress> others, LeaseOutbox out) {
     seat.drop();
     asked.clear();
     keeper.giveBack(rank, process, sequence);
-    SeatMessage message = message(Kind.GIVE_BACK, sequence, new BitSet());
+    LeaseMessage message = message(Kind.GIVE_BACK, sequence, new BitSet());
     others.forEach(other -> out.send(other, message));
   }
 
@@ -146,18 +146,18 @@
    * Asks the fleet whether this process may leave now: one at a time does, and only while at least
    * half of all ranks have a seat beside this one.
    *
-   * @return what is known at once; while that is {@link Leave.Answer#ASKED}, {@link #leave} tells
-   *     what has come of it
+   * @return what is known at once; while that is {@link Leave.Status#PENDING}, {@link
+   *     #pollDrainPermit} tells what has come of it
    */
-  public Leave askToLeave(long now, List<InetSocketAddress> others, SeatOutbox out) {
-    Part part = part(now);
-    if (!part.seated()) {
-      return Leave.of(Leave.Answer.NOBODY_ANSWERS);
-    } else if (2 * (part.of() - 1) < of) {
-      return Leave.of(Leave.Answer.TOO_FEW);
+  public DrainPermit requestDrainPermit(long now, List<InetSocketAddress> others, LeaseOutbox out) {
+    BudgetShare part = share(now);
+    if (!part.hasLease()) {
+      return DrainPermit.of(DrainPermit.Status.NO_MAJORITY);
+    } else if (2 * (part.participants() - 1) < of) {
+      return DrainPermit.of(DrainPermit.Status.TOO_FEW_LEASES);
     }
-    turn = new Turn(keepers() / 2 + 1, next(), now);
-    SeatMessage ask = message(Kind.LEAVE, turn.sequence(), new BitSet());
+    turn = new DrainPermitRequest(keepers() / 2 + 1, next(), now);
+    LeaseMessage ask = message(Kind.LEAVE, turn.sequence(), new BitSet());
     others.forEach(other -> out.send(other, ask));
     if (rank < MOST_KEEPERS && keeper.speaksOfLeaving(now)) {
       if (keeper.letGo(now, rank, process, turn.sequence())) {
@@ -166,22 +166,22 @@
         turn.otherLeaves(keeper.leaver());
       }
     }
-    return leave(now, others, out);
+    return pollDrainPermit(now, others, out);
   }
 
   /**
-   * What has come of {@link #askToLeave}, or null where nothing was asked. Once it is no longer
-   * {@link Leave.Answer#ASKED} it is forgotten, and where it is no {@link Leave.Answer#GO}, the
-   * turn is given back.
+   * What has come of {@link #requestDrainPermit}, or null where nothing was asked. Once it is no
+   * longer {@link Leave.Status#PENDING} it is forgotten, and where it is no {@link
+   * Leave.Status#GRANTED}, the turn is given back.
    */
-  public Leave leave(long now, List<InetSocketAddress> others, SeatOutbox out) {
-    Leave known = turn == null ? null : turn.leave(now);
-    if (known == null || known == Leave.ASKED) {
+  public DrainPermit pollDrainPermit(long now, List<InetSocketAddress> others, LeaseOutbox out) {
+    DrainPermit known = turn == null ? null : turn.leave(now);
+    if (known == null || known == DrainPermit.ASKED) {
       return known;
     }
-    if (known != Leave.GO) {
+    if (known != DrainPermit.GO) {
       keeper.stays(process, turn.sequence());
-      SeatMessage stays = message(Kind.STAYS, turn.sequence(), new BitSet());
+      LeaseMessage stays = message(Kind.STAYS, turn.sequence(), new BitSet());
       others.forEach(other -> out.send(other, stays));
     }
     turn = null;
@@ -189,7 +189,7 @@
   }
 
   /** Where this rank was last heard of, or null. */
-  public InetSocketAddress address(int of) {
+  public InetSocketAddress addressOfRank(int of) {
     return ranks.entrySet().stream()
         .filter(entry -> entry.getValue() == of)
         .map(Map.Entry::getKey)
@@ -198,7 +198,7 @@
   }
 
   /** The process ends, or another of its rank goes on in its place. */
-  public void close(long now, List<InetSocketAddress> others, SeatOutbox out) {
+  public void close(long now, List<InetSocketAddress> others, LeaseOutbox out) {
     if (wanted) {
       wanted = false;
       giveBack(now, others, out);
@@ -206,8 +206,8 @@
   }
 
   /** Something has come from an address. */
-  public void receive(long now, InetSocketAddress from, SeatMessage message, SeatOutbox out) {
-    if (message.of() != of || message.process() == process) {
+  public void receive(long now, InetSocketAddress from, LeaseMessage message, LeaseOutbox out) {
+    if (message.rankCount() != of || message.process() == process) {
       refused++;
       return;
     }
@@ -217,7 +217,7 @@
       case GIVE_BACK -> keeper.giveBack(message.rank(), message.process(), message.sequence());
       case HELD -> {
         Asked mine = asked(message.sequence());
-        if (mine != null && message.rank() < MOST_KEEPERS && message.seats().get(rank)) {
+        if (mine != null && message.rank() < MOST_KEEPERS && message.ranks().get(rank)) {
           seat.held(now, message.rank(), mine.at(), message);
         }
       }
@@ -230,8 +230,8 @@
         }
       }
       case OTHER_LEAVES -> {
-        if (answers(message) && !message.seats().isEmpty()) {
-          turn.otherLeaves(message.seats().nextSetBit(0));
+        if (answers(message) && !message.ranks().isEmpty()) {
+          turn.otherLeaves(message.ranks().nextSetBit(0));
         }
       }
       default -> throw new IllegalStateException("no such kind: " + message.kind());
@@ -239,11 +239,12 @@
   }
 
   /** Whether it answers the asking to leave that is under way. */
-  private boolean answers(SeatMessage message) {
+  private boolean answers(LeaseMessage message) {
     return turn != null && message.sequence() == turn.sequence();
   }
 
-  private void askedToLeave(long now, InetSocketAddress from, SeatMessage message, SeatOutbox out) {
+  private void askedToLeave(
+      long now, InetSocketAddress from, LeaseMessage message, LeaseOutbox out) {
     if (rank >= MOST_KEEPERS || !keeper.speaksOfLeaving(now)) {
       return;
     }
@@ -255,7 +256,7 @@
     out.send(from, message(go ? Kind.GO : Kind.OTHER_LEAVES, message.sequence(), other));
   }
 
-  private void asked(long now, InetSocketAddress from, SeatMessage message, SeatOutbox out) {
+  private void asked(long now, InetSocketAddress from, LeaseMessage message, LeaseOutbox out) {
     if (rank >= MOST_KEEPERS) {
       // It learns from this that it need not ask here again.
       out.send(from, message(Kind.TAKEN, message.sequence(), new BitSet()));
@@ -278,10 +279,10 @@
   }
 
   /** What this process may spend of each budget now. */
-  public Part part(long now) {
-    double base = settings.base() / of;
+  public BudgetShare share(long now) {
+    double base = settings.baseShare() / of;
     if (!wanted || !seat.spends(now)) {
-      return new Part(base, base, rank, of, Long.MIN_VALUE);
+      return new BudgetShare(base, base, rank, of, Long.MIN_VALUE);
     }
     BitSet counted = seat.counted(now);
     int seats = counted.cardinality();
@@ -289,26 +290,26 @@
     int own = weight(now);
     int all = Math.max(0, own - seat.weight(now, rank));
     all += counted.stream().map(other -> seat.weight(now, other)).sum();
-    double rest = (1 - settings.base()) * own / all;
-    return new Part(base + rest, base, turn, seats, seat.heldUntil());
+    double rest = (1 - settings.baseShare()) * own / all;
+    return new BudgetShare(base + rest, base, turn, seats, seat.heldUntil());
   }
 
   /** What its seat is spent with: no more than others may still count it for. */
   public int weight(long now) {
     return asked.stream()
-        .filter(one -> one.at() > now - settings.weighs())
+        .filter(one -> one.at() > now - settings.weightWindowMicros())
         .mapToInt(Asked::weight)
         .min()
         .orElse(1);
   }
 
   /** Messages that came from a fleet of another size. */
-  public long refused() {
+  public long rankCountMismatches() {
     return refused;
   }
 
   /** How often this rank's seat was another process's. */
-  public long taken() {
+  public long rankConflicts() {
     return taken;
   }
 }
--- a/src/main/java/brassbank/shares/SeatSettings.java
+++ b/src/main/java/brassbank/shares/LeaseSettings.java
@@ -11,25 +11,34 @@
  * @param waits a seat is spent with once it was held for so long without a gap (W)
  * @param weighs it is spent with the least weight that it was asked for with in so long
  */
-public record SeatSettings(
-    double base, long period, long counts, long holds, long waits, long weighs) {
+public record LeaseSettings(
+    double baseShare,
+    long renewalMicros,
+    long validityMicros,
+    long grantMicros,
+    long activationMicros,
+    long weightWindowMicros) {
   private static final long MILLI = 1_000;
 
   /** The base where the file says nothing: what it costs and brings stands in docs/shares.md. */
-  public static final double USUAL_BASE = 0.25;
+  public static final double DEFAULT_BASE_SHARE = 0.25;
 
-  public SeatSettings {
-    if (!(base > 0 && base <= 1)) {
-      throw new IllegalArgumentException("a base is above 0 and at most 1, not " + base);
+  public LeaseSettings {
+    if (!(baseShare > 0 && baseShare <= 1)) {
+      throw new IllegalArgumentException("a base is above 0 and at most 1, not " + baseShare);
     }
-    if (period <= 0 || counts < period || holds <= 0 || waits < 0 || weighs < 0) {
+    if (renewalMicros <= 0
+        || validityMicros < renewalMicros
+        || grantMicros <= 0
+        || activationMicros < 0
+        || weightWindowMicros < 0) {
       throw new IllegalArgumentException("times that cannot be");
     }
   }
 
   /** The usual times. */
-  public static SeatSettings of(double base) {
-    return new SeatSettings(
+  public static LeaseSettings withBaseShare(double base) {
+    return new LeaseSettings(
         base, 300 * MILLI, 1_200 * MILLI, 2_600 * MILLI, 1_400 * MILLI, 3_000 * MILLI);
   }
 }
--- a/src/main/java/brassbank/shares/Seat.java
+++ b/src/main/java/brassbank/shares/RankLease.java
@@ -12,7 +12,7 @@
  *
  * <p>Times are microseconds. For one thread at a time.
  */
-final class Seat {
+final class RankLease {
   private static final long NEVER = Long.MIN_VALUE;
 
   private record Answer(
@@ -22,7 +22,7 @@
     }
   }
 
-  private final SeatSettings settings;
+  private final LeaseSettings settings;
   private final int majority;
   private final Map<Integer, Answer> answers = new HashMap<>();
 
@@ -32,23 +32,23 @@
   private long heldUntil = NEVER;
   private long heldSince;
 
-  Seat(SeatSettings settings, int keepers) {
+  RankLease(LeaseSettings settings, int keepers) {
     this.settings = settings;
     majority = keepers / 2 + 1;
   }
 
   /** A keeper holds the seat, and has told which others it holds. */
-  void held(long now, int keeper, long askedAt, SeatMessage answer) {
+  void held(long now, int keeper, long askedAt, LeaseMessage answer) {
     long process = answer.process();
     Answer known = answers.get(keeper);
     boolean other = known != null && known.process() != process && counts(known, now);
     if (other || disputed.getOrDefault(keeper, NEVER) > now) {
       // Two processes of one rank hold seats apart from each other: majorities need not meet there.
       answers.remove(keeper);
-      disputed.put(keeper, now + settings.holds());
+      disputed.put(keeper, now + settings.grantMicros());
     } else if (known == null || askedAt > known.askedAt()) {
       answers.put(
-          keeper, new Answer(process, askedAt, answer.seats(), answer.weights(), answer.demand()));
+          keeper, new Answer(process, askedAt, answer.ranks(), answer.weights(), answer.demand()));
     }
     boolean gap = now >= heldUntil;
     heldUntil = until();
@@ -64,7 +64,7 @@
   }
 
   private boolean counts(Answer answer, long now) {
-    return answer.askedAt() + settings.counts() > now;
+    return answer.askedAt() + settings.validityMicros() > now;
   }
 
   /** When the last majority of answers ends to count, if no other comes. */
@@ -73,12 +73,12 @@
       return NEVER;
     }
     long[] asked = answers.values().stream().mapToLong(Answer::askedAt).sorted().toArray();
-    return asked[asked.length - majority] + settings.counts();
+    return asked[asked.length - majority] + settings.validityMicros();
   }
 
   /** Whether it may be spent with. */
   boolean spends(long now) {
-    return now < heldUntil && now - heldSince >= settings.waits();
+    return now < heldUntil && now - heldSince >= settings.activationMicros();
   }
 
   /** When it ends if nothing is heard. */
--- a/src/main/java/brassbank/shares/wire/SeatCodec.java
+++ b/src/main/java/brassbank/shares/wire/LeaseCodec.java
@@ -1,9 +1,9 @@
 package brassbank.shares.wire;
 
+import brassbank.membership.wire.DropReason;
 import brassbank.membership.wire.Frame;
-import brassbank.membership.wire.Refused;
-import brassbank.membership.wire.RefusedException;
-import brassbank.shares.SeatMessage;
+import brassbank.membership.wire.InvalidDatagramException;
+import brassbank.shares.LeaseMessage;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -16,30 +16,32 @@
  * seats' bits, at most 32; weight 1; demand 4; one byte for each seat's weight, in {@code HELD};
  * CRC-32C of all before. Any thread may use one codec.
  */
-public final class SeatCodec {
+public final class LeaseCodec {
   private static final short MARK = (short) 0xB5A8;
   private static final byte VERSION = 2;
   private static final int CHECKSUM = 4;
   private static final int FIXED = 4 + 8 + 8 + 2 + 2 + 4 + 1 + 1 + 4;
-  private static final int MOST_SEATS = SeatMessage.MOST_RANKS / 8;
-  private static final SeatMessage.Kind[] KINDS = SeatMessage.Kind.values();
+  private static final int MOST_SEATS = LeaseMessage.MAX_RANKS / 8;
+  private static final LeaseMessage.Kind[] KINDS = LeaseMessage.Kind.values();
 
   private final long fleet;
 
-  public SeatCodec(String fleet) {
-    this.fleet = Frame.fleet(fleet);
+  public LeaseCodec(String fleet) {
+    this.fleet = Frame.fleetHash(fleet);
   }
 
   /** Whether a datagram is meant to be one of these. */
-  public static boolean marked(byte[] bytes) {
+  public static boolean hasMagic(byte[] bytes) {
     return bytes.length >= 2 && ByteBuffer.wrap(bytes).getShort() == MARK;
   }
 
-  public byte[] write(SeatMessage message) {
-    byte[] seats = message.seats().toByteArray();
+  public byte[] encode(LeaseMessage message) {
+    byte[] seats = message.ranks().toByteArray();
     ByteBuffer to = ByteBuffer.allocate(FIXED + seats.length + message.weights().size() + CHECKSUM);
     to.putShort(MARK).put(VERSION).put((byte) message.kind().ordinal()).putLong(fleet);
-    to.putLong(message.process()).putShort((short) message.rank()).putShort((short) message.of());
+    to.putLong(message.process())
+        .putShort((short) message.rank())
+        .putShort((short) message.rankCount());
     to.putInt(message.sequence()).put((byte) seats.length).put(seats);
     to.put((byte) message.weight()).putInt(message.demand());
     message.weights().forEach(weight -> to.put(weight.byteValue()));
@@ -47,21 +49,22 @@
     return to.array();
   }
 
-  /** The message in a datagram that is {@link #marked}, all of whose fields are within bounds. */
-  public SeatMessage read(byte[] bytes) throws RefusedException {
+  /** The message in a datagram that is {@link #hasMagic}, all of whose fields are within bounds. */
+  public LeaseMessage decode(byte[] bytes) throws InvalidDatagramException {
     int end = bytes.length - CHECKSUM;
     ByteBuffer from = ByteBuffer.wrap(bytes);
     if (end < FIXED
-        || end > FIXED + MOST_SEATS + SeatMessage.MOST_RANKS
+        || end > FIXED + MOST_SEATS + LeaseMessage.MAX_RANKS
         || from.getShort() != MARK) {
-      throw new RefusedException(Refused.FOREIGN, bytes.length + " bytes that are no message");
+      throw new InvalidDatagramException(
+          DropReason.FOREIGN, bytes.length + " bytes that are no message");
     }
     if (from.getInt(end) != Frame.checksum(bytes, end)) {
-      throw new RefusedException(Refused.DAMAGED, "cut off or damaged");
+      throw new InvalidDatagramException(DropReason.DAMAGED, "cut off or damaged");
     }
     byte version = from.get();
     if (version != VERSION) {
-      throw new RefusedException(Refused.VERSION, "version " + version);
+      throw new InvalidDatagramException(DropReason.VERSION, "version " + version);
     }
     from.limit(end);
     try {
@@ -70,7 +73,7 @@
         throw malformed("kind " + kind);
       }
       if (from.getLong() != fleet) {
-        throw new RefusedException(Refused.FLEET, "another fleet's");
+        throw new InvalidDatagramException(DropReason.FLEET, "another fleet's");
       }
       long process = from.getLong();
       int rank = from.getShort();
@@ -82,13 +85,13 @@
       int weight = from.get();
       int demand = from.getInt();
       List<Integer> weights = new ArrayList<>();
-      while (weights.size() < ranks.cardinality() && KINDS[kind] == SeatMessage.Kind.HELD) {
+      while (weights.size() < ranks.cardinality() && KINDS[kind] == LeaseMessage.Kind.HELD) {
         weights.add((int) from.get());
       }
       if (from.hasRemaining()) {
         throw malformed(from.remaining() + " bytes after its end");
       }
-      return new SeatMessage(
+      return new LeaseMessage(
           KINDS[kind], process, rank, of, sequence, ranks, weights, weight, demand);
     } catch (BufferUnderflowException e) {
       throw malformed("ends before its end");
@@ -97,7 +100,7 @@
     }
   }
 
-  private static RefusedException malformed(String what) {
-    return new RefusedException(Refused.MALFORMED, what);
+  private static InvalidDatagramException malformed(String what) {
+    return new InvalidDatagramException(DropReason.MALFORMED, what);
   }
 }
--- a/src/main/java/brassbank/sim/Fleets.java
+++ b/src/main/java/brassbank/sim/Fleets.java
@@ -1,8 +1,8 @@
 package brassbank.sim;
 
-import brassbank.membership.Joining;
+import brassbank.membership.MembershipConfig;
 import brassbank.membership.Settings;
-import brassbank.shares.SeatSettings;
+import brassbank.shares.LeaseSettings;
 import brassbank.sim.fault.Plan;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -18,7 +18,7 @@
   private Fleets() {}
 
   /** The first proxies' machines are 10.0.0.1 and so on ({@code World.machine}). */
-  static Joining joining(Plan plan) {
+  static MembershipConfig joining(Plan plan) {
     List<InetSocketAddress> seeds = new ArrayList<>();
     for (int i = 1; i <= SEEDS; i++) {
       try {
@@ -28,8 +28,9 @@
         throw new IllegalStateException("four bytes are an address", e);
       }
     }
-    Joining joining = new Joining("simulated", null, null, seeds, Settings.USUAL);
-    joining = plan.shares() ? joining.sharing(SeatSettings.USUAL_BASE) : joining;
-    return plan.subsets() ? joining.asking(plan.askers()) : joining;
+    MembershipConfig joining =
+        new MembershipConfig("simulated", null, null, seeds, Settings.DEFAULTS);
+    joining = plan.shares() ? joining.withBaseShare(LeaseSettings.DEFAULT_BASE_SHARE) : joining;
+    return plan.subsets() ? joining.withMinProxiesPerHost(plan.askers()) : joining;
   }
 }
--- a/src/main/java/brassbank/sim/Run.java
+++ b/src/main/java/brassbank/sim/Run.java
@@ -3,7 +3,7 @@
 import brassbank.log.Field;
 import brassbank.log.Level;
 import brassbank.log.Log;
-import brassbank.membership.Joining;
+import brassbank.membership.MembershipConfig;
 import brassbank.net.Network;
 import brassbank.sim.actor.Site;
 import brassbank.sim.check.Breach;
@@ -67,7 +67,7 @@
       Plan plan,
       UnaryOperator<Network> wrapping,
       UnaryOperator<Site> told,
-      UnaryOperator<Joining> joins) {
+      UnaryOperator<MembershipConfig> joins) {
     this(plan, wrapping, told, joins, Scene.site(plan));
   }
 
@@ -78,7 +78,7 @@
       Plan plan,
       UnaryOperator<Network> wrapping,
       UnaryOperator<Site> told,
-      UnaryOperator<Joining> joins,
+      UnaryOperator<MembershipConfig> joins,
       Site stated) {
     this.plan = plan;
     Site site = told.apply(stated);
--- a/src/main/java/brassbank/sim/members/Flock.java
+++ b/src/main/java/brassbank/sim/members/Flock.java
@@ -2,12 +2,12 @@
 
 import brassbank.fleet.Fleet;
 import brassbank.membership.Activity;
-import brassbank.membership.Change;
 import brassbank.membership.Incarnation;
-import brassbank.membership.Joining;
 import brassbank.membership.Member;
+import brassbank.membership.MembershipConfig;
 import brassbank.membership.Settings;
 import brassbank.membership.State;
+import brassbank.membership.ViewChange;
 import brassbank.net.Net;
 import brassbank.net.Network;
 import brassbank.sim.net.Disturbance;
@@ -97,7 +97,7 @@
       fleet =
           new Fleet(
               net,
-              new Joining("flock", here, here, seeds, settings),
+              new MembershipConfig("flock", here, here, seeds, settings),
               name,
               machine.zone(),
               new java.util.SplittableRandom(stream.bits()),
@@ -105,7 +105,7 @@
               null);
       Fleet mine = fleet;
       long thisLife = ++life;
-      fleet.listen(
+      fleet.addListener(
           change -> {
             if (life == thisLife) {
               changed(change);
@@ -138,7 +138,7 @@
           0,
           () -> {
             Incarnation last = mine.membership().incarnation();
-            highest = new Incarnation(last.birth(), last.raised() + 1);
+            highest = new Incarnation(last.startTime(), last.revision() + 1);
             goodbye = true;
             mine.close(true);
             mineToo.exit();
@@ -161,7 +161,7 @@
       }
     }
 
-    private void changed(Change change) {
+    private void changed(ViewChange change) {
       Member after = change.after();
       Member before = change.before();
       if (after == null && before == null) {
@@ -171,11 +171,11 @@
       if (other == null || other == this) {
         return;
       }
-      boolean there = after != null && after.state().live();
+      boolean there = after != null && after.state().isLive();
       believes[other.number] = there;
       if (before != null
           && after != null
-          && !before.state().live()
+          && !before.state().isLive()
           && there
           && after.incarnation().compareTo(before.incarnation()) <= 0) {
         broken.add(name + " took " + other.name + " back at " + after.incarnation());
@@ -192,7 +192,7 @@
         }
       }
       // One of whom a newcomer first hears as of a dead one was not declared so by it.
-      boolean declared = before != null && before.state().live();
+      boolean declared = before != null && before.state().isLive();
       if (declared && after != null && after.state() == State.DEAD && other.running()) {
         if (reachable(other)) {
           alarm.falseDeath(agenda.now(), name, other.name);
--- a/src/main/java/brassbank/sim/members/MembersDrillCommand.java
+++ b/src/main/java/brassbank/sim/members/MembersDrillCommand.java
@@ -74,7 +74,7 @@
     if (!range.matches() || Long.parseLong(range.group(1)) > Long.parseLong(range.group(2))) {
       throw new UsageException("--seeds must be FIRST-LAST");
     }
-    Settings settings = Settings.USUAL.suspicion(suspicionMillis * 1_000);
+    Settings settings = Settings.DEFAULTS.withMinSuspicion(suspicionMillis * 1_000);
     boolean sound = true;
     System.out.printf(
         "%-12s %8s %8s %8s %8s %8s %8s %8s %8s%n",
--- a/src/main/java/brassbank/sim/members/Scene.java
+++ b/src/main/java/brassbank/sim/members/Scene.java
@@ -256,7 +256,7 @@
 
     @Override
     Settings fitting(Settings settings) {
-      return settings.forget(FORGET_AFTER);
+      return settings.withTombstoneRetention(FORGET_AFTER);
     }
   },
 
--- a/src/main/java/brassbank/sim/proxy/ProxyNode.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyNode.java
@@ -5,8 +5,8 @@
 import brassbank.handover.Handover;
 import brassbank.handover.Holding;
 import brassbank.handover.Succession;
-import brassbank.membership.Joining;
 import brassbank.membership.Member;
+import brassbank.membership.MembershipConfig;
 import brassbank.membership.View;
 import brassbank.net.Network;
 import brassbank.proxy.Proxy;
@@ -70,7 +70,7 @@
   private final InetSocketAddress address;
   private final UnaryOperator<Network> wrapping;
   private final boolean inherits;
-  private final Joining joining;
+  private final MembershipConfig joining;
   private final Draws.Stream stream;
 
   /** Those that live, the last one among them. */
@@ -103,7 +103,7 @@
       Machine machine,
       UnaryOperator<Network> wrapping,
       boolean inherits,
-      Joining joining) {
+      MembershipConfig joining) {
     this.world = world;
     this.told = told;
     this.name = name;
@@ -242,7 +242,7 @@
         Config mine = inherits ? read.inheriting(Path.of(name)) : read;
         proxy = new Proxy(mine, RelayLimits.NONE, joining, network);
         if (joining != null) {
-          proxy.fleet().listen(change -> viewed());
+          proxy.fleet().addListener(change -> viewed());
         }
         proxy.start();
       } catch (ConfigException | IOException e) {
@@ -264,8 +264,8 @@
             new Event.Seen(
                 one.name(),
                 one.state().name().toLowerCase(Locale.ROOT),
-                one.incarnation().birth(),
-                one.incarnation().raised()));
+                one.incarnation().startTime(),
+                one.incarnation().revision()));
       }
       world.tell(
           new Event.ViewSeen(
@@ -438,7 +438,7 @@
     if (!serving()) {
       return;
     }
-    if (joining != null && joining.shares()) {
+    if (joining != null && joining.sharesBudgets()) {
       proxy.standby(
           yes -> {
             if (yes) {
--- a/src/main/java/brassbank/subsets/Subset.java
+++ b/src/main/java/brassbank/subsets/Subset.java
@@ -60,14 +60,14 @@
    * How many proxies ask a host: no fewer than the file says, and so many that a proxy has eight
    * hosts by and large.
    */
-  public static int askers(int least, int proxies, int hosts) {
+  public static int proxiesPerHost(int least, int proxies, int hosts) {
     int enough = (LEAST_HOSTS * proxies + hosts - 1) / Math.max(1, hosts);
     return Math.min(proxies, Math.max(least, enough));
   }
 
   /** The names of those hosts that this proxy asks. */
-  public Set<String> of(Collection<Peer> hosts) {
-    int each = askers(least, proxies.size(), hosts.size());
+  public Set<String> select(Collection<Peer> hosts) {
+    int each = proxiesPerHost(least, proxies.size(), hosts.size());
     places.keySet().retainAll(hosts);
     Set<String> own = new LinkedHashSet<>();
     for (Peer host : hosts) {
--- a/src/test/java/brassbank/ArchitectureTest.java
+++ b/src/test/java/brassbank/ArchitectureTest.java
@@ -328,7 +328,7 @@
                 "are membership's, and no mere values",
                 (JavaClass known) ->
                     known.getPackageName().startsWith("brassbank.membership")
-                        && !List.of("Joining", "Settings", "Update")
+                        && !List.of("MembershipConfig", "Settings", "Update")
                             .contains(known.getSimpleName())))
         .check(program);
   }
--- a/src/test/java/brassbank/config/file/OptionsFileTest.java
+++ b/src/test/java/brassbank/config/file/OptionsFileTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import brassbank.membership.Joining;
+import brassbank.membership.MembershipConfig;
 import brassbank.relay.limits.RelayLimits;
 import brassbank.relay.limits.SideLimits;
 import java.nio.file.Files;
@@ -47,7 +47,7 @@
 
   @Test
   void takesAFleetAndTellsWhatIsWrongWithOne() {
-    Joining joining =
+    MembershipConfig joining =
         OptionsFile.parse(
                 "x.toml",
                 """
@@ -62,8 +62,8 @@
             .orElseThrow()
             .joining();
     assertThat(joining.seeds()).hasSize(2);
-    assertThat(joining.settings().suspicion()).isEqualTo(3_000_000);
-    assertThat(joining.at(null).advertised().getPort()).isEqualTo(7075);
+    assertThat(joining.settings().minSuspicionMicros()).isEqualTo(3_000_000);
+    assertThat(joining.withDefaultAddress(null).advertised().getPort()).isEqualTo(7075);
     assertThat(OptionsFile.parse("x.toml", "").options().orElseThrow().joining()).isNull();
     assertThat(
             problems(
--- a/src/test/java/brassbank/fleet/JournalTest.java
+++ b/src/test/java/brassbank/fleet/FleetLogTest.java
@@ -4,18 +4,18 @@
 
 import brassbank.log.Log;
 import brassbank.membership.Activity;
-import brassbank.membership.Change;
 import brassbank.membership.Incarnation;
 import brassbank.membership.Member;
 import brassbank.membership.State;
-import brassbank.membership.wire.Refused;
+import brassbank.membership.ViewChange;
+import brassbank.membership.wire.DropReason;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class JournalTest {
+class FleetLogTest {
   private static final long SECOND = 1_000_000;
   private static final InetSocketAddress ADDRESS = new InetSocketAddress("10.0.0.1", 7_070);
 
@@ -26,17 +26,17 @@
     Log.onThisThread(null);
   }
 
-  private static Change change(int version) {
+  private static ViewChange change(int version) {
     Member member =
         new Member("n1", ADDRESS, "z", new Incarnation(7, 0), State.ALIVE, Activity.ACTIVE, 0);
-    return new Change(version, null, member);
+    return new ViewChange(version, null, member);
   }
 
   /** A storm of a thousand changes is some lines and a count, and none of them is lost. */
   @Test
   void countsInAStormWhatItDoesNotTell() {
     Log.onThisThread(event -> lines.add(event.name() + " " + event.fields()));
-    Journal journal = new Journal();
+    FleetLog journal = new FleetLog();
     for (int i = 0; i < 1_000; i++) {
       journal.changed(SECOND + i, change(i));
     }
@@ -49,9 +49,9 @@
   @Test
   void warnsOfWhatItDropsOnceInTenSeconds() {
     Log.onThisThread(event -> lines.add(event.name() + " " + event.fields()));
-    Journal journal = new Journal();
+    FleetLog journal = new FleetLog();
     for (int i = 0; i < 500; i++) {
-      journal.refused(i * SECOND / 25, Refused.FLEET, "another fleet's", ADDRESS);
+      journal.refused(i * SECOND / 25, DropReason.FLEET, "another fleet's", ADDRESS);
     }
     assertThat(lines).hasSize(2);
     assertThat(lines.get(1)).contains("250");
--- a/src/test/java/brassbank/membership/ModelCheck.java
+++ b/src/test/java/brassbank/membership/ModelCheck.java
@@ -24,7 +24,7 @@
   /** More on their way than this: the oldest is lost. */
   private static final int MOST_ON_THE_WAY = 4;
 
-  private static final long BEAT = Settings.BEAT;
+  private static final long BEAT = Settings.TICK_MICROS;
 
   /** Time limits of one or two beats, so that deaths are within the depth. */
   static final Settings FAST = new Settings(1, BEAT / 3, BEAT, 1, 1, 1, 20 * BEAT, 2 * BEAT);
@@ -115,7 +115,7 @@
           }
         }
       }
-      if (members[0].view().live().size() != 3) {
+      if (members[0].view().liveMembers().size() != 3) {
         throw new IllegalStateException("they do not know each other");
       }
     }
@@ -150,8 +150,8 @@
     }
 
     void beat(int i) {
-      clocks[i] = Math.max(clocks[i], members[i].nextDue());
-      members[i].beat(clocks[i], out(i));
+      clocks[i] = Math.max(clocks[i], members[i].nextTickAtMicros());
+      members[i].tick(clocks[i], out(i));
       judge(i, true);
     }
 
@@ -204,8 +204,8 @@
         if (old != null && one.incarnation().compareTo(old.incarnation()) < 0) {
           broken = "m" + i + " goes back to an old incarnation of " + one.name();
         } else if (old != null
-            && !old.state().live()
-            && one.state().live()
+            && !old.state().isLive()
+            && one.state().isLive()
             && one.incarnation().equals(old.incarnation())) {
           broken = "m" + i + " has " + one.name() + " come back without a higher incarnation";
         }
@@ -226,7 +226,7 @@
       }
       for (String name : before.keySet()) {
         if (!now.containsKey(name)
-            && clocks[i] - before.get(name).since() < FAST.forget()
+            && clocks[i] - before.get(name).changedAtMicros() < FAST.tombstoneRetentionMicros()
             && !view.displaced()) {
           broken = "m" + i + " forgets " + name + " too soon";
         }
--- a/src/test/java/brassbank/membership/ModelCheckTest.java
+++ b/src/test/java/brassbank/membership/ModelCheckTest.java
@@ -29,8 +29,8 @@
         incarnation,
         state,
         one.activity(),
-        one.age(),
-        one.by());
+        one.ageSeconds(),
+        one.reportedBy());
   }
 
   private static Found with(Bug bug, int depth) {
@@ -55,7 +55,7 @@
     Bug bug =
         new Bug(
             ModelCheck.FAST,
-            Comparator.comparingLong(Incarnation::birth),
+            Comparator.comparingLong(Incarnation::startTime),
             Function.identity(),
             Function.identity());
     assertThat(with(bug, 7).broken()).contains("contradict");
@@ -89,14 +89,14 @@
 
   @Test
   void findsASuspicionThatNeverEnds() {
-    Settings endless = ModelCheck.FAST.suspicion(1_000 * Settings.BEAT);
+    Settings endless = ModelCheck.FAST.withMinSuspicion(1_000 * Settings.TICK_MICROS);
     Bug bug = new Bug(endless, Incarnation::compareTo, Function.identity(), Function.identity());
     assertThat(withoutFaults(bug, 9).broken()).contains("for more than");
   }
 
   @Test
   void findsTheDeadForgottenTooSoon() {
-    Settings forgetful = ModelCheck.FAST.forget(Settings.BEAT);
+    Settings forgetful = ModelCheck.FAST.withTombstoneRetention(Settings.TICK_MICROS);
     Bug bug = new Bug(forgetful, Incarnation::compareTo, Function.identity(), Function.identity());
     assertThat(withoutFaults(bug, 9).broken()).contains("too soon");
   }
--- a/src/test/java/brassbank/membership/wire/CodecTest.java
+++ b/src/test/java/brassbank/membership/wire/CodecTest.java
@@ -25,13 +25,13 @@
     random.nextBytes(address);
     State state = State.values()[random.nextInt(4)];
     return new Update(
-        "n".repeat(1 + random.nextInt(Update.MOST_NAME)),
+        "n".repeat(1 + random.nextInt(Update.MAX_NAME_LENGTH)),
         new InetSocketAddress(InetAddress.getByAddress(address), 1 + random.nextInt(65_535)),
         random.nextBoolean() ? "" : "leith",
-        new Incarnation(random.nextLong(Incarnation.MOST_BIRTH), random.nextInt(1 << 30)),
+        new Incarnation(random.nextLong(Incarnation.MAX_START_TIME), random.nextInt(1 << 30)),
         state,
         Activity.values()[random.nextInt(5)],
-        random.nextInt(Update.MOST_AGE + 1),
+        random.nextInt(Update.MAX_AGE_SECONDS + 1),
         random.nextBoolean() ? "" : "n4");
   }
 
@@ -39,12 +39,12 @@
   private static Message message(SplittableRandom random) throws Exception {
     Update sender = update(random);
     List<Update> updates = new ArrayList<>();
-    int room = Message.MOST_BYTES - Message.FIXED - sender.size() - 1;
+    int room = Message.MAX_BYTES - Message.FIXED_BYTES - sender.sizeBytes() - 1;
     for (Update one = update(random);
-        room >= one.size() && updates.size() < Message.MOST_UPDATES;
+        room >= one.sizeBytes() && updates.size() < Message.MAX_UPDATES;
         one = update(random)) {
       updates.add(one);
-      room -= one.size();
+      room -= one.sizeBytes();
     }
     return new Message(
         Message.Kind.values()[random.nextInt(7)],
@@ -60,11 +60,11 @@
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 500; i++) {
       Message message = message(random);
-      byte[] bytes = codec.write(message);
-      assertThat(bytes.length).isLessThanOrEqualTo(Message.MOST_BYTES);
+      byte[] bytes = codec.encode(message);
+      assertThat(bytes.length).isLessThanOrEqualTo(Message.MAX_BYTES);
       // IPv6 addresses that stand for IPv4 ones are read as these: equal as addresses go.
-      assertThat(codec.read(bytes).updates()).hasSameSizeAs(message.updates());
-      assertThat(codec.write(codec.read(bytes))).hasSizeLessThanOrEqualTo(bytes.length);
+      assertThat(codec.decode(bytes).updates()).hasSameSizeAs(message.updates());
+      assertThat(codec.encode(codec.decode(bytes))).hasSizeLessThanOrEqualTo(bytes.length);
     }
     Update plain =
         new Update(
@@ -76,30 +76,30 @@
             Activity.DRAINING,
             12,
             "n2");
-    Message message = new Message(Message.Kind.ASK, 9, plain, -5, "n3", List.of(plain, plain));
-    assertThat(codec.read(codec.write(message))).isEqualTo(message);
+    Message message = new Message(Message.Kind.PING_REQ, 9, plain, -5, "n3", List.of(plain, plain));
+    assertThat(codec.decode(codec.encode(message))).isEqualTo(message);
   }
 
-  private Refused why(byte[] bytes) {
-    RefusedException refused =
-        catchThrowableOfType(RefusedException.class, () -> codec.read(bytes));
-    return refused == null ? null : refused.why();
+  private DropReason why(byte[] bytes) {
+    InvalidDatagramException refused =
+        catchThrowableOfType(InvalidDatagramException.class, () -> codec.decode(bytes));
+    return refused == null ? null : refused.reason();
   }
 
   @Test
   void dropsWhatIsCutAtAnyByteOrChangedInAny() throws Exception {
-    byte[] whole = codec.write(message(new SplittableRandom(2)));
+    byte[] whole = codec.encode(message(new SplittableRandom(2)));
     for (int length = 0; length < whole.length; length++) {
-      assertThat(why(Arrays.copyOf(whole, length))).isIn(Refused.FOREIGN, Refused.DAMAGED);
+      assertThat(why(Arrays.copyOf(whole, length))).isIn(DropReason.FOREIGN, DropReason.DAMAGED);
     }
     for (int at = 0; at < whole.length; at++) {
       byte[] changed = whole.clone();
       changed[at] ^= 0x40;
-      assertThat(why(changed)).isIn(Refused.FOREIGN, Refused.DAMAGED);
+      assertThat(why(changed)).isIn(DropReason.FOREIGN, DropReason.DAMAGED);
     }
-    assertThat(why(Arrays.copyOf(whole, Message.MOST_BYTES + 1))).isEqualTo(Refused.FOREIGN);
-    assertThat(why(new Codec("dalkeith").write(message(new SplittableRandom(3)))))
-        .isEqualTo(Refused.FLEET);
+    assertThat(why(Arrays.copyOf(whole, Message.MAX_BYTES + 1))).isEqualTo(DropReason.FOREIGN);
+    assertThat(why(new Codec("dalkeith").encode(message(new SplittableRandom(3)))))
+        .isEqualTo(DropReason.FLEET);
   }
 
   /** The checksum is right and the content is not: nothing but a refusal comes of it. */
@@ -108,16 +108,16 @@
     SplittableRandom random = new SplittableRandom(4);
     int malformed = 0;
     for (int i = 0; i < 20_000; i++) {
-      byte[] bytes = codec.write(message(random));
+      byte[] bytes = codec.encode(message(random));
       for (int k = 0; k < 4; k++) {
         bytes[12 + random.nextInt(bytes.length - 16)] = (byte) random.nextInt();
       }
-      malformed += why(signed(bytes)) == Refused.MALFORMED ? 1 : 0;
+      malformed += why(signed(bytes)) == DropReason.MALFORMED ? 1 : 0;
     }
     assertThat(malformed).isBetween(2_000, 19_999);
-    byte[] newer = codec.write(message(random));
+    byte[] newer = codec.encode(message(random));
     newer[2] = 2;
-    assertThat(why(signed(newer))).isEqualTo(Refused.VERSION);
+    assertThat(why(signed(newer))).isEqualTo(DropReason.VERSION);
   }
 
   static byte[] signed(byte[] bytes) {
--- a/src/test/java/brassbank/membership/wire/Fuzz.java
+++ b/src/test/java/brassbank/membership/wire/Fuzz.java
@@ -2,8 +2,8 @@
 
 import brassbank.membership.Activity;
 import brassbank.membership.Incarnation;
-import brassbank.membership.Joining;
 import brassbank.membership.Membership;
+import brassbank.membership.MembershipConfig;
 import brassbank.membership.Message;
 import brassbank.membership.Outbox;
 import brassbank.membership.Settings;
@@ -42,10 +42,10 @@
         "n" + (random.nextInt(20) == 0 ? 0 : random.nextInt(NAMES)),
         new InetSocketAddress(InetAddress.getByAddress(address), 1 + random.nextInt(65_535)),
         "z",
-        new Incarnation(random.nextLong(Incarnation.MOST_BIRTH), random.nextInt(1 << 30)),
+        new Incarnation(random.nextLong(Incarnation.MAX_START_TIME), random.nextInt(1 << 30)),
         State.values()[random.nextInt(4)],
         Activity.values()[random.nextInt(5)],
-        random.nextInt(Update.MOST_AGE),
+        random.nextInt(Update.MAX_AGE_SECONDS),
         "n" + random.nextInt(50));
   }
 
@@ -54,7 +54,7 @@
     for (int i = random.nextInt(20); i > 0; i--) {
       updates.add(update());
     }
-    return codec.write(
+    return codec.encode(
         new Message(
             Message.Kind.values()[random.nextInt(7)],
             random.nextInt(8),
@@ -83,7 +83,8 @@
 
   private void run(long count) throws Exception {
     InetSocketAddress here = new InetSocketAddress("10.0.9.9", 7_000);
-    Joining joining = new Joining("fuzz", here, here, List.of(), Settings.USUAL);
+    MembershipConfig joining =
+        new MembershipConfig("fuzz", here, here, List.of(), Settings.DEFAULTS);
     Update self =
         new Update("n0", here, "z", new Incarnation(5, 0), State.ALIVE, Activity.ACTIVE, 0, "");
     Membership member =
@@ -91,9 +92,9 @@
     Outbox out =
         (to, message) -> {
           sent++;
-          bytes += codec.write(message).length;
+          bytes += codec.encode(message).length;
         };
-    Map<Refused, Long> refused = new EnumMap<>(Refused.class);
+    Map<DropReason, Long> refused = new EnumMap<>(DropReason.class);
     long taken = 0;
     long mostSent = 0;
     long mostBytes = 0;
@@ -108,15 +109,15 @@
         bytes = 0;
       }
       now += 1_000;
-      if (now >= member.nextDue()) {
-        member.beat(now, out);
+      if (now >= member.nextTickAtMicros()) {
+        member.tick(now, out);
       }
       try {
-        Message message = codec.read(one());
+        Message message = codec.decode(one());
         taken++;
         member.receive(now, new InetSocketAddress("10.0.0.1", 1), message, out);
-      } catch (RefusedException e) {
-        refused.merge(e.why(), 1L, Long::sum);
+      } catch (InvalidDatagramException e) {
+        refused.merge(e.reason(), 1L, Long::sum);
       }
       if (i % 100_000 == 0) {
         View view = member.view();
@@ -129,7 +130,7 @@
     System.out.printf(
         "%d datagrams, %d taken, dropped %s; most in a second of 1000: %d datagrams, %d bytes sent;"
             + " %d members at most, health %d%n",
-        count, taken, refused, mostSent, mostBytes, most, member.health());
+        count, taken, refused, mostSent, mostBytes, most, member.localHealth());
   }
 
   public static void main(String[] arguments) throws Exception {
--- a/src/test/java/brassbank/shares/SeatsTest.java
+++ b/src/test/java/brassbank/shares/LeaseParticipantTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import brassbank.shares.wire.SeatCodec;
+import brassbank.shares.wire.LeaseCodec;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -18,23 +18,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Fleets of processes in bad weather: what all of them may spend together, at each millisecond. */
-class SeatsTest {
+class LeaseParticipantTest {
   private static final long MILLI = 1_000;
   private static final long SECOND = 1_000_000;
-  private static final SeatSettings USUAL = SeatSettings.of(0.25);
+  private static final LeaseSettings USUAL = LeaseSettings.withBaseShare(0.25);
 
   private record Datagram(long at, int from, int to, byte[] bytes) {}
 
   /** A fleet on a network that loses, delays, doubles and cuts, whose processes stop and die. */
   private static final class Weather {
     private final SplittableRandom random;
-    private final SeatSettings settings;
-    private final SeatCodec codec = new SeatCodec("leith");
+    private final LeaseSettings settings;
+    private final LeaseCodec codec = new LeaseCodec("leith");
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final PriorityQueue<Datagram> way =
         new PriorityQueue<>(Comparator.comparingLong(Datagram::at));
-    private final Seats[] processes;
-    private final Part[] parts;
+    private final LeaseParticipant[] processes;
+    private final BudgetShare[] parts;
     private final long[] away;
     private final long[] clients;
     private final int[] perBeat;
@@ -47,11 +47,11 @@
     private boolean mild;
     private int stops;
 
-    Weather(long seed, int fleet, SeatSettings settings) throws Exception {
+    Weather(long seed, int fleet, LeaseSettings settings) throws Exception {
       random = new SplittableRandom(seed);
       this.settings = settings;
-      processes = new Seats[fleet];
-      parts = new Part[fleet];
+      processes = new LeaseParticipant[fleet];
+      parts = new BudgetShare[fleet];
       away = new long[fleet];
       clients = new long[fleet];
       perBeat = new int[fleet];
@@ -67,7 +67,7 @@
     }
 
     private void start(int i) {
-      processes[i] = new Seats(settings, i, processes.length, random.nextLong(), now);
+      processes[i] = new LeaseParticipant(settings, i, processes.length, random.nextLong(), now);
       parts[i] = null;
       dead[i] = false;
       wants[i] = true;
@@ -79,13 +79,13 @@
       return others;
     }
 
-    private SeatOutbox from(int i) {
+    private LeaseOutbox from(int i) {
       return (to, message) -> {
         int other = addresses.indexOf(to);
         for (int copies = calm || random.nextInt(20) > 0 ? 1 : 2; copies > 0; copies--) {
           long late = calm ? MILLI : (long) (400 * MILLI * Math.pow(random.nextDouble(), 3));
           if (cutUntil[i][other] <= now && (calm || random.nextInt(10) > 0)) {
-            way.add(new Datagram(now + late, i, other, codec.write(message)));
+            way.add(new Datagram(now + late, i, other, codec.encode(message)));
           }
         }
       };
@@ -108,8 +108,8 @@
           continue;
         }
         processes[one.to()].receive(
-            now, addresses.get(one.from()), codec.read(one.bytes()), from(one.to()));
-        parts[one.to()] = processes[one.to()].part(now);
+            now, addresses.get(one.from()), codec.decode(one.bytes()), from(one.to()));
+        parts[one.to()] = processes[one.to()].share(now);
       }
       double sum = 0;
       for (int i = 0; i < processes.length; i++) {
@@ -117,13 +117,18 @@
           continue;
         }
         // One that goes on places before it hears or looks at anything but its clock.
-        Part part = parts[i];
-        sum += part == null ? 0 : now < part.until() || !part.seated() ? part.part() : part.base();
+        BudgetShare part = parts[i];
+        sum +=
+            part == null
+                ? 0
+                : now < part.leaseEndMicros() || !part.hasLease()
+                    ? part.fraction()
+                    : part.baseFraction();
         if ((now / MILLI + i * 37) % 100 == 0) {
           clients[i] += perBeat[i];
-          processes[i].taken(now, clients[i]);
-          processes[i].beat(now, wants[i], others(i), from(i));
-          parts[i] = processes[i].part(now);
+          processes[i].recordClients(now, clients[i]);
+          processes[i].tick(now, wants[i], others(i), from(i));
+          parts[i] = processes[i].share(now);
         }
       }
       most = Math.max(most, sum);
@@ -169,7 +174,7 @@
     double used() {
       double sum = 0;
       for (int i = 0; i < processes.length; i++) {
-        sum += dead[i] || parts[i] == null ? 0 : parts[i].part();
+        sum += dead[i] || parts[i] == null ? 0 : parts[i].fraction();
       }
       return sum;
     }
@@ -185,7 +190,7 @@
     }
   }
 
-  private static double worst(int seeds, int fleet, UnaryOperator<SeatSettings> planted)
+  private static double worst(int seeds, int fleet, UnaryOperator<LeaseSettings> planted)
       throws Exception {
     double most = 0;
     for (int seed = 1; seed <= seeds; seed++) {
@@ -212,13 +217,13 @@
             60,
             3,
             usual ->
-                new SeatSettings(
-                    usual.base(),
-                    usual.period(),
-                    usual.counts(),
+                new LeaseSettings(
+                    usual.baseShare(),
+                    usual.renewalMicros(),
+                    usual.validityMicros(),
                     100 * MILLI,
-                    usual.waits(),
-                    usual.weighs()));
+                    usual.activationMicros(),
+                    usual.weightWindowMicros()));
     assertThat(most).isGreaterThan(1.01);
   }
 
@@ -229,15 +234,20 @@
    * @return whether the other counts the first, while both spend
    */
   private static boolean countsOneThatWanders(long holds) {
-    SeatSettings settings =
-        new SeatSettings(
-            USUAL.base(), USUAL.period(), USUAL.counts(), holds, USUAL.waits(), USUAL.weighs());
-    Keeper[] keepers = new Keeper[3];
+    LeaseSettings settings =
+        new LeaseSettings(
+            USUAL.baseShare(),
+            USUAL.renewalMicros(),
+            USUAL.validityMicros(),
+            holds,
+            USUAL.activationMicros(),
+            USUAL.weightWindowMicros());
+    LeaseGrantor[] keepers = new LeaseGrantor[3];
     for (int k = 0; k < 3; k++) {
-      keepers[k] = new Keeper(holds, -10 * SECOND);
+      keepers[k] = new LeaseGrantor(holds, -10 * SECOND);
     }
-    Seat first = new Seat(settings, 3);
-    Seat other = new Seat(settings, 3);
+    RankLease first = new RankLease(settings, 3);
+    RankLease other = new RankLease(settings, 3);
     for (long at = 0; at <= 4_400; at += 50) {
       if (at % 300 == 0) {
         ask(first, 0, 0, keepers, at);
@@ -260,18 +270,19 @@
     return other.counted(4_400 * MILLI).get(0);
   }
 
-  private static void ask(Seat seat, int rank, int keeper, Keeper[] keepers, long millis) {
+  private static void ask(
+      RankLease seat, int rank, int keeper, LeaseGrantor[] keepers, long millis) {
     long now = millis * MILLI;
     assertThat(keepers[keeper].hold(now, rank, rank, 1, 4, 0)).isTrue();
     BitSet seats = keepers[keeper].seats(now);
     seat.held(
-        now, keeper, now, new SeatMessage(SeatMessage.Kind.HELD, keeper, keeper, 3, 1, seats));
+        now, keeper, now, new LeaseMessage(LeaseMessage.Kind.HELD, keeper, keeper, 3, 1, seats));
   }
 
   @Test
   void aSeatMustBeHeldForLongerThanTwoAnswersCount() {
-    assertThat(countsOneThatWanders(USUAL.counts())).isFalse();
-    assertThat(countsOneThatWanders(USUAL.holds())).isTrue();
+    assertThat(countsOneThatWanders(USUAL.validityMicros())).isFalse();
+    assertThat(countsOneThatWanders(USUAL.grantMicros())).isTrue();
   }
 
   @Test
@@ -281,13 +292,13 @@
             40,
             3,
             usual ->
-                new SeatSettings(
-                    usual.base(),
-                    usual.period(),
-                    usual.counts(),
-                    usual.holds(),
+                new LeaseSettings(
+                    usual.baseShare(),
+                    usual.renewalMicros(),
+                    usual.validityMicros(),
+                    usual.grantMicros(),
                     0,
-                    usual.weighs()));
+                    usual.weightWindowMicros()));
     assertThat(most).isGreaterThan(1.01);
   }
 
@@ -300,7 +311,7 @@
     weather.dead[4] = true;
     weather.calm(5 * SECOND);
     // What is left unused is the base of those who are not there.
-    assertThat(weather.used()).isCloseTo(1 - 2 * USUAL.base() / 14, within(1e-9));
+    assertThat(weather.used()).isCloseTo(1 - 2 * USUAL.baseShare() / 14, within(1e-9));
     weather.start(3);
     weather.start(4);
     weather.calm(5 * SECOND);
@@ -311,9 +322,14 @@
   private static double worstOfMild(int fleet, long weighs) throws Exception {
     double most = 0;
     for (int seed = 1; seed <= 20; seed++) {
-      SeatSettings settings =
-          new SeatSettings(
-              USUAL.base(), USUAL.period(), USUAL.counts(), USUAL.holds(), USUAL.waits(), weighs);
+      LeaseSettings settings =
+          new LeaseSettings(
+              USUAL.baseShare(),
+              USUAL.renewalMicros(),
+              USUAL.validityMicros(),
+              USUAL.grantMicros(),
+              USUAL.activationMicros(),
+              weighs);
       Weather weather = new Weather(seed, fleet, settings);
       weather.mild = true;
       while (weather.now < 87 * SECOND) {
@@ -326,14 +342,14 @@
 
   @Test
   void weightsThatChangeAddUpInAnyWeather() throws Exception {
-    assertThat(worstOfMild(3, USUAL.weighs())).isLessThanOrEqualTo(1 + 1e-9);
-    assertThat(worstOfMild(7, USUAL.weighs())).isLessThanOrEqualTo(1 + 1e-9);
+    assertThat(worstOfMild(3, USUAL.weightWindowMicros())).isLessThanOrEqualTo(1 + 1e-9);
+    assertThat(worstOfMild(7, USUAL.weightWindowMicros())).isLessThanOrEqualTo(1 + 1e-9);
   }
 
   /** With the newest weight in place of the least that others may still count. */
   @Test
   void aWeightThatIsSpentAtOnceIsFound() throws Exception {
-    assertThat(worstOfMild(3, USUAL.period() + 1)).isGreaterThan(1.01);
+    assertThat(worstOfMild(3, USUAL.renewalMicros() + 1)).isGreaterThan(1.01);
   }
 
   @Test
@@ -341,16 +357,16 @@
     Weather weather = new Weather(1, 14, USUAL);
     java.util.Arrays.fill(weather.perBeat, 1);
     weather.calm(20 * SECOND);
-    assertThat(weather.parts[5].part()).isCloseTo(1 / 14.0, within(1e-9));
+    assertThat(weather.parts[5].fraction()).isCloseTo(1 / 14.0, within(1e-9));
     weather.perBeat[5] = 8;
     weather.calm(25 * SECOND);
     // Thirteen weigh four each, as usual, and one sixteen.
-    assertThat(weather.parts[5].part())
+    assertThat(weather.parts[5].fraction())
         .isCloseTo(0.25 / 14 + 0.75 * 16 / (13 * 4 + 16), within(1e-9));
     assertThat(weather.used()).isCloseTo(1, within(1e-9));
     weather.perBeat[5] = 1;
     weather.calm(25 * SECOND);
-    assertThat(weather.parts[5].part()).isCloseTo(1 / 14.0, within(1e-9));
+    assertThat(weather.parts[5].fraction()).isCloseTo(1 / 14.0, within(1e-9));
     assertThat(weather.most).isLessThanOrEqualTo(1 + 1e-9);
   }
 
@@ -360,8 +376,8 @@
     weather.calm(10 * SECOND);
     weather.wants[2] = false;
     weather.calm(SECOND / 2);
-    assertThat(weather.parts[0].of()).isEqualTo(4);
-    assertThat(weather.parts[2].seated()).isFalse();
+    assertThat(weather.parts[0].participants()).isEqualTo(4);
+    assertThat(weather.parts[2].hasLease()).isFalse();
   }
 
   @Test
@@ -377,21 +393,21 @@
     for (int i = 0; i < 1_400; i++) {
       weather.step();
     }
-    assertThat(weather.parts[0].part()).isCloseTo(0.25 / 7, within(1e-9));
+    assertThat(weather.parts[0].fraction()).isCloseTo(0.25 / 7, within(1e-9));
     for (int i = 0; i < 2_600; i++) {
       weather.step();
     }
-    assertThat(weather.parts[6].part()).isCloseTo(0.25 / 7 + 0.75 / 4, within(1e-9));
+    assertThat(weather.parts[6].fraction()).isCloseTo(0.25 / 7 + 0.75 / 4, within(1e-9));
     assertThat(weather.most).isLessThanOrEqualTo(1 + 1e-9);
   }
 
-  private static Leave asked(Weather weather, int process) {
-    return weather.processes[process].leave(
+  private static DrainPermit asked(Weather weather, int process) {
+    return weather.processes[process].pollDrainPermit(
         weather.now, weather.others(process), weather.from(process));
   }
 
-  private static Leave ask(Weather weather, int process) {
-    return weather.processes[process].askToLeave(
+  private static DrainPermit ask(Weather weather, int process) {
+    return weather.processes[process].requestDrainPermit(
         weather.now, weather.others(process), weather.from(process));
   }
 
@@ -401,13 +417,13 @@
     weather.calm(10 * SECOND);
     ask(weather, 1);
     weather.calm(SECOND / 10);
-    assertThat(asked(weather, 1)).isEqualTo(Leave.GO);
+    assertThat(asked(weather, 1)).isEqualTo(DrainPermit.GO);
     weather.wants[1] = false;
-    assertThat(ask(weather, 3)).isEqualTo(new Leave(Leave.Answer.OTHER_LEAVES, 1));
+    assertThat(ask(weather, 3)).isEqualTo(new DrainPermit(DrainPermit.Status.OTHER_DRAINS, 1));
     weather.calm(5 * SECOND);
     ask(weather, 3);
     weather.calm(SECOND / 10);
-    assertThat(asked(weather, 3)).isEqualTo(Leave.GO);
+    assertThat(asked(weather, 3)).isEqualTo(DrainPermit.GO);
   }
 
   @Test
@@ -416,10 +432,10 @@
     weather.dead[3] = true;
     weather.dead[4] = true;
     weather.calm(10 * SECOND);
-    assertThat(ask(weather, 0).answer()).isEqualTo(Leave.Answer.TOO_FEW);
+    assertThat(ask(weather, 0).status()).isEqualTo(DrainPermit.Status.TOO_FEW_LEASES);
     weather.dead[2] = true;
     weather.calm(5 * SECOND);
-    assertThat(ask(weather, 0).answer()).isEqualTo(Leave.Answer.NOBODY_ANSWERS);
+    assertThat(ask(weather, 0).status()).isEqualTo(DrainPermit.Status.NO_MAJORITY);
   }
 
   /** It hears the others only after it has gone on, when the turn may be another's. */
@@ -432,9 +448,9 @@
     weather.calm(9 * SECOND);
     ask(weather, 2);
     weather.calm(SECOND / 10);
-    assertThat(asked(weather, 2)).isEqualTo(Leave.GO);
+    assertThat(asked(weather, 2)).isEqualTo(DrainPermit.GO);
     weather.calm(2 * SECOND);
-    assertThat(asked(weather, 1).answer()).isEqualTo(Leave.Answer.NOBODY_ANSWERS);
+    assertThat(asked(weather, 1).status()).isEqualTo(DrainPermit.Status.NO_MAJORITY);
   }
 
   /** In any weather two that are let go are at least as far apart as a leaving takes. */
@@ -449,10 +465,10 @@
         weather.step();
         int i = weather.random.nextInt(5);
         if (!weather.dead[i] && weather.away[i] <= weather.now) {
-          Leave leave = asked(weather, i);
+          DrainPermit leave = asked(weather, i);
           if (leave == null && weather.random.nextInt(100) == 0) {
             ask(weather, i);
-          } else if (leave == Leave.GO) {
+          } else if (leave == DrainPermit.GO) {
             // One that is let go may ask again: the turn is its own.
             if (i != leaver) {
               assertThat(weather.now - last).isGreaterThan(4 * SECOND);
@@ -468,68 +484,68 @@
   }
 
   /** What a keeper of rank 0 answers to one of rank 2, after these have come to it from rank 1. */
-  private static SeatMessage answered(SeatMessage.Kind asks, SeatMessage.Kind... came)
+  private static LeaseMessage answered(LeaseMessage.Kind asks, LeaseMessage.Kind... came)
       throws Exception {
     long now = 20 * SECOND;
-    Seats keeper = new Seats(USUAL, 0, 5, 70, now - 10 * SECOND);
+    LeaseParticipant keeper = new LeaseParticipant(USUAL, 0, 5, 70, now - 10 * SECOND);
     InetSocketAddress one =
         new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, 0, 0, 2}), 7070);
     InetSocketAddress other =
         new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, 0, 0, 3}), 7070);
-    List<SeatMessage> said = new ArrayList<>();
+    List<LeaseMessage> said = new ArrayList<>();
     // The first asks and gives back, and then asks anew; what it gave back comes once more, late.
     int[] sequences = {3, 3, 4, 3};
     for (int i = 0; i < came.length; i++) {
       keeper.receive(
           now + i,
           one,
-          new SeatMessage(came[i], 71, 1, 5, sequences[i], new BitSet()),
+          new LeaseMessage(came[i], 71, 1, 5, sequences[i], new BitSet()),
           (to, message) -> {});
     }
     keeper.receive(
         now + came.length,
         other,
-        new SeatMessage(asks, 72, 2, 5, 9, new BitSet()),
+        new LeaseMessage(asks, 72, 2, 5, 9, new BitSet()),
         (to, message) -> said.add(message));
     return said.get(0);
   }
 
   @Test
   void aSeatThatIsTakenAgainIsNotGivenBackByALateDatagram() throws Exception {
-    SeatMessage answer =
+    LeaseMessage answer =
         answered(
-            SeatMessage.Kind.ASK,
-            SeatMessage.Kind.ASK,
-            SeatMessage.Kind.GIVE_BACK,
-            SeatMessage.Kind.ASK,
-            SeatMessage.Kind.GIVE_BACK);
-    assertThat(answer.seats().get(1)).isTrue();
-    answer = answered(SeatMessage.Kind.ASK, SeatMessage.Kind.ASK, SeatMessage.Kind.GIVE_BACK);
-    assertThat(answer.seats().get(1)).isFalse();
+            LeaseMessage.Kind.ASK,
+            LeaseMessage.Kind.ASK,
+            LeaseMessage.Kind.GIVE_BACK,
+            LeaseMessage.Kind.ASK,
+            LeaseMessage.Kind.GIVE_BACK);
+    assertThat(answer.ranks().get(1)).isTrue();
+    answer = answered(LeaseMessage.Kind.ASK, LeaseMessage.Kind.ASK, LeaseMessage.Kind.GIVE_BACK);
+    assertThat(answer.ranks().get(1)).isFalse();
   }
 
   @Test
   void aTurnThatIsTakenAgainIsNotGivenBackByALateDatagram() throws Exception {
-    SeatMessage answer =
+    LeaseMessage answer =
         answered(
-            SeatMessage.Kind.LEAVE,
-            SeatMessage.Kind.LEAVE,
-            SeatMessage.Kind.STAYS,
-            SeatMessage.Kind.LEAVE,
-            SeatMessage.Kind.STAYS);
-    assertThat(answer.kind()).isEqualTo(SeatMessage.Kind.OTHER_LEAVES);
-    answer = answered(SeatMessage.Kind.LEAVE, SeatMessage.Kind.LEAVE, SeatMessage.Kind.STAYS);
-    assertThat(answer.kind()).isEqualTo(SeatMessage.Kind.GO);
+            LeaseMessage.Kind.LEAVE,
+            LeaseMessage.Kind.LEAVE,
+            LeaseMessage.Kind.STAYS,
+            LeaseMessage.Kind.LEAVE,
+            LeaseMessage.Kind.STAYS);
+    assertThat(answer.kind()).isEqualTo(LeaseMessage.Kind.OTHER_LEAVES);
+    answer = answered(LeaseMessage.Kind.LEAVE, LeaseMessage.Kind.LEAVE, LeaseMessage.Kind.STAYS);
+    assertThat(answer.kind()).isEqualTo(LeaseMessage.Kind.GO);
   }
 
   /** Whatever comes is read or refused, and nothing that is read is beyond its bounds. */
   @Test
   void readsAnythingWithoutFailing() {
     SplittableRandom random = new SplittableRandom(5);
-    SeatCodec codec = new SeatCodec("leith");
+    LeaseCodec codec = new LeaseCodec("leith");
     BitSet seats = new BitSet();
     seats.set(3);
-    byte[] good = codec.write(new SeatMessage(SeatMessage.Kind.HELD, 7, 2, 14, 9, seats));
+    byte[] good = codec.encode(new LeaseMessage(LeaseMessage.Kind.HELD, 7, 2, 14, 9, seats));
     int read = 0;
     for (int i = 0; i < 200_000; i++) {
       byte[] bytes = good.clone();
@@ -542,12 +558,12 @@
         bytes = java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length + 40));
       }
       try {
-        SeatMessage message = codec.read(bytes);
-        assertThat(message.rank()).isBetween(0, message.of() - 1);
-        assertThat(message.seats().length()).isLessThanOrEqualTo(message.of());
+        LeaseMessage message = codec.decode(bytes);
+        assertThat(message.rank()).isBetween(0, message.rankCount() - 1);
+        assertThat(message.ranks().length()).isLessThanOrEqualTo(message.rankCount());
         read++;
-      } catch (brassbank.membership.wire.RefusedException e) {
-        assertThat(e.why()).isNotNull();
+      } catch (brassbank.membership.wire.InvalidDatagramException e) {
+        assertThat(e.reason()).isNotNull();
       }
     }
     assertThat(read).isBetween(10_000, 190_000);
--- a/src/test/java/brassbank/sim/MembershipTest.java
+++ b/src/test/java/brassbank/sim/MembershipTest.java
@@ -157,8 +157,8 @@
                   }
 
                   private boolean first(String name, Incarnation incarnation) {
-                    return births.computeIfAbsent(name, n -> incarnation.birth())
-                        == incarnation.birth();
+                    return births.computeIfAbsent(name, n -> incarnation.startTime())
+                        == incarnation.startTime();
                   }
                 });
     assertThat(broken).containsKey("nobody who can be heard is declared dead");
--- a/src/test/java/brassbank/sim/SharesTest.java
+++ b/src/test/java/brassbank/sim/SharesTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import brassbank.net.Network;
-import brassbank.shares.SeatMessage;
+import brassbank.shares.LeaseMessage;
 import brassbank.sim.check.Breach;
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Plan;
@@ -87,23 +87,23 @@
                 real ->
                     new SpoiledSeats(real, "simulated") {
                       @Override
-                      protected SeatMessage taken(SeatMessage message) {
+                      protected LeaseMessage taken(LeaseMessage message) {
                         return null;
                       }
 
                       @Override
-                      protected SeatMessage forged(InetSocketAddress to, SeatMessage sent) {
-                        if (sent.kind() != SeatMessage.Kind.ASK) {
+                      protected LeaseMessage forged(InetSocketAddress to, LeaseMessage sent) {
+                        if (sent.kind() != LeaseMessage.Kind.ASK) {
                           return null;
                         }
                         int rank = to.getAddress().getAddress()[3] - 1;
                         BitSet alone = new BitSet();
                         alone.set(sent.rank());
-                        return new SeatMessage(
-                            SeatMessage.Kind.HELD,
+                        return new LeaseMessage(
+                            LeaseMessage.Kind.HELD,
                             rank + 7,
                             rank,
-                            sent.of(),
+                            sent.rankCount(),
                             sent.sequence(),
                             alone);
                       }
@@ -143,20 +143,20 @@
                 real ->
                     new SpoiledSeats(real, "simulated") {
                       @Override
-                      protected SeatMessage taken(SeatMessage message) {
-                        return message.kind() == SeatMessage.Kind.LEAVE ? null : message;
+                      protected LeaseMessage taken(LeaseMessage message) {
+                        return message.kind() == LeaseMessage.Kind.LEAVE ? null : message;
                       }
 
                       @Override
-                      protected SeatMessage forged(InetSocketAddress to, SeatMessage sent) {
+                      protected LeaseMessage forged(InetSocketAddress to, LeaseMessage sent) {
                         int rank = to.getAddress().getAddress()[3] - 1;
-                        return sent.kind() != SeatMessage.Kind.LEAVE
+                        return sent.kind() != LeaseMessage.Kind.LEAVE
                             ? null
-                            : new SeatMessage(
-                                SeatMessage.Kind.GO,
+                            : new LeaseMessage(
+                                LeaseMessage.Kind.GO,
                                 rank + 7,
                                 rank,
-                                sent.of(),
+                                sent.rankCount(),
                                 sent.sequence(),
                                 new BitSet());
                       }
--- a/src/test/java/brassbank/sim/SubsetsTest.java
+++ b/src/test/java/brassbank/sim/SubsetsTest.java
@@ -71,7 +71,10 @@
   @Test
   void catchesHostsThatAllAsk() {
     assertThat(broken(new Run(CALM, AS_IT_IS))).isEmpty();
-    assertThat(broken(new Run(CALM, AS_IT_IS, told -> told, joining -> joining.asking(1_000))))
+    assertThat(
+            broken(
+                new Run(
+                    CALM, AS_IT_IS, told -> told, joining -> joining.withMinProxiesPerHost(1_000))))
         .containsOnly("a host is asked by few, with subsets");
   }
 
--- a/src/test/java/brassbank/sim/members/SceneTest.java
+++ b/src/test/java/brassbank/sim/members/SceneTest.java
@@ -66,7 +66,7 @@
   }
 
   private static Sum sound(Scene scene) {
-    return played(scene, scene.fitting(Settings.USUAL), UnaryOperator.identity());
+    return played(scene, scene.fitting(Settings.DEFAULTS), UnaryOperator.identity());
   }
 
   @ParameterizedTest
@@ -93,7 +93,10 @@
   @Test
   void catchesASuspicionThatNeverEnds() {
     Sum sum =
-        played(Scene.CRASH, Settings.USUAL.suspicion(3_600_000_000L), UnaryOperator.identity());
+        played(
+            Scene.CRASH,
+            Settings.DEFAULTS.withMinSuspicion(3_600_000_000L),
+            UnaryOperator.identity());
     assertThat(sum.never()).isPositive();
   }
 
@@ -105,8 +108,8 @@
         incarnation,
         state,
         one.activity(),
-        one.age(),
-        one.by());
+        one.ageSeconds(),
+        one.reportedBy());
   }
 
   /** Whoever refutes says so with the incarnation that it had. */
@@ -121,7 +124,7 @@
           with(
               message,
               one -> {
-                Incarnation first = new Incarnation(one.incarnation().birth(), 0);
+                Incarnation first = new Incarnation(one.incarnation().startTime(), 0);
                 return SceneTest.with(one, first, one.state());
               }));
     }
@@ -129,7 +132,7 @@
 
   @Test
   void catchesARefutationThatRaisesNothing() {
-    Sum sum = played(Scene.CUT, Settings.USUAL, RefutesInVain::new);
+    Sum sum = played(Scene.CUT, Settings.DEFAULTS, RefutesInVain::new);
     assertThat(sum.never()).isPositive();
   }
 
@@ -138,13 +141,16 @@
   void catchesTheDeadForgottenTooSoon() {
     assertThat(sound(Scene.CUT_WITHOUT_SEEDS).never()).isZero();
     Sum sum =
-        played(Scene.CUT_WITHOUT_SEEDS, Settings.USUAL.forget(2_000_000), UnaryOperator.identity());
+        played(
+            Scene.CUT_WITHOUT_SEEDS,
+            Settings.DEFAULTS.withTombstoneRetention(2_000_000),
+            UnaryOperator.identity());
     assertThat(sum.never()).isPositive();
   }
 
   @Test
   void catchesTheDeadThatAreNeverForgotten() {
-    assertThat(played(Scene.FORGET, Settings.USUAL, UnaryOperator.identity()).broken())
+    assertThat(played(Scene.FORGET, Settings.DEFAULTS, UnaryOperator.identity()).broken())
         .isNotEmpty();
   }
 
@@ -166,7 +172,7 @@
                 boolean old = one.incarnation().compareTo(known) < 0;
                 return old
                     ? SceneTest.with(
-                        one, new Incarnation(known.birth(), known.raised() + 1), one.state())
+                        one, new Incarnation(known.startTime(), known.revision() + 1), one.state())
                     : one;
               }));
     }
@@ -178,7 +184,7 @@
 
   @Test
   void catchesAnOldIncarnationThatIsBelieved() {
-    Sum sum = played(Scene.OLD_DATAGRAMS, Settings.USUAL, BelievesTheOld::new);
+    Sum sum = played(Scene.OLD_DATAGRAMS, Settings.DEFAULTS, BelievesTheOld::new);
     assertThat(sound(Scene.OLD_DATAGRAMS).broken()).isEmpty();
     assertThat(sum.never() + sum.broken().size()).isPositive();
   }
@@ -187,14 +193,14 @@
   void catchesNewsThatIsToldOnce() {
     Settings once =
         new Settings(
-            Settings.USUAL.probeBeats(),
-            Settings.USUAL.direct(),
-            Settings.USUAL.suspicion(),
-            Settings.USUAL.stretch(),
+            Settings.DEFAULTS.probeIntervalTicks(),
+            Settings.DEFAULTS.minProbeTimeoutMicros(),
+            Settings.DEFAULTS.minSuspicionMicros(),
+            Settings.DEFAULTS.maxSuspicionMultiplier(),
             0,
-            Settings.USUAL.mostHealth(),
-            Settings.USUAL.forget(),
-            Settings.USUAL.quiet());
+            Settings.DEFAULTS.maxLocalHealth(),
+            Settings.DEFAULTS.tombstoneRetentionMicros(),
+            Settings.DEFAULTS.settleMicros());
     double sound = sound(Scene.LEAVE_IN_LOSS).most();
     double told = played(Scene.LEAVE_IN_LOSS, once, UnaryOperator.identity()).most();
     assertThat(sound).isLessThan(1.5);
@@ -206,18 +212,18 @@
   void catchesTheOwnHealthIgnored() {
     Settings proud =
         new Settings(
-            Settings.USUAL.probeBeats(),
-            Settings.USUAL.direct(),
-            Settings.USUAL.suspicion(),
-            Settings.USUAL.stretch(),
-            Settings.USUAL.tellings(),
+            Settings.DEFAULTS.probeIntervalTicks(),
+            Settings.DEFAULTS.minProbeTimeoutMicros(),
+            Settings.DEFAULTS.minSuspicionMicros(),
+            Settings.DEFAULTS.maxSuspicionMultiplier(),
+            Settings.DEFAULTS.retransmitMultiplier(),
             0,
-            Settings.USUAL.forget(),
-            Settings.USUAL.quiet());
+            Settings.DEFAULTS.tombstoneRetentionMicros(),
+            Settings.DEFAULTS.settleMicros());
     int humble = 0;
     int blames = 0;
     for (int seed = 1; seed <= 3; seed++) {
-      humble += Scene.DEAF.play(seed, MEMBERS, Settings.USUAL, UnaryOperator.identity()).blamed;
+      humble += Scene.DEAF.play(seed, MEMBERS, Settings.DEFAULTS, UnaryOperator.identity()).blamed;
       blames += Scene.DEAF.play(seed, MEMBERS, proud, UnaryOperator.identity()).blamed;
     }
     assertThat(humble * 3).as("of %d without", blames).isLessThan(blames * 2);
@@ -227,7 +233,7 @@
   @Test
   void oneOfTwoOfTheSameNameGivesWayAndNobodyFlaps() {
     int[] warnings = new int[2];
-    Flock flock = new Flock(1, MEMBERS + 1, Settings.USUAL, UnaryOperator.identity());
+    Flock flock = new Flock(1, MEMBERS + 1, Settings.DEFAULTS, UnaryOperator.identity());
     for (int i = 0; i < MEMBERS; i++) {
       flock.add();
     }
@@ -248,7 +254,7 @@
         .all()
         .get(2)
         .fleet()
-        .listen(
+        .addListener(
             change -> {
               if (change.after() != null && change.after().name().equals(one.name)) {
                 changes[0]++;
@@ -276,7 +282,7 @@
     Sum sum =
         played(
             Scene.LEAVE,
-            Settings.USUAL,
+            Settings.DEFAULTS,
             real ->
                 new Spoiled(real, "flock") {
                   @Override
--- a/src/test/java/brassbank/sim/members/Spoiled.java
+++ b/src/test/java/brassbank/sim/members/Spoiled.java
@@ -3,7 +3,7 @@
 import brassbank.membership.Message;
 import brassbank.membership.Update;
 import brassbank.membership.wire.Codec;
-import brassbank.membership.wire.RefusedException;
+import brassbank.membership.wire.InvalidDatagramException;
 import brassbank.net.Channel;
 import brassbank.net.Loop;
 import brassbank.net.Network;
@@ -97,14 +97,14 @@
 
   private Message read(byte[] bytes) {
     try {
-      return codec.read(bytes);
-    } catch (RefusedException e) {
+      return codec.decode(bytes);
+    } catch (InvalidDatagramException e) {
       throw new IllegalStateException(e);
     }
   }
 
   private byte[] write(Message message) {
-    return codec.write(message);
+    return codec.encode(message);
   }
 
   @Override
--- a/src/test/java/brassbank/sim/members/SpoiledSeats.java
+++ b/src/test/java/brassbank/sim/members/SpoiledSeats.java
@@ -1,35 +1,35 @@
 package brassbank.sim.members;
 
-import brassbank.membership.wire.RefusedException;
+import brassbank.membership.wire.InvalidDatagramException;
 import brassbank.net.Network;
-import brassbank.shares.SeatMessage;
-import brassbank.shares.wire.SeatCodec;
+import brassbank.shares.LeaseMessage;
+import brassbank.shares.wire.LeaseCodec;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
 /** A network on which what is said of seats is spoiled; everything else is as it was. */
 public class SpoiledSeats extends Spoiled {
   private final Network real;
-  private final SeatCodec codec;
+  private final LeaseCodec codec;
 
   public SpoiledSeats(Network real, String fleet) {
     super(real, fleet);
     this.real = real;
-    codec = new SeatCodec(fleet);
+    codec = new LeaseCodec(fleet);
   }
 
   /** What goes out in place of a message; null for nothing. */
-  protected SeatMessage said(SeatMessage message) {
+  protected LeaseMessage said(LeaseMessage message) {
     return message;
   }
 
   /** What comes in in place of a message; null for nothing. */
-  protected SeatMessage taken(SeatMessage message) {
+  protected LeaseMessage taken(LeaseMessage message) {
     return message;
   }
 
   /** What comes back from the one whom a message was sent to, who knows nothing of it; or null. */
-  protected SeatMessage forged(InetSocketAddress to, SeatMessage sent) {
+  protected LeaseMessage forged(InetSocketAddress to, LeaseMessage sent) {
     return null;
   }
 
@@ -39,7 +39,7 @@
         real.datagrams(
             address,
             (from, bytes) -> {
-              byte[] spoiled = SeatCodec.marked(bytes) ? write(taken(read(bytes))) : bytes;
+              byte[] spoiled = LeaseCodec.hasMagic(bytes) ? write(taken(read(bytes))) : bytes;
               if (spoiled != null) {
                 heard.heard(from, spoiled);
               }
@@ -47,11 +47,11 @@
     return new Datagrams() {
       @Override
       public void send(InetSocketAddress to, byte[] bytes) {
-        byte[] spoiled = SeatCodec.marked(bytes) ? write(said(read(bytes))) : bytes;
+        byte[] spoiled = LeaseCodec.hasMagic(bytes) ? write(said(read(bytes))) : bytes;
         if (spoiled != null) {
           socket.send(to, spoiled);
         }
-        SeatMessage forged = SeatCodec.marked(bytes) ? forged(to, read(bytes)) : null;
+        LeaseMessage forged = LeaseCodec.hasMagic(bytes) ? forged(to, read(bytes)) : null;
         if (forged != null) {
           real.execute(() -> heard.heard(to, write(forged)));
         }
@@ -64,15 +64,15 @@
     };
   }
 
-  private SeatMessage read(byte[] bytes) {
+  private LeaseMessage read(byte[] bytes) {
     try {
-      return codec.read(bytes);
-    } catch (RefusedException e) {
+      return codec.decode(bytes);
+    } catch (InvalidDatagramException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private byte[] write(SeatMessage message) {
-    return message == null ? null : codec.write(message);
+  private byte[] write(LeaseMessage message) {
+    return message == null ? null : codec.encode(message);
   }
 }
--- a/src/test/java/brassbank/subsets/SubsetTest.java
+++ b/src/test/java/brassbank/subsets/SubsetTest.java
@@ -23,7 +23,7 @@
     Map<String, Set<String>> askers = new HashMap<>();
     hosts.forEach(host -> askers.put(host.name(), new HashSet<>()));
     for (Peer self : proxies) {
-      for (String host : new Subset(self, proxies, ASKERS).of(hosts)) {
+      for (String host : new Subset(self, proxies, ASKERS).select(hosts)) {
         askers.get(host).add(self.name());
       }
     }
@@ -83,7 +83,7 @@
       Peer self = proxies.get(i);
       List<Peer> view = views.get(i % views.size());
       if (view.contains(self)) {
-        new Subset(self, view, ASKERS).of(hosts).forEach(h -> asked.merge(h, 1, Integer::sum));
+        new Subset(self, view, ASKERS).select(hosts).forEach(h -> asked.merge(h, 1, Integer::sum));
       }
     }
     assertThat(asked.values()).allMatch(count -> count <= 3 * ASKERS);
@@ -93,9 +93,10 @@
   void hasEightHostsByAndLargeWhereThereAreFew() {
     List<Peer> proxies = peers("n", 56, 2);
     List<Peer> hosts = peers("s-", 12, 2);
-    assertThat(Subset.askers(ASKERS, 56, 12)).isEqualTo(38);
-    assertThat(proxies).allMatch(self -> !new Subset(self, proxies, ASKERS).of(hosts).isEmpty());
-    assertThat(Subset.askers(ASKERS, 3, 60)).isEqualTo(3);
+    assertThat(Subset.proxiesPerHost(ASKERS, 56, 12)).isEqualTo(38);
+    assertThat(proxies)
+        .allMatch(self -> !new Subset(self, proxies, ASKERS).select(hosts).isEmpty());
+    assertThat(Subset.proxiesPerHost(ASKERS, 3, 60)).isEqualTo(3);
   }
 
   /** What is remembered of hosts makes no difference to what is chosen. */
@@ -104,8 +105,9 @@
     List<Peer> proxies = peers("n", 14, 2);
     List<Peer> hosts = peers("s-", 60, 2);
     Subset used = new Subset(proxies.get(3), proxies, ASKERS);
-    used.of(hosts.subList(0, 20));
-    used.of(List.of(new Peer("s-7", "elsewhere")));
-    assertThat(used.of(hosts)).isEqualTo(new Subset(proxies.get(3), proxies, ASKERS).of(hosts));
+    used.select(hosts.subList(0, 20));
+    used.select(List.of(new Peer("s-7", "elsewhere")));
+    assertThat(used.select(hosts))
+        .isEqualTo(new Subset(proxies.get(3), proxies, ASKERS).select(hosts));
   }
 }
