--- a/src/main/java/brassbank/handover/Image.java
+++ b/src/main/java/brassbank/handover/Image.java
@@ -1,6 +1,6 @@
 package brassbank.handover;
 
-import brassbank.decide.Standing;
+import brassbank.decide.EstablishedConnection;
 import brassbank.decide.TargetList;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -25,11 +25,11 @@
 
   private Image() {}
 
-  static byte[] of(Holding holding) {
+  static byte[] of(HandoverState holding) {
     StringBuilder body = new StringBuilder();
-    line(body, "descriptors", holding.descriptors());
+    line(body, "descriptors", holding.descriptorLimit());
     line(body, "standby", holding.standby());
-    holding.ids().stream().limit(MOST_CONNECTIONS).forEach(id -> line(body, "id", id));
+    holding.flowIds().stream().limit(MOST_CONNECTIONS).forEach(id -> line(body, "id", id));
     for (TargetList.Entry entry : holding.targets()) {
       line(
           body,
@@ -41,9 +41,9 @@
           entry.group(),
           entry.status(),
           entry.weight(),
-          entry.sinceMillis());
+          entry.startUnixMillis());
     }
-    holding.standing().stream()
+    holding.connections().stream()
         .limit(MOST_CONNECTIONS)
         .forEach(
             one ->
@@ -55,7 +55,7 @@
                     one.flowClass(),
                     one.tenant() == null ? "" : one.tenant(),
                     one.group() == null ? "" : one.group(),
-                    one.hint(),
+                    one.loadHint(),
                     one.target(),
                     one.load()));
     byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
@@ -83,7 +83,7 @@
   }
 
   /** What such bytes say; throws IllegalArgumentException where they are damaged or foreign. */
-  static Holding read(byte[] bytes) {
+  static HandoverState read(byte[] bytes) {
     int end = 0;
     while (end < bytes.length && bytes[end] != '\n') {
       end++;
@@ -103,7 +103,7 @@
     boolean standby = false;
     Set<String> ids = new LinkedHashSet<>();
     List<TargetList.Entry> targets = new ArrayList<>();
-    List<Standing> standing = new ArrayList<>();
+    List<EstablishedConnection> standing = new ArrayList<>();
     try {
       for (String line : body.lines().toList()) {
         String[] fields = line.split("\t", -1);
@@ -124,7 +124,7 @@
     if (Math.max(ids.size(), Math.max(targets.size(), standing.size())) > MOST_CONNECTIONS) {
       throw new IllegalArgumentException("too many lines");
     }
-    return new Holding(descriptors, standby, ids, targets, standing);
+    return new HandoverState(descriptors, standby, ids, targets, standing);
   }
 
   private static TargetList.Entry target(String[] fields) {
@@ -139,8 +139,8 @@
         Long.parseLong(fields[8]));
   }
 
-  private static Standing connection(String[] fields) {
-    return new Standing(
+  private static EstablishedConnection connection(String[] fields) {
+    return new EstablishedConnection(
         Long.parseLong(fields[1]),
         fields[2],
         fields[3],
--- a/src/test/java/brassbank/handover/ImageTest.java
+++ b/src/test/java/brassbank/handover/ImageTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import brassbank.decide.Standing;
+import brassbank.decide.EstablishedConnection;
 import brassbank.decide.TargetList;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -12,10 +12,11 @@
 import org.junit.jupiter.api.Test;
 
 class ImageTest {
-  private static final List<Standing> STANDING =
+  private static final List<EstablishedConnection> STANDING =
       List.of(
-          new Standing(7, "key-1", "preview", "kelvin-stone", "g=1", 0.5, "s-1", 1.25e-3),
-          new Standing(8, "key-2", "presentation", null, null, 0, "s-2", Double.NaN));
+          new EstablishedConnection(
+              7, "key-1", "preview", "kelvin-stone", "g=1", 0.5, "s-1", 1.25e-3),
+          new EstablishedConnection(8, "key-2", "presentation", null, null, 0, "s-2", Double.NaN));
 
   private static final TargetList.Entry TARGET =
       new TargetList.Entry(
@@ -28,15 +29,15 @@
           1.5,
           12);
 
-  private static final Holding HOLDING =
-      new Holding(200, true, Set.of("9b1f"), List.of(TARGET), STANDING);
+  private static final HandoverState HOLDING =
+      new HandoverState(200, true, Set.of("9b1f"), List.of(TARGET), STANDING);
 
   private final byte[] bytes = Image.of(HOLDING);
 
   @Test
   void whatIsWrittenIsRead() {
     assertThat(Image.read(bytes)).isEqualTo(HOLDING);
-    Holding none = new Holding(60, false, Set.of(), List.of(), List.of());
+    HandoverState none = new HandoverState(60, false, Set.of(), List.of(), List.of());
     assertThat(Image.read(Image.of(none))).isEqualTo(none);
   }
 
@@ -63,7 +64,7 @@
     sum.update(body.getBytes(StandardCharsets.ISO_8859_1));
     String rest = body.length() + " " + Long.toHexString(sum.getValue()) + "\n" + body;
     assertThat(Image.read(("brassbank-image 1 " + rest).getBytes(StandardCharsets.ISO_8859_1)))
-        .isEqualTo(new Holding(200, false, Set.of(), List.of(), STANDING.subList(0, 1)));
+        .isEqualTo(new HandoverState(200, false, Set.of(), List.of(), STANDING.subList(0, 1)));
     assertThatThrownBy(
             () -> Image.read(("brassbank-image 2 " + rest).getBytes(StandardCharsets.ISO_8859_1)))
         .hasMessage("not of this version");
