--- a/src/test/java/brassbank/fleet/FleetLogTest.java
+++ b/src/test/java/brassbank/fleet/FleetLogTest.java
@@ -23,7 +23,7 @@
 
   @AfterEach
   void loud() {
-    Log.onThisThread(null);
+    Log.setThreadSink(null);
   }
 
   private static ViewChange change(int version) {
@@ -35,7 +35,7 @@
   /** A storm of a thousand changes is some lines and a count, and none of them is lost. */
   @Test
   void countsInAStormWhatItDoesNotTell() {
-    Log.onThisThread(event -> lines.add(event.name() + " " + event.fields()));
+    Log.setThreadSink(event -> lines.add(event.name() + " " + event.fields()));
     FleetLog journal = new FleetLog();
     for (int i = 0; i < 1_000; i++) {
       journal.changed(SECOND + i, change(i));
@@ -48,7 +48,7 @@
 
   @Test
   void warnsOfWhatItDropsOnceInTenSeconds() {
-    Log.onThisThread(event -> lines.add(event.name() + " " + event.fields()));
+    Log.setThreadSink(event -> lines.add(event.name() + " " + event.fields()));
     FleetLog journal = new FleetLog();
     for (int i = 0; i < 500; i++) {
       journal.refused(i * SECOND / 25, DropReason.FLEET, "another fleet's", ADDRESS);
