--- a/src/jmh/java/ashspar/BenchFleet.java
+++ b/src/jmh/java/ashspar/BenchFleet.java
@@ -63,7 +63,7 @@
       entries.add(
           new Balancer.ServerEntry("s-" + i, zone, "fast-box", 0, Balancer.State.READY, 1, 0));
     }
-    policy.servers(now, Balancer.ListKind.FULL, entries);
+    policy.updateServers(now, Balancer.ListKind.FULL, entries);
     for (int i = 0; i < 10 * targets; i++) {
       pass();
     }
@@ -75,7 +75,7 @@
     turn = (turn + 1) % targets;
     answer("s-" + turn);
     while (!timers.isEmpty() && timers.peek().due() <= now) {
-      policy.timer(now, timers.poll().token());
+      policy.timerExpired(now, timers.poll().token());
       answerProbes();
     }
   }
@@ -85,7 +85,7 @@
     id++;
     String practice = id % 2 == 0 ? "kelvin-stone" : "forthbank";
     String group = groups ? "model-" + id % GROUPS : null;
-    policy.request(
+    policy.requestReceived(
         now, new Balancer.Request(id, "key", group, type, practice, left, 0, false, false, false));
     answerProbes();
     return id;
@@ -93,17 +93,17 @@
 
   /** The flow leaves without an answer. */
   void leave(long flow) {
-    policy.lapsed(now, flow);
+    policy.requestWithdrawn(now, flow);
   }
 
   /** The target serves. */
   void accept(Sent attempt) {
-    policy.accepted(now, attempt.id(), 0, attempt.server(), 1_000);
+    policy.connectionAccepted(now, attempt.id(), 0, attempt.server(), 1_000);
   }
 
   /** The connection has ended. */
   void end(Sent connection) {
-    policy.outcome(
+    policy.attemptEnded(
         now,
         new Balancer.Outcome(
             connection.id(), 0, connection.server(), Balancer.Status.OK, 1_000, true, List.of()));
@@ -116,7 +116,7 @@
   }
 
   private void answer(String server) {
-    policy.probed(now, server, Balancer.Status.OK, 500, report);
+    policy.probeCompleted(now, server, Balancer.Status.OK, 500, report);
   }
 
   @Override
@@ -125,7 +125,7 @@
   }
 
   @Override
-  public void timer(long delay, long token) {
+  public void startTimer(long delay, long token) {
     timers.add(new Timer(now + delay, token));
   }
 
@@ -147,13 +147,13 @@
   public void move(long flow) {}
 
   @Override
-  public void watch(boolean on) {}
+  public void watchDiscovery(boolean on) {}
 
   @Override
-  public void fetch() {}
+  public void fetchServers() {}
 
   @Override
-  public void tell(int peer, byte[] message) {}
+  public void sendToPeer(int peer, byte[] message) {}
 
   @Override
   public void log(String text) {}
--- a/src/main/java/ashspar/Admission.java
+++ b/src/main/java/ashspar/Admission.java
@@ -50,7 +50,7 @@
   }
 
   private boolean known(Server s) {
-    return node.now - s.reportAt <= KNOWN || !node.settings.limits().probes();
+    return node.now - s.reportAt <= KNOWN || !node.settings.permissions().probes();
   }
 
   /** How far this node is to look beyond its own servers, by how many of them take more. */
@@ -75,7 +75,7 @@
   boolean allowed(Held h, Server s, boolean again) {
     return (again || !h.tried.contains(s))
         && h.sharesMemory(s, node.now)
-        && node.limits.room(node.now, s.limits, node.value(h), h.request.group())
+        && node.limits.room(node.now, s.limits, node.value(h), h.request.affinityGroup())
         && (node.cost(h) <= COLD_HEAVIEST || warmth(s) >= 1);
   }
 
@@ -88,10 +88,12 @@
   }
 
   /** This node's part is told anew; whether it is another than before. */
-  boolean share(Balancer.Share s) {
+  boolean share(Balancer.BudgetShare s) {
     lapse();
     Division division = node.limits.division;
-    boolean other = division.told(node.now, s.part(), s.base(), s.turn(), s.of(), s.until());
+    boolean other =
+        division.told(
+            node.now, s.fraction(), s.baseFraction(), s.index(), s.participants(), s.untilMicros());
     if (other) {
       deal(node.now);
     }
--- a/src/main/java/ashspar/Balancer.java
+++ b/src/main/java/ashspar/Balancer.java
@@ -19,49 +19,50 @@
 public interface Balancer {
 
   /** What discovery knows of the servers. Late by nature: it says that a process runs, no more. */
-  void servers(long now, ListKind kind, List<ServerEntry> entries);
+  void updateServers(long now, ListKind kind, List<ServerEntry> entries);
 
   /** A client's connection request has reached this node, which now owes it one final answer. */
-  void request(long now, Request request);
+  void requestReceived(long now, Request request);
 
   /** A connection that was already routed through this node when it started. */
-  void resumed(long now, Request request, String server);
+  void connectionResumed(long now, Request request, String server);
 
   /** The connection stands. From here on no deadline runs. */
-  void accepted(long now, long id, int attempt, String server, long elapsed);
+  void connectionAccepted(long now, long id, int attempt, String server, long elapsed);
 
   /** News of an open connection, or of the server that holds it. */
-  void note(long now, long id, int attempt, String server, NoteKind kind, double value);
+  void connectionMeasured(
+      long now, long id, int attempt, String server, MeasurementKind kind, double value);
 
   /** How an attempt ended. Each attempt has exactly one outcome. */
-  void outcome(long now, Outcome outcome);
+  void attemptEnded(long now, Outcome outcome);
 
   /** The client has left, or its request is overdue: nothing more is owed. */
-  void lapsed(long now, long id);
+  void requestWithdrawn(long now, long id);
 
   /** The node can hold a request no longer: it is answered now, as what may have run allows. */
-  void giveUp(long now, long id);
+  void answerNow(long now, long id);
 
-  /** A timer set through {@link Actions#timer} is due. */
-  void timer(long now, long token);
+  /** A timer set through {@link Actions#startTimer} is due. */
+  void timerExpired(long now, long token);
 
   /** A probe's answer, or its failure; {@code report} is empty where none came with it. */
-  void probed(long now, String server, Status status, long elapsed, List<Double> report);
+  void probeCompleted(long now, String server, Status status, long elapsed, List<Double> report);
 
   /** The settings have changed; the zone, the classes' names and how lists come are as before. */
-  void settings(long now, Settings settings);
+  void updateSettings(long now, Settings settings);
 
   /** How much of the fleet's budgets this node may spend; until it is told, by the settings. */
-  default void share(long now, Share share) {}
+  default void updateBudgetShare(long now, BudgetShare share) {}
 
   /** Which servers this node asks and places at first; null for all, as until it is told. */
-  default void own(long now, Set<String> servers) {}
+  default void assignServers(long now, Set<String> servers) {}
 
   /** What the node holds itself to, as plain values. */
   LimitsSnapshot limits();
 
   /** A message of another node; anybody's bytes, so nothing in them is trusted. */
-  default void peer(long now, int from, byte[] message) {}
+  default void peerMessageReceived(long now, int from, byte[] message) {}
 
   /** What a balancer can have done. Actions take effect at once, in the order they are called. */
   interface Actions {
@@ -80,20 +81,20 @@
     /** Ends an open connection politely; its client comes again. */
     void move(long id);
 
-    /** Asks for {@link Balancer#timer} after {@code delay}. */
-    void timer(long delay, long token);
+    /** Asks for {@link Balancer#timerExpired} after {@code delay}. */
+    void startTimer(long delay, long token);
 
     /** Asks a server for its load. */
     void probe(String server);
 
     /** Asks discovery for changes from now on, or withdraws that. */
-    void watch(boolean on);
+    void watchDiscovery(boolean on);
 
     /** Asks discovery for the whole list once. */
-    void fetch();
+    void fetchServers();
 
     /** Sends at most 256 bytes to one node, or to all others when {@code peer} is -1. */
-    void tell(int peer, byte[] message);
+    void sendToPeer(int peer, byte[] message);
 
     /** A line for the operators. */
     void log(String text);
@@ -133,30 +134,30 @@
     public final boolean neverRan;
 
     /** What it is to the limits. */
-    final Ending ending;
+    final Ending setupOutcome;
 
     Status(boolean neverRan, Ending ending) {
       this.neverRan = neverRan;
-      this.ending = ending;
+      this.setupOutcome = ending;
     }
   }
 
   /** Whether a request may be repeated: anytime, among servers that drop repeats, or never. */
-  enum Effect {
+  enum Repeatability {
     FREE,
     GUARDED,
     SINGLE_SHOT
   }
 
   /** Which servers share the memory that drops a guarded request's repeats. */
-  enum Group {
+  enum DeduplicationScope {
     ALL,
     ZONE,
     CELL
   }
 
   /** What a note tells. */
-  enum NoteKind {
+  enum MeasurementKind {
     /** The connection's load, in microseconds of work a second. */
     LOAD,
     /** Milliseconds that a message takes at the server. */
@@ -188,9 +189,15 @@
     LIVE
   }
 
-  /** A server as discovery lists it; {@code since} is its last start, 0 for long ago. */
+  /** A server as discovery lists it; {@code startedAtMicros} is its last start, 0 for long ago. */
   record ServerEntry(
-      String id, String zone, String kind, int cell, State state, double size, long since) {
+      String id,
+      String zone,
+      String serverType,
+      int cell,
+      State state,
+      double size,
+      long startedAtMicros) {
     public ServerEntry {
       require(id != null && !id.isEmpty(), "a server entry needs an id");
       require(state != null, "a server entry needs a state");
@@ -198,24 +205,24 @@
   }
 
   /**
-   * A connection request; {@code left} is the time until this try's deadline, {@code group} what
-   * its connection shares work with, or null.
+   * A connection request; {@code timeLeftMicros} is the time until this try's deadline, {@code
+   * affinityGroup} what its connection shares work with, or null.
    */
   record Request(
       long id,
-      String key,
-      String group,
+      String clientKey,
+      String affinityGroup,
       String requestClass,
       String tenant,
-      long left,
-      double hint,
-      boolean repeat,
+      long timeLeftMicros,
+      double loadHint,
+      boolean retry,
       boolean midFlow,
-      boolean returning) {
+      boolean reconnecting) {
     public Request {
       require(requestClass != null, "a request needs a class");
-      require(left >= 0, "a request's time left must not be negative");
-      require(hint >= 0, "a request's hint must be 0 (none) or more");
+      require(timeLeftMicros >= 0, "a request's time left must not be negative");
+      require(loadHint >= 0, "a request's hint must be 0 (none) or more");
     }
 
     /** A request whose connection shares work with no other. */
@@ -239,7 +246,7 @@
       int attempt,
       String server,
       Status status,
-      long elapsed,
+      long elapsedMicros,
       boolean closed,
       List<Double> report) {
     public Outcome {
@@ -251,33 +258,38 @@
   /**
    * A part of each budget that all nodes spend together.
    *
-   * @param part of the budget until then, above 0 and at most 1
-   * @param base the part from then on, as much or less
-   * @param turn which of those that share it is, from 0 on, below {@code of}
-   * @param of how many share
-   * @param until on the module's clock
+   * @param fraction of the budget until then, above 0 and at most 1
+   * @param baseFraction the part from then on, as much or less
+   * @param index which of those that share it is, from 0 on, below {@code of}
+   * @param participants how many share
+   * @param untilMicros on the module's clock
    */
-  record Share(double part, double base, int turn, int of, long until) {
-    public Share {
-      require(base > 0 && base <= part && part <= 1, "a part is above 0 and at most 1");
-      require(turn >= 0 && turn < of, "a turn is below the number of those that share");
+  record BudgetShare(
+      double fraction, double baseFraction, int index, int participants, long untilMicros) {
+    public BudgetShare {
+      require(
+          baseFraction > 0 && baseFraction <= fraction && fraction <= 1,
+          "a part is above 0 and at most 1");
+      require(index >= 0 && index < participants, "a turn is below the number of those that share");
     }
   }
 
   /** A class of requests. */
   record RequestClass(
       String name,
-      long aim,
-      long deadline,
-      double worth,
-      Effect effect,
-      Group group,
-      long window,
-      double messageAim) {
+      long answerGoalMicros,
+      long deadlineMicros,
+      double value,
+      Repeatability repeatability,
+      DeduplicationScope deduplicationScope,
+      long deduplicationWindowMicros,
+      double messageDelayGoalMicros) {
     public RequestClass {
       require(name != null, "a class needs a name");
-      require(worth >= 0, "a class's worth must not be negative");
-      require(aim >= 0 && deadline >= 0 && window >= 0, "a class's times must not be negative");
+      require(value >= 0, "a class's worth must not be negative");
+      require(
+          answerGoalMicros >= 0 && deadlineMicros >= 0 && deduplicationWindowMicros >= 0,
+          "a class's times must not be negative");
     }
   }
 
@@ -289,60 +301,66 @@
   }
 
   /** What a node may do. */
-  record Limits(
+  record Permissions(
       boolean probes,
-      boolean peers,
+      boolean peerMessages,
       boolean cancel,
       boolean secondCopies,
       boolean retryAfter,
       int maxAttempts,
-      long maxRetryAfter) {
-    public Limits {
+      long maxRetryAfterMicros) {
+    public Permissions {
       require(maxAttempts >= 1, "at least one attempt must be allowed");
     }
   }
 
   /** The figures of the rules; times in microseconds. */
-  record Rules(
-      long answerSlack,
-      long askWithin,
-      long drainGrace,
-      double coldShare,
-      long warmUp,
-      double fallMultiple,
-      long fallWindow) {
-    public Rules {
-      require(answerSlack >= 0 && drainGrace >= 0, "the rules' times must not be negative");
-      require(warmUp >= 0 && fallWindow >= 0, "the rules' times must not be negative");
+  record SafetyRules(
+      long answerSlackMicros,
+      long askWithinMicros,
+      long drainGraceMicros,
+      double coldCapacity,
+      long warmUpMicros,
+      double overloadMultiple,
+      long overloadWindowMicros) {
+    public SafetyRules {
+      require(
+          answerSlackMicros >= 0 && drainGraceMicros >= 0, "the rules' times must not be negative");
+      require(
+          warmUpMicros >= 0 && overloadWindowMicros >= 0, "the rules' times must not be negative");
     }
   }
 
   /** What is taken off the result, each per unit of its own. */
   record Prices(double crossZone, double waste, double probe, double peer, double moves) {}
 
-  /** All that a node is told at its start; {@code tellsDelay}: notes of kind DELAY come. */
+  /**
+   * All that a node is told at its start; {@code reportsDelay}: measurements of kind DELAY come.
+   */
   record Settings(
       int rank,
-      int nodes,
+      int nodeCount,
       String zone,
       List<String> zones,
       List<RequestClass> classes,
       List<Tenant> tenants,
-      Limits limits,
-      Rules rules,
+      Permissions permissions,
+      SafetyRules safetyRules,
       Prices prices,
       List<Metric> reportFields,
-      SizeMeaning sizes,
-      boolean asks,
+      SizeMeaning sizeMeaning,
+      boolean pullsDiscovery,
       boolean passThrough,
-      double overShareWorth,
-      long tick,
-      boolean tellsDelay) {
+      double overShareValue,
+      long timerResolutionMicros,
+      boolean reportsDelay) {
     public Settings {
-      require(nodes >= 1, "there is at least one node");
+      require(nodeCount >= 1, "there is at least one node");
       require(rank >= 0, "a node's rank must not be negative");
       require(!classes.isEmpty(), "there is at least one class");
-      require(limits != null && rules != null && prices != null, "limits, rules, prices needed");
+      require(
+          permissions != null && safetyRules != null && prices != null,
+          "limits, rules, prices needed");
       zones = List.copyOf(zones);
       classes = List.copyOf(classes);
       tenants = List.copyOf(tenants);
--- a/src/main/java/ashspar/Fleet.java
+++ b/src/main/java/ashspar/Fleet.java
@@ -58,8 +58,8 @@
     s.zone = entry.zone();
     s.cell = entry.cell();
     s.size = entry.size() > 0 && entry.size() < 1e9 ? entry.size() : s.size;
-    boolean restarted = entry.since() > s.since + SAME_START;
-    s.since = entry.since();
+    boolean restarted = entry.startedAtMicros() > s.since + SAME_START;
+    s.since = entry.startedAtMicros();
     if (entry.state() == State.DRAINING) {
       leave(s, State.DRAINING);
       return false;
@@ -101,7 +101,7 @@
     List<Server> order = new ArrayList<>(node.ready);
     order.sort(Comparator.comparingInt((Server s) -> Groups.number(s.id)).thenComparing(s -> s.id));
     node.weights.meanSize = order.stream().mapToDouble(s -> s.size).average().orElse(1);
-    double start = node.settings.rank() / (double) node.settings.nodes();
+    double start = node.settings.rank() / (double) node.settings.nodeCount();
     for (int i = 0; i < order.size(); i++) {
       Server s = order.get(i);
       double place = (i + 0.5) / order.size() - start;
--- a/src/main/java/ashspar/Held.java
+++ b/src/main/java/ashspar/Held.java
@@ -1,7 +1,7 @@
 package ashspar;
 
-import ashspar.Balancer.Effect;
-import ashspar.Balancer.Group;
+import ashspar.Balancer.DeduplicationScope;
+import ashspar.Balancer.Repeatability;
 import ashspar.Balancer.Request;
 import ashspar.Balancer.RequestClass;
 import ashspar.limits.WaitingRoom;
@@ -41,21 +41,30 @@
     this.type = type;
     this.mostAttempts = mostAttempts;
     this.deadline = deadline;
-    this.load = request.hint();
+    this.load = request.loadHint();
   }
 
   /** Rule 2: until when it may be sent; after an attempt that may have run, while it is dropped. */
   long sendBy() {
-    long dropped = type.effect() == Effect.GUARDED ? ranSent + type.window() : ranSent;
-    return ranAt == null || type.effect() == Effect.FREE ? deadline : Math.min(deadline, dropped);
+    long dropped =
+        type.repeatability() == Repeatability.GUARDED
+            ? ranSent + type.deduplicationWindowMicros()
+            : ranSent;
+    return ranAt == null || type.repeatability() == Repeatability.FREE
+        ? deadline
+        : Math.min(deadline, dropped);
   }
 
   /** Rule 2: after an attempt that may have run, only where its repeat is dropped, and in time. */
   boolean sharesMemory(Server s, long now) {
-    if (ranAt == null || type.effect() == Effect.FREE) {
+    if (ranAt == null || type.repeatability() == Repeatability.FREE) {
       return true;
     }
-    boolean near = type.group() == Group.ALL || (s.zone != null && s.zone.equals(ranAt.zone));
-    return now < sendBy() && near && (type.group() != Group.CELL || s.cell == ranAt.cell);
+    boolean near =
+        type.deduplicationScope() == DeduplicationScope.ALL
+            || (s.zone != null && s.zone.equals(ranAt.zone));
+    return now < sendBy()
+        && near
+        && (type.deduplicationScope() != DeduplicationScope.CELL || s.cell == ranAt.cell);
   }
 }
--- a/src/main/java/ashspar/Node.java
+++ b/src/main/java/ashspar/Node.java
@@ -1,7 +1,7 @@
 package ashspar;
 
 import ashspar.Balancer.RequestClass;
-import ashspar.Balancer.Rules;
+import ashspar.Balancer.SafetyRules;
 import ashspar.Balancer.Settings;
 import ashspar.Balancer.SizeMeaning;
 import ashspar.Balancer.Tenant;
@@ -59,15 +59,15 @@
   void configure(Settings changed) {
     settings = changed;
     classes.clear();
-    Rules rules = settings.rules();
-    double warm = rules.warmUp() / (double) SECOND;
-    double window = rules.fallWindow() / (double) SECOND;
-    WarmUp warmUp = new WarmUp(rules.coldShare(), warm, rules.fallMultiple(), window);
-    limits.division.configure(settings.rank(), settings.nodes());
-    limits.configure(limits.division.spacing(now), settings.overShareWorth(), warmUp);
+    SafetyRules rules = settings.safetyRules();
+    double warm = rules.warmUpMicros() / (double) SECOND;
+    double window = rules.overloadWindowMicros() / (double) SECOND;
+    WarmUp warmUp = new WarmUp(rules.coldCapacity(), warm, rules.overloadMultiple(), window);
+    limits.division.configure(settings.rank(), settings.nodeCount());
+    limits.configure(limits.division.spacing(now), settings.overShareValue(), warmUp);
     for (RequestClass type : settings.classes()) {
       classes.put(type.name(), type);
-      limits.worths.ofClass(type.worth());
+      limits.worths.ofClass(type.value());
     }
     for (Tenant tenant : settings.tenants()) {
       limits.shares.tenant(tenant.name(), tenant.share(), tenant.quotaConnections());
@@ -77,7 +77,8 @@
 
   /** Whether the sizes of the list tell what servers can do. */
   boolean sized() {
-    return settings.sizes() == SizeMeaning.NOMINAL || settings.sizes() == SizeMeaning.ROUGH;
+    return settings.sizeMeaning() == SizeMeaning.NOMINAL
+        || settings.sizeMeaning() == SizeMeaning.ROUGH;
   }
 
   /** A line for the operators, at most one in five seconds: a storm must not fill their logs. */
@@ -89,11 +90,11 @@
 
   /** A request's load against the mean request's, by its hint or else by what its class tells. */
   double cost(Held h) {
-    return limits.worths.cost(h.request.hint(), h.type.name());
+    return limits.worths.cost(h.request.loadHint(), h.type.name());
   }
 
   /** A request's worth against the worthiest class's; little where its tenant is over its share. */
   double value(Held h) {
-    return limits.worths.value(h.type.worth(), h.request.tenant());
+    return limits.worths.value(h.type.value(), h.request.tenant());
   }
 }
--- a/src/main/java/ashspar/Policy.java
+++ b/src/main/java/ashspar/Policy.java
@@ -48,37 +48,40 @@
     Balancer.require(actions != null, "actions must be given");
     node = new Node(now, settings, seed, actions);
     fleet = new Fleet(node);
-    actions.timer(1 + node.random.nextLong(Node.INTERVAL), TOKEN_TICK);
-    if (settings.asks()) {
-      actions.timer(1 + node.random.nextLong(watchWait), TOKEN_WATCH);
+    actions.startTimer(1 + node.random.nextLong(Node.INTERVAL), TOKEN_TICK);
+    if (settings.pullsDiscovery()) {
+      actions.startTimer(1 + node.random.nextLong(watchWait), TOKEN_WATCH);
     }
   }
 
   @Override
-  public void settings(long at, Settings changed) {
+  public void updateSettings(long at, Settings changed) {
     node.now = at;
     Balancer.require(changed != null, "settings must be given");
     node.configure(changed);
   }
 
   @Override
-  public void request(long at, Request request) {
+  public void requestReceived(long at, Request request) {
     node.now = at;
     Held h = held(request);
-    boolean first = !request.midFlow() && !request.returning() && !request.repeat();
+    boolean first = !request.midFlow() && !request.reconnecting() && !request.retry();
     node.arrivals += first ? 1 : 0;
-    node.limits.worths.hinted(request.hint());
+    node.limits.worths.hinted(request.loadHint());
     node.limits.retries.request(at);
-    if (request.returning()) {
-      node.limits.returned(at, request.key());
+    if (request.reconnecting()) {
+      node.limits.returned(at, request.clientKey());
     }
-    node.limits.probes.earn(node.settings.prices().probe(), request.repeat());
+    node.limits.probes.earn(node.settings.prices().probe(), request.retry());
     // Close to the deadline no probe is waited for: a request that kept waiting was never answered.
-    if (request.left() > PROBE_WAIT && node.settings.limits().probes()) {
+    if (request.timeLeftMicros() > PROBE_WAIT && node.settings.permissions().probes()) {
       node.probing.lookAhead(h);
     }
     if (h.awaited > 0) {
-      wake(h, Math.min(PROBE_WAIT, Math.min(h.type.aim(), request.left()) / 4 + 1));
+      wake(
+          h,
+          Math.min(
+              PROBE_WAIT, Math.min(h.type.answerGoalMicros(), request.timeLeftMicros()) / 4 + 1));
     } else {
       place(h);
     }
@@ -88,36 +91,36 @@
     Balancer.require(request != null, "a request must be given");
     RequestClass type = node.classes.get(request.requestClass());
     Balancer.require(type != null, "unknown class '" + request.requestClass() + "'");
-    int most = node.settings.limits().maxAttempts();
-    Held h = new Held(request, type, most, node.now + request.left());
+    int most = node.settings.permissions().maxAttempts();
+    Held h = new Held(request, type, most, node.now + request.timeLeftMicros());
     Held known = node.requests.putIfAbsent(request.id(), h);
     Balancer.require(known == null, "request " + request.id() + " is known");
     return h;
   }
 
   private void wake(Held h, long delay) {
-    node.actions.timer(Math.max(1, delay), TOKEN_REQUEST + h.request.id());
+    node.actions.startTimer(Math.max(1, delay), TOKEN_REQUEST + h.request.id());
   }
 
   /** Sends a request to the next server in turn, or lets it wait for one, or answers it. */
   private void place(Held h) {
     h.awaited = 0;
-    long left = h.sendBy() - node.now - node.settings.tick();
+    long left = h.sendBy() - node.now - node.settings.timerResolutionMicros();
     if (left <= 0
         || h.attempts >= h.mostAttempts
         || (h.attempts > 0 && !node.limits.retries.allows(node.now))
-        || node.limits.room.wait(h.request.tenant(), h.type.worth(), node.now) > left) {
+        || node.limits.room.wait(h.request.tenant(), h.type.value(), node.now) > left) {
       answer(h);
       return;
     }
-    Held out = node.limits.room.toTurnAway(h, h.request.tenant(), h.type.worth());
+    Held out = node.limits.room.toTurnAway(h, h.request.tenant(), h.type.value());
     if (out != null) {
       answer(out);
     }
     if (out != h) {
       // Whoever waits already goes first, if he is worth as much.
       h.ticket =
-          node.limits.room.enter(h, h.request.tenant(), h.type.worth(), h.deadline, node.now);
+          node.limits.room.enter(h, h.request.tenant(), h.type.value(), h.deadline, node.now);
       wake(h, left);
       release();
     }
@@ -128,7 +131,7 @@
     while (node.limits.room.size() > 0 && node.limits.room.offer(this::letOut, HEADS, node.now)) {}
     if (node.limits.room.size() > 0 && node.now >= releaseAt) {
       releaseAt = node.now + RELEASE;
-      node.actions.timer(RELEASE, TOKEN_RELEASE);
+      node.actions.startTimer(RELEASE, TOKEN_RELEASE);
     }
   }
 
@@ -151,7 +154,8 @@
   }
 
   private void joined(Held h, Server s, boolean shown) {
-    h.added = node.limits.joined(node.now, s.limits, node.cost(h), h.request.group(), shown);
+    h.added =
+        node.limits.joined(node.now, s.limits, node.cost(h), h.request.affinityGroup(), shown);
   }
 
   /**
@@ -162,15 +166,17 @@
     long left = h.deadline - node.now;
     long usual = node.limits.patience.usual();
     boolean more = h.attempts < h.mostAttempts;
-    boolean again = more && h.type.effect() == Effect.FREE && left > 2 * usual;
+    boolean again = more && h.type.repeatability() == Repeatability.FREE && left > 2 * usual;
     return again && node.limits.retries.allows(node.now) ? usual : left;
   }
 
   private void answer(Held h) {
     boolean never = h.ranAt == null && h.at == null; // what is out may run
-    boolean dropped = h.type.effect() == Effect.GUARDED && h.type.group() == Group.ALL;
+    boolean dropped =
+        h.type.repeatability() == Repeatability.GUARDED
+            && h.type.deduplicationScope() == DeduplicationScope.ALL;
     forget(h);
-    if (never || h.type.effect() == Effect.FREE || dropped) {
+    if (never || h.type.repeatability() == Repeatability.FREE || dropped) {
       node.actions.refuse(h.request.id(), comeBack(h));
     } else {
       node.actions.fail(h.request.id());
@@ -178,9 +184,9 @@
   }
 
   private long comeBack(Held h) {
-    long most = node.settings.limits().maxRetryAfter();
-    return node.settings.limits().retryAfter()
-        ? node.limits.room.comeBack(h.request.tenant(), h.type.worth(), node.now, most)
+    long most = node.settings.permissions().maxRetryAfterMicros();
+    return node.settings.permissions().retryAfter()
+        ? node.limits.room.comeBack(h.request.tenant(), h.type.value(), node.now, most)
         : 0;
   }
 
@@ -192,9 +198,9 @@
       h.ticket = null;
     }
     if (h.at != null) {
-      node.limits.left(node.now, h.at.limits, h.added, h.request.group());
+      node.limits.left(node.now, h.at.limits, h.added, h.request.affinityGroup());
       if (h.established) {
-        node.limits.gone(node.now, h.request.key(), !h.request.midFlow());
+        node.limits.gone(node.now, h.request.clientKey(), !h.request.midFlow());
       } else {
         node.limits.ended(node.now, h.at.limits, Ending.CALLED_OFF);
         h.at.limits.failed(node.now, Ending.CALLED_OFF);
@@ -215,7 +221,7 @@
   }
 
   @Override
-  public void resumed(long at, Request request, String server) {
+  public void connectionResumed(long at, Request request, String server) {
     node.now = at;
     Held h = held(request);
     h.deadline = Long.MAX_VALUE;
@@ -226,7 +232,7 @@
   }
 
   @Override
-  public void accepted(long at, long id, int attempt, String server, long elapsed) {
+  public void connectionAccepted(long at, long id, int attempt, String server, long elapsed) {
     node.now = at;
     Held h = node.requests.get(id);
     if (h != null && h.at != null && !h.established && h.attempts == attempt + 1) {
@@ -239,16 +245,17 @@
   }
 
   @Override
-  public void note(long at, long id, int attempt, String server, NoteKind kind, double value) {
+  public void connectionMeasured(
+      long at, long id, int attempt, String server, MeasurementKind kind, double value) {
     node.now = at;
     Held h = node.requests.get(id);
     if (h == null || !h.established) {
       return;
     }
-    if (kind == NoteKind.LOAD) {
+    if (kind == MeasurementKind.LOAD) {
       h.load = value >= 0 && value < 1e12 ? value : h.load;
       node.limits.estimate.told(h.type.name(), h.load / SECOND);
-    } else if (h.at.strain.note(at, value * MS > h.type.messageAim())) {
+    } else if (h.at.strain.note(at, value * MS > h.type.messageDelayGoalMicros())) {
       overloaded(h.at);
     }
   }
@@ -263,7 +270,7 @@
   }
 
   @Override
-  public void outcome(long at, Outcome outcome) {
+  public void attemptEnded(long at, Outcome outcome) {
     node.now = at;
     Balancer.require(outcome != null, "an outcome must be given");
     Server s = node.servers.get(outcome.server());
@@ -275,15 +282,15 @@
       return;
     }
     Server was = h.at;
-    Ending how = outcome.status().ending;
-    if (how == Ending.TIMED_OUT && node.limits.patience.tooShort(outcome.elapsed())) {
+    Ending how = outcome.status().setupOutcome;
+    if (how == Ending.TIMED_OUT && node.limits.patience.tooShort(outcome.elapsedMicros())) {
       how = Ending.CALLED_OFF; // its deadline left it no time: that tells nothing of the server
     } else if (how == Ending.CALLED_OFF && !h.established && !outcome.closed()) {
       how = Ending.REFUSED; // a server that drains sends its clients away
     }
     if (!h.established) {
       node.limits.ended(at, was.limits, how);
-      node.limits.left(at, was.limits, h.added, h.request.group());
+      node.limits.left(at, was.limits, h.added, h.request.affinityGroup());
       h.at = null;
     }
     long rest = was.limits.failed(at, how);
@@ -292,7 +299,7 @@
       node.say(was.id + " goes on failing: it rests for " + rest / MS + " ms");
     }
     if (how == Ending.TIMED_OUT) {
-      node.limits.patience.timedOut(outcome.elapsed());
+      node.limits.patience.timedOut(outcome.elapsedMicros());
     }
     if (outcome.closed() || h.established) {
       boolean broken = outcome.status() == Status.RESET || outcome.status() == Status.CANCELLED;
@@ -316,12 +323,12 @@
   }
 
   @Override
-  public void lapsed(long at, long id) {
+  public void requestWithdrawn(long at, long id) {
     end(at, id, this::forget);
   }
 
   @Override
-  public void giveUp(long at, long id) {
+  public void answerNow(long at, long id) {
     end(at, id, this::answer);
   }
 
@@ -335,19 +342,19 @@
   }
 
   @Override
-  public void timer(long at, long token) {
+  public void timerExpired(long at, long token) {
     node.now = at;
     if (token == TOKEN_TICK) {
       tick();
     } else if (token == TOKEN_WATCH) {
-      node.actions.watch(true);
+      node.actions.watchDiscovery(true);
     } else if (token == TOKEN_RELEASE) {
       node.probing.renew();
       node.wheels.unpark();
       release();
     } else {
       Held h = node.requests.get(token - TOKEN_REQUEST);
-      boolean due = h != null && h.sendBy() - node.now <= node.settings.tick();
+      boolean due = h != null && h.sendBy() - node.now <= node.settings.timerResolutionMicros();
       if (h != null && h.at == null && (due || h.awaited > 0)) {
         place(h);
       }
@@ -355,14 +362,14 @@
   }
 
   private void tick() {
-    node.actions.timer(Node.INTERVAL, TOKEN_TICK);
+    node.actions.startTimer(Node.INTERVAL, TOKEN_TICK);
     node.admission.look();
     node.probing.tick();
     measure();
     node.weights.recompute();
     node.wheels.unpark();
-    if (limits().binds()) {
-      node.say("limits bind: " + limits().text());
+    if (limits().isLimiting()) {
+      node.say("limits bind: " + limits().summary());
     }
     release();
   }
@@ -373,7 +380,7 @@
   }
 
   @Override
-  public void share(long at, Share share) {
+  public void updateBudgetShare(long at, BudgetShare share) {
     node.now = at;
     Balancer.require(share != null, "a share must be given");
     if (node.admission.share(share)) {
@@ -382,7 +389,7 @@
   }
 
   @Override
-  public void own(long at, Set<String> servers) {
+  public void assignServers(long at, Set<String> servers) {
     node.now = at;
     node.own = servers;
     node.servers.values().forEach(s -> s.own = servers == null || servers.contains(s.id));
@@ -400,7 +407,7 @@
         s.open.isEmpty() ? 0 : Shedding.share(s.load(), node.limits.spare(node.now, s.limits));
     if (share > 0 && s.moving.over(node.now)) {
       ToDoubleFunction<Held> worth =
-          h -> node.limits.worthAt(s.limits, node.value(h), h.request.group());
+          h -> node.limits.worthAt(s.limits, node.value(h), h.request.affinityGroup());
       ToDoubleFunction<Held> load = h -> Math.max(1, h.load);
       for (Held h : Shedding.choose(s.open, share, load, worth, node.random::nextDouble)) {
         forget(h);
@@ -410,7 +417,8 @@
   }
 
   @Override
-  public void probed(long at, String server, Status status, long elapsed, List<Double> row) {
+  public void probeCompleted(
+      long at, String server, Status status, long elapsed, List<Double> row) {
     node.now = at;
     Balancer.require(status != null, "a probe's answer needs a status");
     Server s = node.servers.get(server);
@@ -446,7 +454,7 @@
   }
 
   @Override
-  public void servers(long at, ListKind kind, List<ServerEntry> entries) {
+  public void updateServers(long at, ListKind kind, List<ServerEntry> entries) {
     node.now = at;
     Balancer.require(kind != null && entries != null, "a list needs a kind and entries");
     if (kind != ListKind.FAILED) {
@@ -454,8 +462,8 @@
       fleet.take(kind, entries);
       measure();
       release();
-    } else if (node.settings.asks()) {
-      node.actions.timer(watchWait / 2 + node.random.nextLong(watchWait), TOKEN_WATCH);
+    } else if (node.settings.pullsDiscovery()) {
+      node.actions.startTimer(watchWait / 2 + node.random.nextLong(watchWait), TOKEN_WATCH);
       watchWait = Math.min(16 * SECOND, 2 * watchWait);
     }
   }
--- a/src/main/java/ashspar/Probing.java
+++ b/src/main/java/ashspar/Probing.java
@@ -18,7 +18,7 @@
 
   void probe(Server s) {
     boolean free = !s.probing && s.state == State.READY && node.now >= s.askFrom;
-    if (free && node.settings.limits().probes()) {
+    if (free && node.settings.permissions().probes()) {
       s.probing = true;
       node.limits.probes.spend();
       node.actions.probe(s.id);
@@ -56,7 +56,7 @@
       boolean held = !s.open.isEmpty() || (node.own != null && asks(s));
       boolean old = held && node.now - s.reportAt >= (s.own ? STALE : 2 * STALE);
       boolean due = s.quiesced || s.limits.record.awaitsProbe() || s.reportAt < 0;
-      if (s.quiesced && !node.settings.limits().probes()) {
+      if (s.quiesced && !node.settings.permissions().probes()) {
         restore(s);
       } else if (old || (due && (held || asks(s)))) {
         probe(s);
--- a/src/main/java/ashspar/Weights.java
+++ b/src/main/java/ashspar/Weights.java
@@ -69,7 +69,7 @@
         }
       }
     }
-    if (node.settings.sizes() == SizeMeaning.LIVE) {
+    if (node.settings.sizeMeaning() == SizeMeaning.LIVE) {
       sum += R_SIZE * meanSize / Math.max(s.size, 1e-3 * meanSize);
       weights += R_SIZE;
     }
--- a/src/main/java/ashspar/Wheels.java
+++ b/src/main/java/ashspar/Wheels.java
@@ -81,7 +81,7 @@
 
   /** The next server in turn that this request may go to, or null; what is full is parked. */
   Server next(Held h, boolean again, int tier) {
-    String group = h.request.group();
+    String group = h.request.affinityGroup();
     boolean fresh = !again && h.tried.isEmpty() && tier == Reach.LAST;
     if (fresh && node.limits.noRoom.surely(node.now, node.value(h))) {
       return null;
--- a/src/main/java/ashspar/wire/SettingsReader.java
+++ b/src/main/java/ashspar/wire/SettingsReader.java
@@ -28,7 +28,7 @@
         list("failure-domains"),
         classes(),
         tenants(),
-        new Balancer.Limits(
+        new Balancer.Permissions(
             flag("allowed.probes"),
             flag("allowed.peer-messages"),
             flag("allowed.cancel"),
@@ -36,7 +36,7 @@
             flag("allowed.retry-after"),
             (int) whole("allowed.send-cap"),
             whole("allowed.max-retry-after", 0)),
-        new Balancer.Rules(
+        new Balancer.SafetyRules(
             whole("safety.answer-slack"),
             whole("safety.ask-within", Long.MAX_VALUE),
             whole("safety.drain-grace"),
@@ -74,7 +74,9 @@
               effect(at + "effect"),
               group(at + "group"),
               whole(at + "window", 0),
-              i < messageAims.size() ? Line.number("extra.message-aim", messageAims.get(i)) : 0));
+              i < messageAims.size()
+                  ? WireLine.number("extra.message-aim", messageAims.get(i))
+                  : 0));
     }
     return classes;
   }
@@ -96,7 +98,7 @@
 
   /** A quota that a site leaves open is written as null. */
   private static double quota(String value) {
-    return value.equals("null") ? 0 : Line.number("extra.tenant-quota-connections", value);
+    return value.equals("null") ? 0 : WireLine.number("extra.tenant-quota-connections", value);
   }
 
   private List<Balancer.Metric> reportFields() {
@@ -139,20 +141,20 @@
     };
   }
 
-  private Balancer.Effect effect(String key) {
+  private Balancer.Repeatability effect(String key) {
     return switch (text(key, "single_shot")) {
-      case "free" -> Balancer.Effect.FREE;
-      case "guarded" -> Balancer.Effect.GUARDED;
-      case "single_shot" -> Balancer.Effect.SINGLE_SHOT;
+      case "free" -> Balancer.Repeatability.FREE;
+      case "guarded" -> Balancer.Repeatability.GUARDED;
+      case "single_shot" -> Balancer.Repeatability.SINGLE_SHOT;
       default -> throw new WireException("field '" + key + "' is no known effect");
     };
   }
 
-  private Balancer.Group group(String key) {
+  private Balancer.DeduplicationScope group(String key) {
     return switch (text(key, "all")) {
-      case "zone" -> Balancer.Group.ZONE;
-      case "cell" -> Balancer.Group.CELL;
-      default -> Balancer.Group.ALL;
+      case "zone" -> Balancer.DeduplicationScope.ZONE;
+      case "cell" -> Balancer.DeduplicationScope.CELL;
+      default -> Balancer.DeduplicationScope.ALL;
     };
   }
 
@@ -174,17 +176,17 @@
   }
 
   private long whole(String key) {
-    return Line.whole(key, required(key));
+    return WireLine.whole(key, required(key));
   }
 
   private long whole(String key, long absent) {
     String value = env.get(key);
-    return value == null ? absent : Line.whole(key, value);
+    return value == null ? absent : WireLine.whole(key, value);
   }
 
   private double number(String key, double absent) {
     String value = env.get(key);
-    return value == null || value.isEmpty() ? absent : Line.number(key, value);
+    return value == null || value.isEmpty() ? absent : WireLine.number(key, value);
   }
 
   private List<String> list(String key) {
--- a/src/main/java/ashspar/wire/WireHost.java
+++ b/src/main/java/ashspar/wire/WireHost.java
@@ -26,8 +26,8 @@
 
   private final Factory factory;
   private final Map<Integer, Host> hosts = new HashMap<>();
-  private final Line line = new Line();
-  private final Line entryLine = new Line();
+  private final WireLine line = new WireLine();
+  private final WireLine entryLine = new WireLine();
   private final StringBuilder reply = new StringBuilder(1 << 16);
   private BufferedReader in;
   private long lineNumber;
@@ -102,23 +102,23 @@
       case "BACKENDS_CHANGED" -> {
         Balancer.ListKind kind = listKind(line.whole("form"));
         List<Balancer.ServerEntry> entries = entries();
-        deliver(node, b -> b.servers(now, kind, entries));
+        deliver(node, b -> b.updateServers(now, kind, entries));
       }
       case "JOB_IN" -> {
         Balancer.Request request = request();
-        deliver(node, b -> b.request(now, request));
+        deliver(node, b -> b.requestReceived(now, request));
       }
       case "RESUMED" -> {
         Balancer.Request request = request();
         String server = line.text("host");
-        deliver(node, b -> b.resumed(now, request, server));
+        deliver(node, b -> b.connectionResumed(now, request, server));
       }
       case "ACCEPTED" -> {
         long id = line.whole("msg-id");
         int attempt = (int) line.whole("round-no");
         String server = line.text("host");
         long took = line.whole("took", 0);
-        deliver(node, b -> b.accepted(now, id, attempt, server, took));
+        deliver(node, b -> b.connectionAccepted(now, id, attempt, server, took));
       }
       case "HEARTBEAT" -> {
         long id = line.whole("msg-id");
@@ -127,8 +127,9 @@
         long sort = line.whole("sort");
         double level = line.number("level", 0);
         if (sort == 1 || sort == 2) {
-          Balancer.NoteKind kind = sort == 1 ? Balancer.NoteKind.LOAD : Balancer.NoteKind.DELAY;
-          deliver(node, b -> b.note(now, id, attempt, server, kind, level));
+          Balancer.MeasurementKind kind =
+              sort == 1 ? Balancer.MeasurementKind.LOAD : Balancer.MeasurementKind.DELAY;
+          deliver(node, b -> b.connectionMeasured(now, id, attempt, server, kind, level));
         }
       }
       case "RESULT" -> {
@@ -141,27 +142,27 @@
                 line.whole("took", 0),
                 line.whole("settled", 0) != 0,
                 line.row("metrics"));
-        deliver(node, b -> b.outcome(now, outcome));
+        deliver(node, b -> b.attemptEnded(now, outcome));
       }
       case "LAPSED" -> {
         long id = line.whole("msg-id");
-        deliver(node, b -> b.lapsed(now, id));
+        deliver(node, b -> b.requestWithdrawn(now, id));
       }
       case "DUE" -> {
         long nonce = line.whole("nonce");
-        deliver(node, b -> b.timer(now, nonce));
+        deliver(node, b -> b.timerExpired(now, nonce));
       }
       case "CHECK_RESULT" -> {
         String server = line.text("host");
         Balancer.Status status = status(line.whole("ending"));
         long took = line.whole("took", 0);
         List<Double> report = line.row("metrics");
-        deliver(node, b -> b.probed(now, server, status, took, report));
+        deliver(node, b -> b.probeCompleted(now, server, status, took, report));
       }
       case "MEMO" -> {
         int sender = (int) line.whole("sender");
         byte[] message = bytes(line.text("msg"));
-        deliver(node, b -> b.peer(now, sender, message));
+        deliver(node, b -> b.peerMessageReceived(now, sender, message));
       }
       default -> throw new WireException("unknown event '" + line.word() + "'");
     }
@@ -334,7 +335,7 @@
     }
 
     @Override
-    public void timer(long delay, long token) {
+    public void startTimer(long delay, long token) {
       action("DEFER").append(" after=").append(delay).append(" nonce=").append(token);
       reply.append('\n');
     }
@@ -345,17 +346,17 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchDiscovery(boolean on) {
       action("OBSERVE").append(" want=").append(on ? 1 : 0).append('\n');
     }
 
     @Override
-    public void fetch() {
+    public void fetchServers() {
       action("PULL").append('\n');
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
       action("WRITE_PEER").append(" recipient=").append(peer < 0 ? "all" : String.valueOf(peer));
       reply.append(" msg=").append(message.length == 0 ? "-" : HexFormat.of().formatHex(message));
       reply.append('\n');
--- a/src/main/java/ashspar/wire/Line.java
+++ b/src/main/java/ashspar/wire/WireLine.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** One line of the wire, taken apart without regular expressions; reused from line to line. */
-final class Line {
+final class WireLine {
   private final List<String> names = new ArrayList<>();
   private final List<String> values = new ArrayList<>();
   private String word = "";
--- a/src/main/java/brassbank/decide/Decider.java
+++ b/src/main/java/brassbank/decide/Decider.java
@@ -100,13 +100,16 @@
             false,
             flow.returning());
     taken += flow.retry() || flow.returning() ? 0 : 1;
-    Entry entry = new Entry(flow, request, now + request.left(), settings);
+    Entry entry = new Entry(flow, request, now + request.timeLeftMicros(), settings);
     ledger.enter(entry);
-    alarms.set(entry.deadline + settings.rules().answerSlack(), Alarms.Kind.ANSWER_DUE, flow.id());
+    alarms.set(
+        entry.deadline + settings.safetyRules().answerSlackMicros(),
+        Alarms.Kind.ANSWER_DUE,
+        flow.id());
     if (flow.at() != null) {
       rejoin(entry);
     } else {
-      module.request(now, request);
+      module.requestReceived(now, request);
     }
     if (ledger.get(flow.id()) == entry && entry.stage == Entry.Stage.HELD) {
       out.add(new Decision.Hold(flow.id()));
@@ -123,7 +126,7 @@
       Entry entry = ledger.standing(load.flow());
       if (entry != null) {
         entry.load = load.load();
-        note(entry, Balancer.NoteKind.LOAD, load.load());
+        note(entry, Balancer.MeasurementKind.LOAD, load.load());
       }
     } else if (happening instanceof Happening.Asked asked) {
       asked(ledger.standing(asked.flow()));
@@ -134,16 +137,16 @@
     } else if (happening instanceof Happening.ClientLeft left) {
       left(left.flow());
     } else if (happening instanceof Happening.Probed probed) {
-      module.probed(
+      module.probeCompleted(
           now, probed.target(), probed.ending().status, probed.elapsedMicros(), probed.report());
     } else if (happening instanceof Happening.Listed listed) {
       this.listed = true;
       list(listed.list(), listed.list().whole() ? Balancer.ListKind.FULL : Balancer.ListKind.DELTA);
     } else if (happening instanceof Happening.FetchFailed) {
-      module.servers(now, Balancer.ListKind.FAILED, List.of());
+      module.updateServers(now, Balancer.ListKind.FAILED, List.of());
     } else if (happening instanceof Happening.Configured configured) {
       settings(configured.settings());
-      module.settings(now, settings);
+      module.updateSettings(now, settings);
     } else if (happening instanceof Happening.Stopping stopping) {
       leave(lifecycle.stop(now, stopping.by()));
     } else if (happening instanceof Happening.StandbyAsked) {
@@ -159,9 +162,9 @@
     } else if (happening instanceof Happening.Succeeded succeeded) {
       lifecycle.succeeded(succeeded.yes());
     } else if (happening instanceof Happening.Shared shared) {
-      module.share(
+      module.updateBudgetShare(
           now,
-          new Balancer.Share(
+          new Balancer.BudgetShare(
               shared.part(),
               shared.base(),
               shared.turn(),
@@ -171,7 +174,7 @@
       lifecycle.on(Event.SERVING, now);
     } else if (happening instanceof Happening.Peers peers) {
       subset = peers.subset();
-      module.own(now, subset == null ? null : subset.of(group.peers()));
+      module.assignServers(now, subset == null ? null : subset.of(group.peers()));
     }
     return decided();
   }
@@ -254,9 +257,10 @@
     }
     entry.stage = Entry.Stage.UP;
     if (entry.flow.at() != null) {
-      module.resumed(now, entry.request, entry.target.name());
+      module.connectionResumed(now, entry.request, entry.target.name());
     } else {
-      module.accepted(now, flow, entry.forwards - 1, entry.target.name(), now - entry.sentAt);
+      module.connectionAccepted(
+          now, flow, entry.forwards - 1, entry.target.name(), now - entry.sentAt);
     }
   }
 
@@ -293,7 +297,7 @@
       return;
     }
     if (entry.flow.at() == null) {
-      module.lapsed(now, flow);
+      module.requestWithdrawn(now, flow);
     }
     if (entry.stage == Entry.Stage.OUT) {
       out.add(new Decision.Cancel(flow));
@@ -312,7 +316,7 @@
     if (!ending.status.neverRan) {
       entry.mayHaveRun();
     }
-    module.outcome(
+    module.attemptEnded(
         now,
         new Balancer.Outcome(
             entry.flow.id(),
@@ -349,7 +353,7 @@
     boolean again =
         ending == Ending.CONNECT_FAILED
             && now + REJOIN_PAUSE < entry.deadline
-            && entry.forwards < entry.settings.limits().maxAttempts();
+            && entry.forwards < entry.settings.permissions().maxAttempts();
     if (again) {
       alarms.set(now + REJOIN_PAUSE, Alarms.Kind.REJOIN, entry.flow.id());
     } else {
@@ -381,19 +385,20 @@
     double millis = (now - entry.askedAt) / (double) MILLI;
     entry.askedAt = 0;
     if (delays.tells(now, entry.target.name(), millis)) {
-      note(entry, Balancer.NoteKind.DELAY, millis);
+      note(entry, Balancer.MeasurementKind.DELAY, millis);
     }
   }
 
-  private void note(Entry entry, Balancer.NoteKind kind, double value) {
-    module.note(now, entry.flow.id(), entry.attempt(), entry.target.name(), kind, value);
+  private void note(Entry entry, Balancer.MeasurementKind kind, double value) {
+    module.connectionMeasured(
+        now, entry.flow.id(), entry.attempt(), entry.target.name(), kind, value);
   }
 
   // ------------------------------------------------------------------- alarms
 
   private void ring(Alarms.Alarm alarm) {
     if (alarm.kind() == Alarms.Kind.MODULE) {
-      module.timer(now, alarm.subject());
+      module.timerExpired(now, alarm.subject());
       return;
     }
     if (alarm.kind() == Alarms.Kind.LEAVE) {
@@ -451,7 +456,7 @@
    */
   private void giveUp(Entry entry) {
     if (entry.flow.at() == null) {
-      module.giveUp(now, entry.flow.id());
+      module.answerNow(now, entry.flow.id());
     }
     if (ledger.get(entry.flow.id()) != entry) {
       return;
@@ -468,9 +473,9 @@
 
   /** Who leaves knows when its clients reach another proxy; else no better time is known. */
   private long retryMillis() {
-    Balancer.Limits limits = settings.limits();
+    Balancer.Permissions limits = settings.permissions();
     return limits.retryAfter()
-        ? Math.min(lifecycle.comeBackAfter(now), limits.maxRetryAfter()) / MILLI
+        ? Math.min(lifecycle.comeBackAfter(now), limits.maxRetryAfterMicros()) / MILLI
         : 0;
   }
 
@@ -553,9 +558,9 @@
   private void list(TargetList list, Balancer.ListKind kind) {
     List<Balancer.ServerEntry> entries = group.take(list, kind, delays::forget);
     if (subset != null) {
-      module.own(now, subset.of(group.peers()));
+      module.assignServers(now, subset.of(group.peers()));
     }
-    module.servers(now, kind, entries);
+    module.updateServers(now, kind, entries);
   }
 
   /** Turns the module's actions into decisions, against the ledger. */
@@ -618,7 +623,7 @@
     }
 
     @Override
-    public void timer(long delay, long token) {
+    public void startTimer(long delay, long token) {
       alarms.set(now + delay, Alarms.Kind.MODULE, token);
     }
 
@@ -631,17 +636,17 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchDiscovery(boolean on) {
       out.add(new Decision.Watch(on));
     }
 
     @Override
-    public void fetch() {
+    public void fetchServers() {
       out.add(new Decision.Fetch());
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
       throw new UnsupportedOperationException("proxies have no way to talk to each other");
     }
 
--- a/src/main/java/brassbank/decide/Delays.java
+++ b/src/main/java/brassbank/decide/Delays.java
@@ -27,8 +27,8 @@
   void configure(Balancer.Settings settings) {
     double shortest = Double.MAX_VALUE;
     for (Balancer.RequestClass type : settings.classes()) {
-      if (type.messageAim() > 0) {
-        shortest = Math.min(shortest, type.messageAim());
+      if (type.messageDelayGoalMicros() > 0) {
+        shortest = Math.min(shortest, type.messageDelayGoalMicros());
       }
     }
     slowMillis = shortest == Double.MAX_VALUE ? Double.MAX_VALUE : shortest / 3 / MILLI;
--- a/src/main/java/brassbank/decide/Entry.java
+++ b/src/main/java/brassbank/decide/Entry.java
@@ -54,8 +54,12 @@
    */
   long sendBy() {
     return settings.classes().stream()
-        .filter(c -> c.name().equals(flow.flowClass()) && c.effect() == Balancer.Effect.GUARDED)
-        .mapToLong(c -> ranSentAt == Long.MAX_VALUE ? deadline : ranSentAt + c.window())
+        .filter(
+            c ->
+                c.name().equals(flow.flowClass())
+                    && c.repeatability() == Balancer.Repeatability.GUARDED)
+        .mapToLong(
+            c -> ranSentAt == Long.MAX_VALUE ? deadline : ranSentAt + c.deduplicationWindowMicros())
         .findAny()
         .orElse(deadline);
   }
--- a/src/main/java/brassbank/decide/Predecessors.java
+++ b/src/main/java/brassbank/decide/Predecessors.java
@@ -28,7 +28,7 @@
     standing.forEach(one -> next.put(one.id(), one));
     for (Standing gone : before.values()) {
       if (!next.containsKey(gone.id())) {
-        module.outcome(
+        module.attemptEnded(
             now,
             new Balancer.Outcome(
                 shadow(process, gone), 0, gone.target(), Ending.SERVED.status, 0, true, List.of()));
@@ -43,7 +43,7 @@
       long id = shadow(process, one);
       Standing known = before.put(one.id(), one);
       if (known == null) {
-        module.resumed(
+        module.connectionResumed(
             now,
             new Balancer.Request(
                 id,
@@ -59,7 +59,8 @@
             one.target());
       }
       if (one.load() >= 0 && (known == null || known.load() != one.load())) {
-        module.note(now, id, 0, one.target(), Balancer.NoteKind.LOAD, one.load());
+        module.connectionMeasured(
+            now, id, 0, one.target(), Balancer.MeasurementKind.LOAD, one.load());
       }
     }
     if (before.isEmpty()) {
--- a/src/main/java/brassbank/proxy/Member.java
+++ b/src/main/java/brassbank/proxy/Member.java
@@ -41,7 +41,7 @@
   private static Sharer sharer(Config config, Decider decider, Dispatcher dispatcher) {
     return new Sharer(
         config.settings().rank(),
-        config.settings().nodes(),
+        config.settings().nodeCount(),
         decider::taken,
         part ->
             dispatcher.report(
--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -303,7 +303,7 @@
     long longest = LONGEST_DEADLINE;
     long deadline =
         settings.classes().stream()
-            .mapToLong(Balancer.RequestClass::deadline)
+            .mapToLong(Balancer.RequestClass::deadlineMicros)
             .max()
             .orElse(longest);
     long left = Math.min(longest, deadline) + STOP_TIME;
--- a/src/test/java/ashspar/EmbeddingExample.java
+++ b/src/test/java/ashspar/EmbeddingExample.java
@@ -1,9 +1,9 @@
 package ashspar;
 
-import ashspar.Balancer.Effect;
-import ashspar.Balancer.Group;
+import ashspar.Balancer.DeduplicationScope;
 import ashspar.Balancer.ListKind;
 import ashspar.Balancer.Metric;
+import ashspar.Balancer.Repeatability;
 import ashspar.Balancer.Request;
 import ashspar.Balancer.RequestClass;
 import ashspar.Balancer.ServerEntry;
@@ -44,19 +44,19 @@
     }
 
     @Override
-    public void timer(long delay, long token) {} // call balancer.timer(now, token) after delay
+    public void startTimer(long delay, long token) {} // call balancer.timer(now, token) after delay
 
     @Override
     public void probe(String server) {} // answer with balancer.probed(...)
 
     @Override
-    public void watch(boolean on) {}
+    public void watchDiscovery(boolean on) {}
 
     @Override
-    public void fetch() {}
+    public void fetchServers() {}
 
     @Override
-    public void tell(int peer, byte[] message) {}
+    public void sendToPeer(int peer, byte[] message) {}
 
     @Override
     public void log(String text) {
@@ -73,10 +73,17 @@
             List.of("east", "west"),
             List.of(
                 new RequestClass(
-                    "view", 300_000, 1_800_000, 1, Effect.FREE, Group.ALL, 0, 100_000)),
+                    "view",
+                    300_000,
+                    1_800_000,
+                    1,
+                    Repeatability.FREE,
+                    DeduplicationScope.ALL,
+                    0,
+                    100_000)),
             List.of(), // no tenants
-            new Balancer.Limits(true, false, true, false, false, 4, 0),
-            new Balancer.Rules(8_000, 10_000_000, 500_000, 0.3, 8_000_000, 3, 1_500_000),
+            new Balancer.Permissions(true, false, true, false, false, 4, 0),
+            new Balancer.SafetyRules(8_000, 10_000_000, 500_000, 0.3, 8_000_000, 3, 1_500_000),
             new Balancer.Prices(0.01, 0.02, 0.004, 0, 0.03),
             List.of(Metric.LOAD, Metric.BACKLOG_S),
             SizeMeaning.NONE,
@@ -88,13 +95,13 @@
     MyActions actions = new MyActions();
     long now = 1_000_000;
     Balancer balancer = new Policy(now, settings, 42, actions);
-    balancer.servers(
+    balancer.updateServers(
         now,
         ListKind.CACHED,
         List.of(
             new ServerEntry("10.0.0.1:443", "east", "std", 0, State.READY, 1, 0),
             new ServerEntry("10.0.0.2:443", "west", "std", 0, State.READY, 1, 0)));
-    balancer.request(
+    balancer.requestReceived(
         now + 500, new Request(7, "reader-7", "view", null, 1_800_000, 9_000, false, false, false));
     return actions; // done holds "send 7 to 10.0.0.…:443"
   }
--- a/src/test/java/ashspar/FaultyBalancer.java
+++ b/src/test/java/ashspar/FaultyBalancer.java
@@ -31,13 +31,13 @@
   }
 
   @Override
-  public void servers(long now, ListKind kind, List<ServerEntry> entries) {
+  public void updateServers(long now, ListKind kind, List<ServerEntry> entries) {
     for (ServerEntry entry : entries) {
       if (!known.contains(entry.id())) {
         known.add(entry.id());
       }
       states.put(entry.id(), entry.state());
-      if (entry.state() == State.READY && entry.since() > 0) {
+      if (entry.state() == State.READY && entry.startedAtMicros() > 0) {
         newest = entry.id();
       }
     }
@@ -59,7 +59,7 @@
   }
 
   @Override
-  public void request(long now, Request request) {
+  public void requestReceived(long now, Request request) {
     if (fault == Fault.LOSES && request.id() % 7 == 0) {
       return;
     }
@@ -70,7 +70,7 @@
   }
 
   @Override
-  public void outcome(long now, Outcome outcome) {
+  public void attemptEnded(long now, Outcome outcome) {
     if (outcome.closed()) {
       return;
     }
@@ -85,28 +85,30 @@
   }
 
   @Override
-  public void resumed(long now, Request request, String server) {}
+  public void connectionResumed(long now, Request request, String server) {}
 
   @Override
-  public void accepted(long now, long id, int attempt, String server, long elapsed) {}
+  public void connectionAccepted(long now, long id, int attempt, String server, long elapsed) {}
 
   @Override
-  public void note(long now, long id, int attempt, String server, NoteKind kind, double value) {}
+  public void connectionMeasured(
+      long now, long id, int attempt, String server, MeasurementKind kind, double value) {}
 
   @Override
-  public void lapsed(long now, long id) {}
+  public void requestWithdrawn(long now, long id) {}
 
   @Override
-  public void giveUp(long now, long id) {}
+  public void answerNow(long now, long id) {}
 
   @Override
-  public void timer(long now, long token) {}
+  public void timerExpired(long now, long token) {}
 
   @Override
-  public void probed(long now, String server, Status status, long elapsed, List<Double> report) {}
+  public void probeCompleted(
+      long now, String server, Status status, long elapsed, List<Double> report) {}
 
   @Override
-  public void settings(long now, Settings settings) {}
+  public void updateSettings(long now, Settings settings) {}
 
   @Override
   public LimitsSnapshot limits() {
@@ -114,5 +116,5 @@
   }
 
   @Override
-  public void peer(long now, int from, byte[] message) {}
+  public void peerMessageReceived(long now, int from, byte[] message) {}
 }
--- a/src/test/java/ashspar/HardCasesTest.java
+++ b/src/test/java/ashspar/HardCasesTest.java
@@ -73,7 +73,7 @@
     for (int i = 0; i < 100; i++) {
       fleet.run(100 * MS, 20, 4 * SECOND);
       slower = Math.max(slower, most(fleet, s -> s.slowdown()));
-      assertThat(most(fleet, s -> s.atRest())).isZero();
+      assertThat(most(fleet, s -> s.ejectedServers())).isZero();
     }
     long to = fleet.now;
     fleet.storeSlowdown = 1;
@@ -144,7 +144,7 @@
     assertThat(served(fleet, back + SECOND, back + 6 * SECOND, IN_TIME)).isGreaterThan(0.85);
     assertThat(served(fleet, back + 6 * SECOND, back + 10 * SECOND, AIM)).isGreaterThan(0.95);
     fleet.run(20 * SECOND, 0, 0);
-    assertThat(most(fleet, s -> s.placesTaken() + s.waiting() + s.atRest())).isZero();
+    assertThat(most(fleet, s -> s.setupsInProgress() + s.waiting() + s.ejectedServers())).isZero();
   }
 
   @Test
@@ -231,7 +231,7 @@
     long started = System.nanoTime();
     for (int i = 0; i < 10_000; i++) {
       String type = i % 2 == 0 ? "list" : "view";
-      script.balancer.request(
+      script.balancer.requestReceived(
           script.now, new Request(i, null, type, "t" + i % 5, 20 * SECOND, 0, false, false, false));
     }
     script.loads = s -> 0.95;
@@ -266,6 +266,6 @@
       assertThat(script.attempts).as("sent at once").containsKey((long) i);
       script.outcome(i, Status.OK, true);
     }
-    assertThat(script.balancer.limits().placesTaken()).isZero();
+    assertThat(script.balancer.limits().setupsInProgress()).isZero();
   }
 }
--- a/src/test/java/ashspar/PolicyTest.java
+++ b/src/test/java/ashspar/PolicyTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashspar.Balancer.Effect;
-import ashspar.Balancer.Group;
+import ashspar.Balancer.DeduplicationScope;
 import ashspar.Balancer.ListKind;
-import ashspar.Balancer.NoteKind;
+import ashspar.Balancer.MeasurementKind;
+import ashspar.Balancer.Repeatability;
 import ashspar.Balancer.State;
 import ashspar.Balancer.Status;
 import java.util.ArrayList;
@@ -151,7 +151,7 @@
   @Test
   void nothingNewGoesToADrainingOrRemovedServer() {
     Script script = settled(3);
-    script.balancer.servers(
+    script.balancer.updateServers(
         script.now,
         ListKind.DELTA,
         List.of(Script.server(0, State.DRAINING, 0), Script.server(1, State.GONE, 0)));
@@ -159,7 +159,7 @@
       script.open(i);
       assertEquals("s2", script.last(i).server());
     }
-    script.balancer.servers(script.now, ListKind.FULL, List.of());
+    script.balancer.updateServers(script.now, ListKind.FULL, List.of());
     script.request(7);
     script.pass(SECOND);
     assertFalse(script.attempts.containsKey(7L), "a full list without it removes a server");
@@ -169,8 +169,9 @@
   void aRemovedServerThatReturnsIsUsedAgain() {
     Script script = script();
     script.list(1);
-    script.balancer.servers(script.now, ListKind.FULL, List.of());
-    script.balancer.servers(script.now, ListKind.DELTA, List.of(Script.server(0, State.READY, 0)));
+    script.balancer.updateServers(script.now, ListKind.FULL, List.of());
+    script.balancer.updateServers(
+        script.now, ListKind.DELTA, List.of(Script.server(0, State.READY, 0)));
     script.place(1, 0.1);
     assertEquals("s0", script.last(1).server());
   }
@@ -187,7 +188,7 @@
   @Test
   void aSingleShotThatMayHaveRunIsNeitherSentAgainNorRefused() {
     Script.Setup setup = new Script.Setup();
-    setup.effect = Effect.SINGLE_SHOT;
+    setup.effect = Repeatability.SINGLE_SHOT;
     Script script = Script.settled(setup, 3);
     script.place(1, 0.1);
     script.outcome(1, Status.RESET, false);
@@ -200,8 +201,8 @@
   @Test
   void aGuardedRequestIsRepeatedWithinItsZoneOnly() {
     Script.Setup setup = new Script.Setup();
-    setup.effect = Effect.GUARDED;
-    setup.group = Group.ZONE;
+    setup.effect = Repeatability.GUARDED;
+    setup.group = DeduplicationScope.ZONE;
     for (int i = 1; i <= 6; i++) {
       Script script = new Script(Policy::new, setup.settings(), i);
       script.list(6);
@@ -227,7 +228,7 @@
       Script script = new Script(Policy::new, setup.settings(), rank);
       script.list(10);
       script.request(1, 1800 * MS, 1000);
-      script.balancer.servers(
+      script.balancer.updateServers(
           script.now, ListKind.DELTA, List.of(Script.server(77, State.READY, script.now)));
       for (int i = 2; i <= 4; i++) {
         script.request(i, 1800 * MS, 100);
@@ -248,7 +249,7 @@
       script.request(i);
       script.pass(20 * MS);
     }
-    script.balancer.servers(
+    script.balancer.updateServers(
         script.now, ListKind.DELTA, List.of(Script.server(500, State.READY, script.now)));
     for (int i = 201; i <= 400; i++) {
       script.request(i);
@@ -355,7 +356,7 @@
     // Where all are slow the time grows, so that no attempt is cut that would have been answered.
     for (int i = 21; i < 60; i++) {
       script.place(i, 0.1);
-      script.balancer.accepted(script.now, i, 0, script.last(i).server(), SECOND);
+      script.balancer.connectionAccepted(script.now, i, 0, script.last(i).server(), SECOND);
       script.outcome(i, Status.OK, true);
     }
     script.request(60, 60 * SECOND, 0);
@@ -395,8 +396,8 @@
       script.outcome(i, Status.TIMEOUT, false);
     }
     assertEquals(4, script.refused.size());
-    assertEquals(0, script.balancer.limits().atRest());
-    assertEquals(8, script.balancer.limits().placesAllowed());
+    assertEquals(0, script.balancer.limits().ejectedServers());
+    assertEquals(8, script.balancer.limits().setupsAllowed());
   }
 
   @Test
@@ -423,10 +424,10 @@
   void oneSlowNoteIsAStallAndTwoAreStrain() {
     Script script = settled(1);
     script.fill(40);
-    script.balancer.note(script.now, 1, 0, "s0", NoteKind.DELAY, 500);
+    script.balancer.connectionMeasured(script.now, 1, 0, "s0", MeasurementKind.DELAY, 500);
     assertTrue(script.moved.isEmpty());
     script.pass(SECOND);
-    script.balancer.note(script.now, 2, 0, "s0", NoteKind.DELAY, 500);
+    script.balancer.connectionMeasured(script.now, 2, 0, "s0", MeasurementKind.DELAY, 500);
     assertFalse(script.moved.isEmpty());
   }
 
@@ -456,11 +457,11 @@
     script.outcome(1, Status.OK, true);
     int before = script.all.size();
     script.outcome(1, Status.OK, true);
-    script.balancer.lapsed(script.now, 1);
-    script.balancer.accepted(script.now, 1, 0, "s0", 1);
-    script.balancer.note(script.now, 99, 0, "s0", NoteKind.LOAD, 5);
-    script.balancer.probed(script.now, "nobody", Status.OK, 1, List.of(0.5, 0.0));
-    script.balancer.peer(script.now, 3, new byte[] {1, 2, 3});
+    script.balancer.requestWithdrawn(script.now, 1);
+    script.balancer.connectionAccepted(script.now, 1, 0, "s0", 1);
+    script.balancer.connectionMeasured(script.now, 99, 0, "s0", MeasurementKind.LOAD, 5);
+    script.balancer.probeCompleted(script.now, "nobody", Status.OK, 1, List.of(0.5, 0.0));
+    script.balancer.peerMessageReceived(script.now, 3, new byte[] {1, 2, 3});
     assertEquals(before, script.all.size());
   }
 
@@ -527,7 +528,7 @@
     setup.nodes = 50;
     Script script = new Script(setup.settings());
     script.list(2);
-    script.balancer.servers(
+    script.balancer.updateServers(
         script.now, ListKind.DELTA, List.of(Script.server(0, State.READY, script.now)));
     for (int i = 1; i <= 20; i++) {
       script.request(i);
@@ -542,22 +543,22 @@
     Script script = script();
     script.list(2);
     Balancer.Request old = new Balancer.Request(5, "k", "view", null, 0, 0, false, false, false);
-    script.balancer.resumed(script.now, old, "s1");
-    script.balancer.resumed(
+    script.balancer.connectionResumed(script.now, old, "s1");
+    script.balancer.connectionResumed(
         script.now, new Balancer.Request(6, "k", "view", null, 0, 0, false, false, false), "s9");
-    script.balancer.note(script.now, 5, 0, "s1", NoteKind.LOAD, 900);
+    script.balancer.connectionMeasured(script.now, 5, 0, "s1", MeasurementKind.LOAD, 900);
     script.pass(5 * SECOND);
-    script.balancer.outcome(
+    script.balancer.attemptEnded(
         script.now, new Balancer.Outcome(5, 0, "s1", Status.OK, 1, true, List.of()));
     assertTrue(script.sends.isEmpty() && script.refused.isEmpty() && script.failed.isEmpty());
-    script.balancer.resumed(script.now, old, "s1");
+    script.balancer.connectionResumed(script.now, old, "s1");
   }
 
   @Test
   void aServersStateIsGoneWithItAndItsConnectionsStillEnd() {
     Script script = settled(1);
     script.open(1);
-    script.balancer.servers(script.now, ListKind.FULL, Script.servers(0));
+    script.balancer.updateServers(script.now, ListKind.FULL, Script.servers(0));
     script.outcome(1, Status.RESET, true);
     script.request(1);
     assertEquals(1, script.attempts.get(1L), "the id was forgotten and no server is left");
@@ -566,8 +567,8 @@
   @Test
   void garbageFromPeersDoesNoHarm() {
     Script script = settled(2);
-    script.balancer.peer(script.now, -5, new byte[0]);
-    script.balancer.peer(script.now, 900, new byte[] {-1, 0, 127});
+    script.balancer.peerMessageReceived(script.now, -5, new byte[0]);
+    script.balancer.peerMessageReceived(script.now, 900, new byte[] {-1, 0, 127});
     script.place(1, 0.1);
     assertEquals(1, script.sends.size());
   }
@@ -581,7 +582,7 @@
       script.request(i);
       switch (i % 4) {
         case 0 -> script.outcome(i, Status.OK, true);
-        case 1 -> script.balancer.lapsed(script.now, i);
+        case 1 -> script.balancer.requestWithdrawn(script.now, i);
         case 2 -> {
           script.accepted(i);
           script.outcome(i, Status.CANCELLED, true);
@@ -592,7 +593,7 @@
     }
     script.pass(5 * SECOND);
     assertEquals(75, ((Policy) script.balancer).node.requests.size(), "only what is still open");
-    assertEquals(0, script.balancer.limits().placesTaken());
+    assertEquals(0, script.balancer.limits().setupsInProgress());
   }
 
   @Test
@@ -613,8 +614,9 @@
     script.request(1);
     Throwable twice = assertThrows(IllegalArgumentException.class, () -> script.request(1));
     assertEquals("request 1 is known", twice.getMessage());
-    assertThrows(IllegalArgumentException.class, () -> script.balancer.request(0, null));
-    assertThrows(IllegalArgumentException.class, () -> script.balancer.servers(0, null, List.of()));
+    assertThrows(IllegalArgumentException.class, () -> script.balancer.requestReceived(0, null));
+    assertThrows(
+        IllegalArgumentException.class, () -> script.balancer.updateServers(0, null, List.of()));
     assertThrows(IllegalArgumentException.class, () -> new Policy(0, null, 1, script));
   }
 
@@ -629,7 +631,7 @@
     int calls = 1;
     for (int i = 0; i < 30; i++) {
       if (script.watches.size() > calls - 1) {
-        script.balancer.servers(script.now, ListKind.FAILED, List.of());
+        script.balancer.updateServers(script.now, ListKind.FAILED, List.of());
         calls = script.watches.size() + 1;
       }
       script.pass(SECOND);
--- a/src/test/java/ashspar/RuleRecorder.java
+++ b/src/test/java/ashspar/RuleRecorder.java
@@ -1,10 +1,10 @@
 package ashspar;
 
-import ashspar.Balancer.Effect;
-import ashspar.Balancer.Group;
+import ashspar.Balancer.DeduplicationScope;
 import ashspar.Balancer.ListKind;
-import ashspar.Balancer.NoteKind;
+import ashspar.Balancer.MeasurementKind;
 import ashspar.Balancer.Outcome;
+import ashspar.Balancer.Repeatability;
 import ashspar.Balancer.Request;
 import ashspar.Balancer.RequestClass;
 import ashspar.Balancer.ServerEntry;
@@ -80,7 +80,7 @@
     this.balancer = factory.create(now, settings, seed, this);
     List<ServerEntry> first = Script.servers(SERVERS);
     first.forEach(e -> listed.put(e.id(), e));
-    balancer.servers(now, ListKind.CACHED, first);
+    balancer.updateServers(now, ListKind.CACHED, first);
     for (int i = 0; i < 4; i++) {
       Owed o = new Owed();
       o.request = new Request(nextId++, "k", "g" + i, type.name(), "t1", 0, 0, false, false, true);
@@ -89,7 +89,7 @@
       o.tries.add(t);
       owed.put(o.request.id(), o);
       o.open = true;
-      balancer.resumed(now, o.request, server.id());
+      balancer.connectionResumed(now, o.request, server.id());
       later(random.nextLong(1, 9_000 * MS), () -> close(o, t, 0));
     }
   }
@@ -109,7 +109,7 @@
     int dice = random.nextInt(100);
     if (dice < 50) {
       Owed o = new Owed();
-      long left = random.nextLong(1, type.deadline());
+      long left = random.nextLong(1, type.deadlineMicros());
       int kind = random.nextInt(12);
       o.request =
           new Request(
@@ -127,7 +127,7 @@
       o.deadline = now + left;
       owed.put(o.request.id(), o);
       due.add(o);
-      balancer.request(now, o.request);
+      balancer.requestReceived(now, o.request);
     } else if (dice < 60) {
       change();
     } else if (dice < 62) {
@@ -137,7 +137,7 @@
           .ifPresent(
               o -> {
                 o.answered = true;
-                balancer.lapsed(now, o.request.id());
+                balancer.requestWithdrawn(now, o.request.id());
               });
     } else if (dice < 70) {
       owed.values().stream()
@@ -145,12 +145,12 @@
           .findFirst()
           .ifPresent(
               o ->
-                  balancer.note(
+                  balancer.connectionMeasured(
                       now,
                       o.request.id(),
                       o.tries.size() - 1,
                       last(o).server.id(),
-                      NoteKind.DELAY,
+                      MeasurementKind.DELAY,
                       random.nextInt(900)));
     }
   }
@@ -172,7 +172,7 @@
       toldGone.putIfAbsent(id, now);
     }
     listed.put(id, entry);
-    balancer.servers(now, ListKind.DELTA, List.of(entry));
+    balancer.updateServers(now, ListKind.DELTA, List.of(entry));
   }
 
   private void run(long until) {
@@ -191,7 +191,7 @@
     due.forEach(
         o ->
             check(
-                now <= o.deadline + settings.rules().answerSlack(),
+                now <= o.deadline + settings.safetyRules().answerSlackMicros(),
                 "rule 1: request " + o.request.id() + " is overdue"));
   }
 
@@ -219,16 +219,20 @@
     check(entry != null, "sent to a server no list has named: " + server);
     Long told = toldGone.get(server);
     check(
-        told == null || now - told <= settings.rules().drainGrace(),
+        told == null || now - told <= settings.safetyRules().drainGraceMicros(),
         "rule 3: sent to " + server + " past the grace");
     for (Try t : o.tries) {
-      if (!t.status.neverRan && type.effect() != Effect.FREE) {
-        check(type.effect() == Effect.GUARDED, "rule 2: single shot sent again: " + id);
-        check(now - t.sentAt < type.window(), "rule 2: repeated past the window: " + id);
+      if (!t.status.neverRan && type.repeatability() != Repeatability.FREE) {
         check(
-            type.group() == Group.ALL
+            type.repeatability() == Repeatability.GUARDED, "rule 2: single shot sent again: " + id);
+        check(
+            now - t.sentAt < type.deduplicationWindowMicros(),
+            "rule 2: repeated past the window: " + id);
+        check(
+            type.deduplicationScope() == DeduplicationScope.ALL
                 || (t.server.zone().equals(entry.zone())
-                    && (type.group() == Group.ZONE || t.server.cell() == entry.cell())),
+                    && (type.deduplicationScope() == DeduplicationScope.ZONE
+                        || t.server.cell() == entry.cell())),
             "rule 2: repeated outside the group: " + id);
       }
     }
@@ -269,7 +273,7 @@
     SetupLimit setups = policy.node.servers.get(server).limits.setups;
     check(setups.taken(now) <= setups.allowed(), "set-ups beyond the limit of " + server);
     LimitsSnapshot fleet = policy.limits();
-    check(fleet.placesTaken() <= fleet.placesAllowed(), "set-ups beyond the limit: " + fleet);
+    check(fleet.setupsInProgress() <= fleet.setupsAllowed(), "set-ups beyond the limit: " + fleet);
   }
 
   /** Once all is over nothing is held: each place, and each group, has been given back. */
@@ -278,9 +282,11 @@
     Node node = ((Policy) balancer).node;
     LimitsSnapshot over = balancer.limits();
     check(node.requests.isEmpty() && node.openConnections == 0, "held: " + node.requests.size());
-    check(over.placesTaken() == 0 && over.waiting() == 0, "not given back: " + over);
+    check(over.setupsInProgress() == 0 && over.waiting() == 0, "not given back: " + over);
     long resting = node.ready.stream().filter(s -> s.limits.record.resting()).count();
-    check(over.atRest() == resting, "at rest " + over.atRest() + ", of the ready " + resting);
+    check(
+        over.ejectedServers() == resting,
+        "at rest " + over.ejectedServers() + ", of the ready " + resting);
     for (Server s : node.servers.values()) {
       check(s.limits.setups.taken(now) == 0, "places still taken at " + s.id);
       check(s.limits.groups.size() == 0 && s.open.isEmpty(), "groups still held at " + s.id);
@@ -291,20 +297,22 @@
 
   /** Rule 4, as a node's own share: here it is alone, so the whole budget, counted in means. */
   private void cold(ServerEntry entry) {
-    long age = now - entry.since();
-    if (entry.since() == 0 || age >= settings.rules().warmUp()) {
+    long age = now - entry.startedAtMicros();
+    if (entry.startedAtMicros() == 0 || age >= settings.safetyRules().warmUpMicros()) {
       return;
     }
     List<Long> sent = coldSends.get(entry.id());
     sent.add(now);
-    long window = settings.rules().fallWindow();
+    long window = settings.safetyRules().overloadWindowMicros();
     long recent = sent.stream().filter(at -> now - at < window).count();
     // 50 requests in 100 steps of 10 ms: fifty a second over a dozen servers, at most.
     double capacity = 50.0 / 6 / 0.6;
     double budget =
-        settings.rules().fallMultiple()
-            * (settings.rules().coldShare()
-                + (1 - settings.rules().coldShare()) * age / settings.rules().warmUp())
+        settings.safetyRules().overloadMultiple()
+            * (settings.safetyRules().coldCapacity()
+                + (1 - settings.safetyRules().coldCapacity())
+                    * age
+                    / settings.safetyRules().warmUpMicros())
             * capacity
             * window
             / 1e6;
@@ -313,7 +321,7 @@
 
   private void open(Owed o, Try t, int attempt) {
     o.open = true;
-    balancer.accepted(now, o.request.id(), attempt, t.server.id(), now - t.sentAt);
+    balancer.connectionAccepted(now, o.request.id(), attempt, t.server.id(), now - t.sentAt);
     later(random.nextLong(1, 3_000 * MS), () -> close(o, t, attempt));
   }
 
@@ -323,14 +331,14 @@
       t.status = List.of(Status.OK, Status.RESET, Status.CANCELLED).get(random.nextInt(3));
       o.answered = true;
       o.open = false;
-      balancer.outcome(now, ended(o, t, attempt, true));
+      balancer.attemptEnded(now, ended(o, t, attempt, true));
     }
   }
 
   private void end(Owed o, Try t, int attempt, Status status) {
     t.out = false;
     t.status = status;
-    balancer.outcome(now, ended(o, t, attempt, o.answered));
+    balancer.attemptEnded(now, ended(o, t, attempt, o.answered));
   }
 
   private Outcome ended(Owed o, Try t, int attempt, boolean closed) {
@@ -342,11 +350,15 @@
     answers++;
     Owed o = owed.get(id);
     check(o != null && !o.answered, "rule 1: a second answer: " + id);
-    check(now <= o.deadline + settings.rules().answerSlack(), "rule 1: answered too late: " + id);
-    if (refusal && type.effect() != Effect.FREE) {
+    check(
+        now <= o.deadline + settings.safetyRules().answerSlackMicros(),
+        "rule 1: answered too late: " + id);
+    if (refusal && type.repeatability() != Repeatability.FREE) {
       boolean may = o.tries.stream().anyMatch(t -> t.out || !t.status.neverRan);
       check(
-          !may || (type.effect() == Effect.GUARDED && type.group() == Group.ALL),
+          !may
+              || (type.repeatability() == Repeatability.GUARDED
+                  && type.deduplicationScope() == DeduplicationScope.ALL),
           "rule 2: refused though it may have run: " + id);
     }
     o.answered = true;
@@ -377,13 +389,13 @@
     t.out = false;
     t.status = Status.CANCELLED;
     int attempt = o.tries.size() - 1;
-    later(MS, () -> balancer.outcome(now, ended(o, t, attempt, true)));
+    later(MS, () -> balancer.attemptEnded(now, ended(o, t, attempt, true)));
   }
 
   @Override
-  public void timer(long delay, long token) {
+  public void startTimer(long delay, long token) {
     check(delay >= 1, "a timer in the past");
-    later(delay, () -> balancer.timer(now, token));
+    later(delay, () -> balancer.timerExpired(now, token));
   }
 
   @Override
@@ -394,17 +406,19 @@
         status == Status.OK
             ? List.of(random.nextDouble() * 0.8, random.nextDouble())
             : List.<Double>of();
-    later(random.nextLong(1, 200 * MS), () -> balancer.probed(now, server, status, 2 * MS, report));
+    later(
+        random.nextLong(1, 200 * MS),
+        () -> balancer.probeCompleted(now, server, status, 2 * MS, report));
   }
 
   @Override
-  public void watch(boolean on) {}
+  public void watchDiscovery(boolean on) {}
 
   @Override
-  public void fetch() {}
+  public void fetchServers() {}
 
   @Override
-  public void tell(int peer, byte[] message) {
+  public void sendToPeer(int peer, byte[] message) {
     check(message.length <= 256, "a message over 256 bytes");
   }
 
--- a/src/test/java/ashspar/RulesTest.java
+++ b/src/test/java/ashspar/RulesTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashspar.Balancer.Effect;
-import ashspar.Balancer.Group;
+import ashspar.Balancer.DeduplicationScope;
+import ashspar.Balancer.Repeatability;
 import ashspar.Balancer.Tenant;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -13,7 +13,7 @@
 
 /** The four rules on random days, and the proof that the checks see a module that breaks them. */
 class RulesTest {
-  private static Script.Setup setup(Effect effect, Group group) {
+  private static Script.Setup setup(Repeatability effect, DeduplicationScope group) {
     Script.Setup setup = new Script.Setup();
     setup.effect = effect;
     setup.group = group;
@@ -23,7 +23,7 @@
 
   @ParameterizedTest
   @CsvSource({"FREE, ALL", "GUARDED, ALL", "GUARDED, ZONE", "GUARDED, CELL", "SINGLE_SHOT, ALL"})
-  void theRulesHoldOnRandomDays(Effect effect, Group group) {
+  void theRulesHoldOnRandomDays(Repeatability effect, DeduplicationScope group) {
     for (long seed = 1; seed <= 8; seed++) {
       RuleRecorder day =
           new RuleRecorder(Policy::new, setup(effect, group).settings(), seed * 1_000_003);
@@ -33,7 +33,8 @@
     }
   }
 
-  private static AssertionError broken(Effect effect, Group group, FaultyBalancer.Fault fault) {
+  private static AssertionError broken(
+      Repeatability effect, DeduplicationScope group, FaultyBalancer.Fault fault) {
     Script.Factory factory =
         (now, settings, seed, actions) -> new FaultyBalancer(fault, settings, actions);
     RuleRecorder day = new RuleRecorder(factory, setup(effect, group).settings(), 5);
@@ -46,25 +47,37 @@
 
   @Test
   void aLostRequestIsSeen() {
-    assertRule("rule 1", broken(Effect.FREE, Group.ALL, FaultyBalancer.Fault.LOSES));
+    assertRule(
+        "rule 1", broken(Repeatability.FREE, DeduplicationScope.ALL, FaultyBalancer.Fault.LOSES));
   }
 
   @Test
   void aRepeatedEffectIsSeen() {
-    assertRule("rule 2", broken(Effect.SINGLE_SHOT, Group.ALL, FaultyBalancer.Fault.REPEATS));
-    assertRule("rule 2", broken(Effect.GUARDED, Group.CELL, FaultyBalancer.Fault.REPEATS));
-    assertRule("rule 2", broken(Effect.SINGLE_SHOT, Group.ALL, FaultyBalancer.Fault.REFUSES));
-    assertRule("rule 2", broken(Effect.FREE, Group.ALL, FaultyBalancer.Fault.DOUBLES));
+    assertRule(
+        "rule 2",
+        broken(Repeatability.SINGLE_SHOT, DeduplicationScope.ALL, FaultyBalancer.Fault.REPEATS));
+    assertRule(
+        "rule 2",
+        broken(Repeatability.GUARDED, DeduplicationScope.CELL, FaultyBalancer.Fault.REPEATS));
+    assertRule(
+        "rule 2",
+        broken(Repeatability.SINGLE_SHOT, DeduplicationScope.ALL, FaultyBalancer.Fault.REFUSES));
+    assertRule(
+        "rule 2", broken(Repeatability.FREE, DeduplicationScope.ALL, FaultyBalancer.Fault.DOUBLES));
   }
 
   @Test
   void aSendToADrainingServerIsSeen() {
-    assertRule("rule 3", broken(Effect.FREE, Group.ALL, FaultyBalancer.Fault.IGNORES_DRAINS));
+    assertRule(
+        "rule 3",
+        broken(Repeatability.FREE, DeduplicationScope.ALL, FaultyBalancer.Fault.IGNORES_DRAINS));
   }
 
   @Test
   void aColdServerPushedOverIsSeen() {
-    assertRule("rule 4", broken(Effect.FREE, Group.ALL, FaultyBalancer.Fault.FLOODS_NEWEST));
+    assertRule(
+        "rule 4",
+        broken(Repeatability.FREE, DeduplicationScope.ALL, FaultyBalancer.Fault.FLOODS_NEWEST));
   }
 
   @Test
@@ -77,7 +90,9 @@
   private static List<String> actions(int instances) {
     Script first = null;
     for (int n = 0; n < instances; n++) {
-      Script script = new Script(Policy::new, setup(Effect.FREE, Group.ALL).settings(), 99 + n);
+      Script script =
+          new Script(
+              Policy::new, setup(Repeatability.FREE, DeduplicationScope.ALL).settings(), 99 + n);
       first = first == null ? script : first;
       script.list(8);
       for (int i = 1; i <= 100; i++) {
--- a/src/test/java/ashspar/Script.java
+++ b/src/test/java/ashspar/Script.java
@@ -1,10 +1,10 @@
 package ashspar;
 
-import ashspar.Balancer.Effect;
-import ashspar.Balancer.Group;
+import ashspar.Balancer.DeduplicationScope;
 import ashspar.Balancer.ListKind;
 import ashspar.Balancer.Metric;
 import ashspar.Balancer.Outcome;
+import ashspar.Balancer.Repeatability;
 import ashspar.Balancer.Request;
 import ashspar.Balancer.RequestClass;
 import ashspar.Balancer.ServerEntry;
@@ -71,8 +71,8 @@
   static final class Setup {
     int rank = 0;
     int nodes = 1;
-    Effect effect = Effect.FREE;
-    Group group = Group.ALL;
+    Repeatability effect = Repeatability.FREE;
+    DeduplicationScope group = DeduplicationScope.ALL;
     boolean probes = true;
     boolean peers = false;
     boolean asks = false;
@@ -99,9 +99,10 @@
           List.of("z1", "z2"),
           List.of(requestClass("view", 1), requestClass("list", 0.3)),
           tenants,
-          new Balancer.Limits(
+          new Balancer.Permissions(
               probes, peers, true, false, maxRetryAfter > 0, maxAttempts, maxRetryAfter),
-          new Balancer.Rules(8 * MS, 10 * SECOND, 500 * MS, coldShare, 8 * SECOND, 3, 1500 * MS),
+          new Balancer.SafetyRules(
+              8 * MS, 10 * SECOND, 500 * MS, coldShare, 8 * SECOND, 3, 1500 * MS),
           new Balancer.Prices(crossZonePrice, 0.02, probePrice, 0, 0.03),
           fields,
           sizes,
@@ -126,7 +127,7 @@
   }
 
   void list(int count) {
-    balancer.servers(now, ListKind.CACHED, servers(count));
+    balancer.updateServers(now, ListKind.CACHED, servers(count));
   }
 
   /** Lets time pass, with the timers that fall due in it. */
@@ -146,9 +147,9 @@
 
   private void ended(long id, int attempt, String server) {
     if (ends == Status.OK) {
-      balancer.accepted(now, id, attempt, server, takes);
+      balancer.connectionAccepted(now, id, attempt, server, takes);
     } else {
-      balancer.outcome(now, new Outcome(id, attempt, server, ends, takes, false, List.of()));
+      balancer.attemptEnded(now, new Outcome(id, attempt, server, ends, takes, false, List.of()));
     }
   }
 
@@ -200,23 +201,24 @@
   }
 
   void request(long id, long left, double hint) {
-    balancer.request(now, new Request(id, "k" + id, "view", null, left, hint, false, false, false));
+    balancer.requestReceived(
+        now, new Request(id, "k" + id, "view", null, left, hint, false, false, false));
   }
 
   void probed(String server, Status status, double load, double backlog) {
-    balancer.probed(
+    balancer.probeCompleted(
         now, server, status, 2 * MS, status == Status.OK ? List.of(load, backlog) : List.of());
   }
 
   void outcome(long id, Status status, boolean closed) {
     int attempt = attempts.get(id) - 1;
     Sent sent = last(id);
-    balancer.outcome(
+    balancer.attemptEnded(
         now, new Outcome(id, attempt, sent.server(), status, now - sent.at(), closed, List.of()));
   }
 
   void accepted(long id) {
-    balancer.accepted(now, id, attempts.get(id) - 1, last(id).server(), 5 * MS);
+    balancer.connectionAccepted(now, id, attempts.get(id) - 1, last(id).server(), 5 * MS);
   }
 
   Sent last(long id) {
@@ -273,11 +275,11 @@
   }
 
   @Override
-  public void timer(long delay, long token) {
+  public void startTimer(long delay, long token) {
     if (delay < 1) {
       throw new AssertionError("a timer must lie ahead, not at " + delay);
     }
-    later(delay, () -> balancer.timer(now, token));
+    later(delay, () -> balancer.timerExpired(now, token));
   }
 
   @Override
@@ -291,17 +293,17 @@
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchDiscovery(boolean on) {
     watches.add(on);
   }
 
   @Override
-  public void fetch() {
+  public void fetchServers() {
     all.add(now + " fetch");
   }
 
   @Override
-  public void tell(int peer, byte[] message) {
+  public void sendToPeer(int peer, byte[] message) {
     all.add(now + " tell " + peer);
   }
 
--- a/src/test/java/ashspar/ToyFleet.java
+++ b/src/test/java/ashspar/ToyFleet.java
@@ -1,7 +1,7 @@
 package ashspar;
 
 import ashspar.Balancer.ListKind;
-import ashspar.Balancer.NoteKind;
+import ashspar.Balancer.MeasurementKind;
 import ashspar.Balancer.Outcome;
 import ashspar.Balancer.Request;
 import ashspar.Balancer.ServerEntry;
@@ -144,7 +144,7 @@
       if (f.out && f.attempt == attempt) {
         f.out = false;
         sentOf.get(f).took()[0] = now - f.sentAt;
-        policy.outcome(now, outcome(f, status, f.answeredAt > 0));
+        policy.attemptEnded(now, outcome(f, status, f.answeredAt > 0));
       }
     }
 
@@ -162,14 +162,15 @@
       f.answeredAt = now;
       f.served = true;
       f.at.sessions.add(f);
-      policy.accepted(now, f.id, f.attempt, f.at.id, now - f.sentAt);
-      policy.note(now, f.id, f.attempt, f.at.id, NoteKind.LOAD, SESSION * SECOND);
+      policy.connectionAccepted(now, f.id, f.attempt, f.at.id, now - f.sentAt);
+      policy.connectionMeasured(
+          now, f.id, f.attempt, f.at.id, MeasurementKind.LOAD, SESSION * SECOND);
       later(f.life, () -> close(f, Status.OK));
     }
 
     private void close(Flow f, Status status) {
       if (f.at.sessions.remove(f)) {
-        policy.outcome(now, outcome(f, status, true));
+        policy.attemptEnded(now, outcome(f, status, true));
         if (status != Status.OK) {
           later(random.nextLong(100, 500) * MS, () -> ask(f.tenant, f.life, false, true));
         }
@@ -200,8 +201,8 @@
     }
 
     @Override
-    public void timer(long delay, long token) {
-      later(delay, () -> policy.timer(now, token));
+    public void startTimer(long delay, long token) {
+      later(delay, () -> policy.timerExpired(now, token));
     }
 
     @Override
@@ -209,17 +210,17 @@
       Host host = hosts.get(server);
       Status status = host.up ? Status.OK : Status.CONNECT_FAILED;
       List<Double> report = host.up ? host.report : List.of();
-      later(3 * MS, () -> policy.probed(now, server, status, 3 * MS, report));
+      later(3 * MS, () -> policy.probeCompleted(now, server, status, 3 * MS, report));
     }
 
     @Override
-    public void watch(boolean on) {}
+    public void watchDiscovery(boolean on) {}
 
     @Override
-    public void fetch() {}
+    public void fetchServers() {}
 
     @Override
-    public void tell(int peer, byte[] message) {}
+    public void sendToPeer(int peer, byte[] message) {}
 
     @Override
     public void log(String text) {}
@@ -268,7 +269,7 @@
       State state = now >= h.drainsAt ? State.DRAINING : State.READY;
       entries.add(new ServerEntry(h.id, h.zone, "k", 0, state, h.cores, h.since));
     }
-    nodes.forEach(n -> n.policy.servers(now, kind, entries));
+    nodes.forEach(n -> n.policy.updateServers(now, kind, entries));
   }
 
   /** A host that has just started joins; the list tells of it late. */
@@ -319,7 +320,7 @@
     f.node.flows.put(f.id, f);
     flows.add(f);
     String key = returning ? "k" + f.id : null;
-    f.node.policy.request(
+    f.node.policy.requestReceived(
         now, new Request(f.id, key, "view", tenant, DEADLINE, 0, repeat, false, returning));
     later(DEADLINE + 20 * MS, () -> check(f));
   }
--- a/src/test/java/brassbank/config/ConfigTest.java
+++ b/src/test/java/brassbank/config/ConfigTest.java
@@ -144,6 +144,6 @@
     json.remove("known");
     Config next = reread(json.toString());
     assertThat(next.settings().classes()).extracting("name").containsExactly("preview", "review");
-    assertThat(next.settings().limits().maxAttempts()).isEqualTo(2);
+    assertThat(next.settings().permissions().maxAttempts()).isEqualTo(2);
   }
 }
--- a/src/test/java/brassbank/decide/DeciderTest.java
+++ b/src/test/java/brassbank/decide/DeciderTest.java
@@ -70,14 +70,14 @@
   void givesUpAForwardBeforeTheFinalAnswerAndAnswersAtTheDeadline() {
     List<Decision> picked = placed(flow(1, 500_000, null));
     assertThat(only(Decision.Forward.class, picked)).hasSize(1);
-    assertThat(decider.limits().placesTaken()).isEqualTo(1);
+    assertThat(decider.limits().setupsInProgress()).isEqualTo(1);
     assertThat(only(Decision.Cancel.class, tickAfter(499_000 - PROBE_WAIT_MICROS))).isEmpty();
     List<Decision> due = tickAfter(1_000);
     Decision.FixedResponse answer = only(Decision.FixedResponse.class, due).get(0);
     assertThat(due).containsSubsequence(new Decision.Cancel(1), answer);
     assertThat(answer.retryMillis()).isBetween(1L, 2000L);
     assertThat(decider.open()).isZero();
-    assertThat(decider.limits().placesTaken()).isZero();
+    assertThat(decider.limits().setupsInProgress()).isZero();
   }
 
   /** Fewer attempts, and a class that is gone, hold for what comes after the reload. */
@@ -85,16 +85,16 @@
   void aFlowKeepsTheSettingsThatItCameUnder() {
     placed(flow(1, 4_000_000, null));
     Balancer.Settings old = config.settings();
-    Balancer.Limits limits = old.limits();
-    Balancer.Limits fewer =
-        new Balancer.Limits(
+    Balancer.Permissions limits = old.permissions();
+    Balancer.Permissions fewer =
+        new Balancer.Permissions(
             limits.probes(),
-            limits.peers(),
+            limits.peerMessages(),
             limits.cancel(),
             limits.secondCopies(),
             limits.retryAfter(),
             1,
-            limits.maxRetryAfter());
+            limits.maxRetryAfterMicros());
     decider.report(new Happening.Configured(with(old, fewer, old.classes().subList(1, 2))));
     Flow dropped = flow(2, 4_000_000, null);
     assertThat(decider.pick(dropped)).containsExactly(new Decision.Fail(2));
@@ -131,24 +131,24 @@
   }
 
   private static Balancer.Settings with(
-      Balancer.Settings old, Balancer.Limits limits, List<Balancer.RequestClass> classes) {
+      Balancer.Settings old, Balancer.Permissions limits, List<Balancer.RequestClass> classes) {
     return new Balancer.Settings(
         old.rank(),
-        old.nodes(),
+        old.nodeCount(),
         old.zone(),
         old.zones(),
         classes,
         old.tenants(),
         limits,
-        old.rules(),
+        old.safetyRules(),
         old.prices(),
         old.reportFields(),
-        old.sizes(),
-        old.asks(),
+        old.sizeMeaning(),
+        old.pullsDiscovery(),
         old.passThrough(),
-        old.overShareWorth(),
-        old.tick(),
-        old.tellsDelay());
+        old.overShareValue(),
+        old.timerResolutionMicros(),
+        old.reportsDelay());
   }
 
   @Test
@@ -283,8 +283,9 @@
     check(decider.tick(clock.now()), out, up, ended, forwards);
     assertThat(out).isEmpty();
     assertThat(flows).isGreaterThan(1000);
-    assertThat(forwards.values()).allMatch(n -> n <= config.settings().limits().maxAttempts());
-    assertThat(config.settings().classes().get(0).effect()).isEqualTo(Balancer.Effect.FREE);
+    assertThat(forwards.values()).allMatch(n -> n <= config.settings().permissions().maxAttempts());
+    assertThat(config.settings().classes().get(0).repeatability())
+        .isEqualTo(Balancer.Repeatability.FREE);
   }
 
   private static void check(
