--- a/src/main/java/brassbank/decide/Decider.java
+++ b/src/main/java/brassbank/decide/Decider.java
@@ -100,13 +100,16 @@
             false,
             flow.isReconnecting());
     newFlowCount += flow.isRetry() || flow.isReconnecting() ? 0 : 1;
-    Entry entry = new Entry(flow, request, now + request.left(), settings);
+    Entry entry = new Entry(flow, request, now + request.timeLeftMicros(), settings);
     ledger.enter(entry);
-    alarms.set(entry.deadline + settings.rules().answerSlack(), Alarms.Kind.ANSWER_DUE, flow.id());
+    alarms.set(
+        entry.deadline + settings.safetyRules().answerSlackMicros(),
+        Alarms.Kind.ANSWER_DUE,
+        flow.id());
     if (flow.resumeTarget() != null) {
       rejoin(entry);
     } else {
-      module.request(now, request);
+      module.requestReceived(now, request);
     }
     if (ledger.get(flow.id()) == entry && entry.stage == Entry.Stage.HELD) {
       out.add(new Decision.Hold(flow.id()));
@@ -123,7 +126,7 @@
       Entry entry = ledger.standing(load.flow());
       if (entry != null) {
         entry.load = load.load();
-        note(entry, Balancer.NoteKind.LOAD, load.load());
+        note(entry, Balancer.MeasurementKind.LOAD, load.load());
       }
     } else if (happening instanceof NetworkEvent.RequestRelayed asked) {
       asked(ledger.standing(asked.flow()));
@@ -134,7 +137,7 @@
     } else if (happening instanceof NetworkEvent.ClientDisconnected left) {
       left(left.flow());
     } else if (happening instanceof NetworkEvent.ProbeCompleted probed) {
-      module.probed(
+      module.probeCompleted(
           now, probed.target(), probed.outcome().status, probed.elapsedMicros(), probed.report());
     } else if (happening instanceof NetworkEvent.TargetsListed listed) {
       this.hasTargetList = true;
@@ -142,10 +145,10 @@
           listed.list(),
           listed.list().isSnapshot() ? Balancer.ListKind.FULL : Balancer.ListKind.DELTA);
     } else if (happening instanceof NetworkEvent.FetchFailed) {
-      module.servers(now, Balancer.ListKind.FAILED, List.of());
+      module.updateServers(now, Balancer.ListKind.FAILED, List.of());
     } else if (happening instanceof NetworkEvent.SettingsChanged configured) {
       settings(configured.settings());
-      module.settings(now, settings);
+      module.updateSettings(now, settings);
     } else if (happening instanceof NetworkEvent.StopRequested stopping) {
       leave(lifecycle.stop(now, stopping.deadlineMicros()));
     } else if (happening instanceof NetworkEvent.StandbyRequested) {
@@ -161,9 +164,9 @@
     } else if (happening instanceof NetworkEvent.SuccessorChanged succeeded) {
       lifecycle.setSuccessorPresent(succeeded.isPresent());
     } else if (happening instanceof NetworkEvent.BudgetShareChanged shared) {
-      module.share(
+      module.updateBudgetShare(
           now,
-          new Balancer.Share(
+          new Balancer.BudgetShare(
               shared.share(),
               shared.baseShare(),
               shared.rank(),
@@ -173,7 +176,7 @@
       lifecycle.handle(Event.SERVING, now);
     } else if (happening instanceof NetworkEvent.SubsetChanged peers) {
       subset = peers.subset();
-      module.own(now, subset == null ? null : subset.select(group.peers()));
+      module.assignServers(now, subset == null ? null : subset.select(group.peers()));
     }
     return decided();
   }
@@ -256,9 +259,10 @@
     }
     entry.stage = Entry.Stage.UP;
     if (entry.flow.resumeTarget() != null) {
-      module.resumed(now, entry.request, entry.target.name());
+      module.connectionResumed(now, entry.request, entry.target.name());
     } else {
-      module.accepted(now, flow, entry.forwards - 1, entry.target.name(), now - entry.sentAt);
+      module.connectionAccepted(
+          now, flow, entry.forwards - 1, entry.target.name(), now - entry.sentAt);
     }
   }
 
@@ -295,7 +299,7 @@
       return;
     }
     if (entry.flow.resumeTarget() == null) {
-      module.lapsed(now, flow);
+      module.requestWithdrawn(now, flow);
     }
     if (entry.stage == Entry.Stage.OUT) {
       out.add(new Decision.Cancel(flow));
@@ -314,7 +318,7 @@
     if (!ending.status.neverRan) {
       entry.mayHaveRun();
     }
-    module.outcome(
+    module.attemptEnded(
         now,
         new Balancer.Outcome(
             entry.flow.id(),
@@ -351,7 +355,7 @@
     boolean again =
         ending == Outcome.CONNECT_FAILED
             && now + REJOIN_PAUSE < entry.deadline
-            && entry.forwards < entry.settings.limits().maxAttempts();
+            && entry.forwards < entry.settings.permissions().maxAttempts();
     if (again) {
       alarms.set(now + REJOIN_PAUSE, Alarms.Kind.REJOIN, entry.flow.id());
     } else {
@@ -383,19 +387,20 @@
     double millis = (now - entry.askedAt) / (double) MILLI;
     entry.askedAt = 0;
     if (delays.tells(now, entry.target.name(), millis)) {
-      note(entry, Balancer.NoteKind.DELAY, millis);
+      note(entry, Balancer.MeasurementKind.DELAY, millis);
     }
   }
 
-  private void note(Entry entry, Balancer.NoteKind kind, double value) {
-    module.note(now, entry.flow.id(), entry.attempt(), entry.target.name(), kind, value);
+  private void note(Entry entry, Balancer.MeasurementKind kind, double value) {
+    module.connectionMeasured(
+        now, entry.flow.id(), entry.attempt(), entry.target.name(), kind, value);
   }
 
   // ------------------------------------------------------------------- alarms
 
   private void ring(Alarms.Alarm alarm) {
     if (alarm.kind() == Alarms.Kind.MODULE) {
-      module.timer(now, alarm.subject());
+      module.timerExpired(now, alarm.subject());
       return;
     }
     if (alarm.kind() == Alarms.Kind.LEAVE) {
@@ -453,7 +458,7 @@
    */
   private void giveUp(Entry entry) {
     if (entry.flow.resumeTarget() == null) {
-      module.giveUp(now, entry.flow.id());
+      module.answerNow(now, entry.flow.id());
     }
     if (ledger.get(entry.flow.id()) != entry) {
       return;
@@ -470,9 +475,9 @@
 
   /** Who leaves knows when its clients reach another proxy; else no better time is known. */
   private long retryMillis() {
-    Balancer.Limits limits = settings.limits();
+    Balancer.Permissions limits = settings.permissions();
     return limits.retryAfter()
-        ? Math.min(lifecycle.retryDelayMicros(now), limits.maxRetryAfter()) / MILLI
+        ? Math.min(lifecycle.retryDelayMicros(now), limits.maxRetryAfterMicros()) / MILLI
         : 0;
   }
 
@@ -555,9 +560,9 @@
   private void list(TargetList list, Balancer.ListKind kind) {
     List<Balancer.ServerEntry> entries = group.take(list, kind, delays::forget);
     if (subset != null) {
-      module.own(now, subset.select(group.peers()));
+      module.assignServers(now, subset.select(group.peers()));
     }
-    module.servers(now, kind, entries);
+    module.updateServers(now, kind, entries);
   }
 
   /** Turns the module's actions into decisions, against the ledger. */
@@ -620,7 +625,7 @@
     }
 
     @Override
-    public void timer(long delay, long token) {
+    public void startTimer(long delay, long token) {
       alarms.set(now + delay, Alarms.Kind.MODULE, token);
     }
 
@@ -633,17 +638,17 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchDiscovery(boolean on) {
       out.add(new Decision.Watch(on));
     }
 
     @Override
-    public void fetch() {
+    public void fetchServers() {
       out.add(new Decision.Fetch());
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
       throw new UnsupportedOperationException("proxies have no way to talk to each other");
     }
 
--- a/src/main/java/brassbank/decide/Predecessors.java
+++ b/src/main/java/brassbank/decide/Predecessors.java
@@ -30,7 +30,7 @@
     standing.forEach(one -> next.put(one.id(), one));
     for (EstablishedConnection gone : before.values()) {
       if (!next.containsKey(gone.id())) {
-        module.outcome(
+        module.attemptEnded(
             now,
             new Balancer.Outcome(
                 shadow(process, gone),
@@ -51,7 +51,7 @@
       long id = shadow(process, one);
       EstablishedConnection known = before.put(one.id(), one);
       if (known == null) {
-        module.resumed(
+        module.connectionResumed(
             now,
             new Balancer.Request(
                 id,
@@ -67,7 +67,8 @@
             one.target());
       }
       if (one.load() >= 0 && (known == null || known.load() != one.load())) {
-        module.note(now, id, 0, one.target(), Balancer.NoteKind.LOAD, one.load());
+        module.connectionMeasured(
+            now, id, 0, one.target(), Balancer.MeasurementKind.LOAD, one.load());
       }
     }
     if (before.isEmpty()) {
--- a/src/main/java/brassbank/proxy/Member.java
+++ b/src/main/java/brassbank/proxy/Member.java
@@ -41,7 +41,7 @@
   private static ShareParticipant sharer(Config config, Decider decider, Dispatcher dispatcher) {
     return new ShareParticipant(
         config.settings().rank(),
-        config.settings().nodes(),
+        config.settings().nodeCount(),
         decider::newFlowCount,
         part ->
             dispatcher.report(
--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -174,7 +174,7 @@
   public void setAccepting(boolean on, Runnable done) {
     net.execute(
         () -> {
-          share.needs(on, net.requiredDescriptors(dispatcher.flowsAwaitingTarget()));
+          share.updateNeed(on, net.requiredDescriptors(dispatcher.flowsAwaitingTarget()));
           net.descriptorLimit(share.limit());
           if (on) {
             front.listenerOpened(first);
@@ -227,7 +227,7 @@
   public void captureState(Consumer<HandoverState> told) {
     net.execute(
         () -> {
-          share.needs(
+          share.updateNeed(
               net.isAcceptingClients(), net.requiredDescriptors(dispatcher.flowsAwaitingTarget()));
           net.descriptorLimit(share.limit());
           told.accept(
@@ -244,7 +244,7 @@
   public void updatePredecessor(long number, HandoverState holding) {
     net.execute(
         () -> {
-          share.predecessor(number, holding.descriptorLimit());
+          share.setPredecessorLimit(number, holding.descriptorLimit());
           net.descriptorLimit(share.limit());
           // A process that already serves hears its operators itself.
           standby =
@@ -274,7 +274,7 @@
   public void reload(Config next, RelayLimits limits, MembershipConfig joining) {
     net.execute(
         () -> {
-          share.sockets(next.descriptorLimit());
+          share.setTotalLimit(next.descriptorLimit());
           net.descriptorLimit(share.limit());
           relay.configure(limits);
           settings = next.settings();
@@ -307,7 +307,7 @@
     long longest = LONGEST_DEADLINE;
     long deadline =
         settings.classes().stream()
-            .mapToLong(Balancer.RequestClass::deadline)
+            .mapToLong(Balancer.RequestClass::deadlineMicros)
             .max()
             .orElse(longest);
     long left = Math.min(longest, deadline) + STOP_TIME;
