--- a/src/main/java/brassbank/proxy/Operation.java
+++ b/src/main/java/brassbank/proxy/Operation.java
@@ -26,7 +26,7 @@
 
   @Override
   public String membersJson() {
-    return fleet == null ? null : fleet.json();
+    return fleet == null ? null : fleet.statusJson();
   }
 
   /** Of this process: one that another has succeeded takes no clients. */
@@ -43,10 +43,11 @@
 
   @Override
   public boolean requestStandby(Consumer<Result> then) {
-    if (fleet == null || !fleet.leavesInTurn() || decider.state() != State.ACTIVE) {
+    if (fleet == null || !fleet.requiresDrainPermit() || decider.state() != State.ACTIVE) {
       return false;
     }
-    fleet.askToLeave(why -> then.accept(why == null ? enterStandby() : new Result(false, why)));
+    fleet.requestDrainPermit(
+        why -> then.accept(why == null ? enterStandby() : new Result(false, why)));
     return true;
   }
 
--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -16,7 +16,7 @@
 import brassbank.lifecycle.State;
 import brassbank.log.Log;
 import brassbank.management.ManagementServer;
-import brassbank.membership.Joining;
+import brassbank.membership.MembershipConfig;
 import brassbank.net.Net;
 import brassbank.net.Network;
 import brassbank.relay.Relay;
@@ -95,7 +95,7 @@
    *
    * @param joining how it becomes one, or null for none
    */
-  public Proxy(Config config, RelayLimits limits, Joining joining, Network network) {
+  public Proxy(Config config, RelayLimits limits, MembershipConfig joining, Network network) {
     this.config = config;
     settings = config.settings();
     clock = new FlowClock(network.clock());
@@ -271,7 +271,7 @@
   }
 
   /** As above, with other addresses to look for the fleet at, or null for the same. */
-  public void reload(Config next, RelayLimits limits, Joining joining) {
+  public void reload(Config next, RelayLimits limits, MembershipConfig joining) {
     net.execute(
         () -> {
           share.setTotalLimit(next.descriptorLimit());
@@ -285,7 +285,7 @@
               next.reportFields());
           discovery.changeAddress(next.discovery());
           if (fleet != null && joining != null) {
-            fleet.seeds(joining.seeds());
+            fleet.setSeeds(joining.seeds());
           }
           LOG.info("reloaded", value("discovery", next.discovery()));
         });
@@ -307,7 +307,7 @@
     long longest = LONGEST_DEADLINE;
     long deadline =
         settings.classes().stream()
-            .mapToLong(Balancer.RequestClass::deadline)
+            .mapToLong(Balancer.RequestClass::deadlineMicros)
             .max()
             .orElse(longest);
     long left = Math.min(longest, deadline) + STOP_TIME;
