--- a/src/main/java/brassbank/proxy/Member.java
+++ b/src/main/java/brassbank/proxy/FleetMember.java
@@ -11,26 +11,33 @@
 import brassbank.net.Net;
 import brassbank.sources.Randomness;
 
-/** What makes a proxy a member of its fleet; loaded only where there is one. */
-final class Member {
+/**
+ * Makes a proxy a member of its fleet. A proxy that is in no fleet does not load this class, nor
+ * the packages that it uses.
+ */
+final class FleetMember {
   private static final long NANOS_PER_MICRO = 1_000;
-  private static final long LONG_AGO = Long.MIN_VALUE / 2;
+
+  /** A lease end that has always passed. */
+  private static final long NO_LEASE_NANOS = Long.MIN_VALUE / 2;
 
   private final Fleet fleet;
 
-  Member(Config config, Decider decider, Dispatcher dispatcher, Net net, MembershipConfig joining) {
+  FleetMember(
+      Config config, Decider decider, Dispatcher dispatcher, Net net, MembershipConfig membership) {
     fleet =
         new Fleet(
             net,
-            joining.withDefaultAddress(config.listen()),
+            membership.withDefaultAddress(config.listen()),
             config.name(),
             config.settings().zone() == null ? "" : config.settings().zone(),
             new Randomness(config.seed()).stream("fleet of " + config.name()),
             () -> activity(decider),
-            joining.sharesBudgets() ? sharer(config, decider, dispatcher) : null);
-    if (joining.usesSubsets()) {
-      Peers peers = new Peers(net, dispatcher, fleet, config.name(), joining.minProxiesPerHost());
-      fleet.addListener(change -> peers.changed());
+            membership.sharesBudgets() ? shareParticipant(config, decider, dispatcher) : null);
+    if (membership.usesSubsets()) {
+      SubsetUpdater subsetUpdater =
+          new SubsetUpdater(net, dispatcher, fleet, config.name(), membership.minProxiesPerHost());
+      fleet.addListener(change -> subsetUpdater.viewChanged());
     }
   }
 
@@ -38,19 +45,20 @@
     return fleet;
   }
 
-  private static ShareParticipant sharer(Config config, Decider decider, Dispatcher dispatcher) {
+  private static ShareParticipant shareParticipant(
+      Config config, Decider decider, Dispatcher dispatcher) {
     return new ShareParticipant(
         config.settings().rank(),
         config.settings().nodeCount(),
         decider::newFlowCount,
-        part ->
+        share ->
             dispatcher.report(
                 new NetworkEvent.BudgetShareChanged(
-                    part.fraction(),
-                    part.baseFraction(),
-                    part.index(),
-                    part.participants(),
-                    part.hasLease() ? part.leaseEndMicros() * NANOS_PER_MICRO : LONG_AGO)));
+                    share.fraction(),
+                    share.baseFraction(),
+                    share.index(),
+                    share.participants(),
+                    share.hasLease() ? share.leaseEndMicros() * NANOS_PER_MICRO : NO_LEASE_NANOS)));
   }
 
   private static Activity activity(Decider decider) {
--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -28,80 +28,106 @@
 import java.util.function.Consumer;
 
 /**
- * The parts of one proxy, wired together on the network it is given: one object is what a process
- * is on the platform.
+ * One proxy: creates its components and connects them on the network that it is given. A simulated
+ * proxy is an object of this class, as is the proxy of a process.
+ *
+ * <p>Unless stated otherwise, the public methods may be called from any thread and run their work
+ * on the event loop's thread.
  */
 public final class Proxy {
   private static final Log LOG = Log.of("proxy");
-  private static final long MILLI = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
 
-  /** PROTOCOL, Figures: SIGKILL comes after the longest deadline, 3 s at most, and this. */
-  private static final long LONGEST_DEADLINE = 3_000 * MILLI;
+  /**
+   * After SIGTERM the platform waits for the longest deadline of all classes, but for this at most,
+   * and then for {@link #KILL_DELAY_MICROS}, before it sends SIGKILL.
+   */
+  private static final long MAX_DEADLINE_MICROS = 3_000 * MICROS_PER_MILLI;
 
-  private static final long STOP_TIME = 700 * MILLI;
+  private static final long KILL_DELAY_MICROS = 700 * MICROS_PER_MILLI;
 
-  /** New connections may keep coming for 0.4 s after SIGTERM, so that an idle proxy waits. */
-  private static final long STILL_COMING = 600 * MILLI;
+  /**
+   * How long even an idle proxy runs on after SIGTERM. New connections may arrive for 0.4 s after
+   * it.
+   */
+  private static final long MIN_DRAIN_MICROS = 600 * MICROS_PER_MILLI;
 
-  /** What is still held when SIGKILL comes is lost: the end comes this long before. */
-  private static final long KILL_MARGIN = 100 * MILLI;
+  /**
+   * How long before the SIGKILL the program ends. Data that is still queued at the SIGKILL is lost.
+   */
+  private static final long KILL_MARGIN_MICROS = 100 * MICROS_PER_MILLI;
 
-  /** Clients that do not end their side after their last line are not waited for any longer. */
-  private static final long LAST_WORDS = 200 * MILLI;
+  /** How long a drained proxy waits for clients to close their side after its last line. */
+  private static final long CLIENT_CLOSE_TIMEOUT_MICROS = 200 * MICROS_PER_MILLI;
 
-  /** Who has not taken what waits for it so long before the end sees a reset, and no proper end. */
-  private static final long LAST_RESETS = 50 * MILLI;
+  /**
+   * How long before the end of the program the connections are reset whose clients have not read
+   * all data that is queued for them.
+   */
+  private static final long RESET_LEAD_MICROS = 50 * MICROS_PER_MILLI;
 
-  private static final long LOOK_AGAIN = 20 * MILLI;
+  /** The interval at which a draining proxy checks whether it is idle. */
+  private static final long IDLE_CHECK_INTERVAL_MICROS = 20 * MICROS_PER_MILLI;
 
-  /** A successor waits so long for discovery's list; then the one that it was started with does. */
-  private static final long LIST_PATIENCE = 2_500 * MILLI;
+  /**
+   * How long a successor waits for a list from discovery before it uses the list in its
+   * configuration.
+   */
+  private static final long LIST_TIMEOUT_MICROS = 2_500 * MICROS_PER_MILLI;
 
   private final Config config;
 
-  /** Those in force: the platform's times follow from them. */
+  /** The settings in force, whose deadlines decide when the platform sends SIGKILL. */
   private volatile Balancer.Settings settings;
 
   private final FlowClock clock;
-  private final long made;
-  private volatile boolean able;
-  private boolean first;
+  private final long createdMicros;
+  private volatile boolean readyToServe;
 
-  /** The predecessor's clients were sent away by operators: so are this one's. */
-  private boolean standby;
+  /** Whether no other process accepted connections when readiness was last queried. */
+  private boolean noneAccepting;
+
+  /**
+   * Whether operators have put a predecessor on standby, so that this process enters standby as
+   * soon as it accepts connections.
+   */
+  private boolean standbyInherited;
 
-  private final DescriptorShare share;
+  private final DescriptorShare descriptorShare;
   private final Net net;
   private final Relay relay;
   private final Decider decider;
   private final Dispatcher dispatcher;
   private final Discovery discovery;
-  private final ClientFrontend front;
+  private final ClientFrontend frontend;
 
-  /** Null for a proxy that is in none. */
+  /** The fleet that the proxy is a member of, or null if it is in none. */
   private final Fleet fleet;
 
-  /** A proxy that is told no more than the platform's own configuration. */
+  /** Creates a proxy without limits on slow peers that is in no fleet. */
   public Proxy(Config config, Network network) {
     this(config, RelayLimits.NONE, network);
   }
 
+  /** Creates a proxy that is in no fleet. */
   public Proxy(Config config, RelayLimits limits, Network network) {
     this(config, limits, null, network);
   }
 
   /**
-   * As above, as a member of a fleet.
+   * Creates a proxy.
    *
-   * @param joining how it becomes one, or null for none
+   * @param config the configuration that the platform provides
+   * @param limits the limits on slow peers
+   * @param membership how the proxy becomes a member of its fleet, or null if it is in none
    */
-  public Proxy(Config config, RelayLimits limits, MembershipConfig joining, Network network) {
+  public Proxy(Config config, RelayLimits limits, MembershipConfig membership, Network network) {
     this.config = config;
     settings = config.settings();
     clock = new FlowClock(network.clock());
-    made = clock.now();
-    share = new DescriptorShare(config.descriptorLimit(), config.handover() != null);
-    net = new Net(share.limit(), network);
+    createdMicros = clock.now();
+    descriptorShare = new DescriptorShare(config.descriptorLimit(), config.handover() != null);
+    net = new Net(descriptorShare.limit(), network);
     relay = new Relay(net, limits);
     decider = new Decider(config.settings(), config.seed(), config.knownTargets(), clock);
     dispatcher =
@@ -113,7 +139,7 @@
             config.connectTimeoutMicros(),
             config.idleTimeoutMicros(),
             config.reportFields());
-    front = new ClientFrontend(net, dispatcher);
+    frontend = new ClientFrontend(net, dispatcher);
     discovery =
         new Discovery(
             net,
@@ -121,23 +147,28 @@
             config.knownTargets().index(),
             dispatcher,
             new Randomness(config.seed()).stream("discovery of " + config.name()));
-    fleet = joining == null ? null : new Member(config, decider, dispatcher, net, joining).fleet();
+    fleet =
+        membership == null
+            ? null
+            : new FleetMember(config, decider, dispatcher, net, membership).fleet();
   }
 
   /**
-   * Takes clients from here on, or once a predecessor on the same listening socket lets go of it;
-   * throws where the address or the socket cannot be had.
+   * Starts serving. A proxy with a listening socket of its own accepts clients from here on; one
+   * that has inherited the socket accepts them from the first {@link #setAccepting} on.
+   *
+   * @throws IOException if an address cannot be bound or the inherited socket cannot be used
    */
   public void start() throws IOException {
     net.start();
     if (config.management() != null) {
-      new ManagementServer(net, new Operation(decider, dispatcher, net, fleet))
+      new ManagementServer(net, new ProxyOperations(decider, dispatcher, net, fleet))
           .listen(config.management());
     }
     if (config.handover() != null) {
-      net.inherit(front::accept);
+      net.inherit(frontend::accept);
     } else {
-      net.listen(config.listen(), front::accept);
+      net.listen(config.listen(), frontend::accept);
     }
     net.execute(
         () -> {
@@ -152,130 +183,146 @@
   }
 
   /**
-   * Whether clients could be taken, as of the last time this was asked; any thread may call.
+   * Returns whether the proxy could serve clients, as evaluated by the event loop after the
+   * previous call of this method, and requests a new evaluation.
    *
-   * @param first whether no other process takes them: then an old list is better than none
+   * @param noneAccepting whether no other process accepts connections; the proxy then does not wait
+   *     for a list from discovery, because an outdated list is better than no service
    */
-  public boolean isReadyToServe(boolean first) {
+  public boolean isReadyToServe(boolean noneAccepting) {
     net.execute(
         () -> {
-          this.first = first;
-          boolean patient = !first && clock.now() - made < LIST_PATIENCE;
-          able = decider.hasTargets() && (decider.hasTargetList() || !patient);
+          this.noneAccepting = noneAccepting;
+          boolean awaitsList = !noneAccepting && clock.now() - createdMicros < LIST_TIMEOUT_MICROS;
+          readyToServe = decider.hasTargets() && (decider.hasTargetList() || !awaitsList);
         });
-    return able;
+    return readyToServe;
   }
 
   /**
-   * Takes clients from the inherited listening socket from here on, or none; any thread may call.
+   * Starts or stops accepting clients on the inherited listening socket.
    *
-   * @param done runs on the loop's thread once that holds
+   * @param done runs on the event loop's thread once the change is in effect
    */
-  public void setAccepting(boolean on, Runnable done) {
+  public void setAccepting(boolean accepting, Runnable done) {
     net.execute(
         () -> {
-          share.updateNeed(on, net.requiredDescriptors(dispatcher.flowsAwaitingTarget()));
-          net.descriptorLimit(share.limit());
-          if (on) {
-            front.listenerOpened(first);
+          descriptorShare.updateNeed(
+              accepting, net.requiredDescriptors(dispatcher.flowsAwaitingTarget()));
+          net.descriptorLimit(descriptorShare.limit());
+          if (accepting) {
+            frontend.listenerOpened(noneAccepting);
           }
-          net.acceptClients(on);
-          if (fleet != null && on) {
+          net.acceptClients(accepting);
+          if (fleet != null && accepting) {
             fleet.open();
           } else if (fleet != null) {
-            // Another process of this name is the member from here on: no goodbye.
+            // Another process takes over the membership under the same name, so that this one
+            // leaves
+            // without a leave message.
             fleet.close(false);
           }
-          dispatcher.report(new NetworkEvent.SuccessorChanged(!on));
-          if (on) {
+          dispatcher.report(new NetworkEvent.SuccessorChanged(!accepting));
+          if (accepting) {
             dispatcher.report(new NetworkEvent.ServingStarted());
           }
-          if (on && standby) {
-            standby = false;
+          if (accepting && standbyInherited) {
+            standbyInherited = false;
             dispatcher.report(new NetworkEvent.StandbyRequested());
           }
           done.run();
         });
   }
 
-  /** Sends the clients away and lives on; any thread may call. */
+  /** Moves the clients away and enters standby. */
   public void enterStandby() {
     net.execute(() -> dispatcher.report(new NetworkEvent.StandbyRequested()));
   }
 
   /**
-   * The same by the fleet's leave, where it gives any; any thread may call.
+   * Enters standby once the fleet permits it, or at once if no permission is required.
    *
-   * @param told hears on the loop's thread whether the clients are sent away now
+   * @param callback receives, on the event loop's thread, whether the clients are being moved away
    */
-  public void requestStandby(Consumer<Boolean> told) {
-    Operation operation = new Operation(decider, dispatcher, net, fleet);
+  public void requestStandby(Consumer<Boolean> callback) {
+    ProxyOperations operations = new ProxyOperations(decider, dispatcher, net, fleet);
     net.execute(
         () -> {
-          if (!operation.requestStandby(result -> told.accept(result.success()))) {
-            told.accept(operation.enterStandby().success());
+          if (!operations.requestStandby(result -> callback.accept(result.success()))) {
+            callback.accept(operations.enterStandby().success());
           }
         });
   }
 
-  /** Takes clients again; any thread may call. */
+  /** Accepts clients again after a standby or a drain. */
   public void activate() {
     net.execute(() -> dispatcher.report(new NetworkEvent.ActivationRequested()));
   }
 
-  /** Has told what this process holds, on the loop's thread; any thread may call. */
-  public void captureState(Consumer<HandoverState> told) {
+  /** Passes the current state of this process to the consumer, on the event loop's thread. */
+  public void captureState(Consumer<HandoverState> consumer) {
     net.execute(
         () -> {
-          share.updateNeed(
+          descriptorShare.updateNeed(
               net.isAcceptingClients(), net.requiredDescriptors(dispatcher.flowsAwaitingTarget()));
-          net.descriptorLimit(share.limit());
-          told.accept(
+          net.descriptorLimit(descriptorShare.limit());
+          consumer.accept(
               new HandoverState(
-                  share.limit(),
+                  descriptorShare.limit(),
                   decider.state() == State.DRAINING || decider.state() == State.STANDBY,
-                  front.openFlowIds(),
+                  frontend.openFlowIds(),
                   decider.targets(),
                   decider.establishedConnections()));
         });
   }
 
-  /** What a predecessor with this number holds now; any thread may call. */
-  public void updatePredecessor(long number, HandoverState holding) {
+  /**
+   * Receives the current state of a predecessor.
+   *
+   * @param number the predecessor's process number
+   * @param state its state; {@link HandoverState#EMPTY} once it has stopped
+   */
+  public void updatePredecessor(long number, HandoverState state) {
     net.execute(
         () -> {
-          share.setPredecessorLimit(number, holding.descriptorLimit());
-          net.descriptorLimit(share.limit());
-          // A process that already serves hears its operators itself.
-          standby =
+          descriptorShare.setPredecessorLimit(number, state.descriptorLimit());
+          net.descriptorLimit(descriptorShare.limit());
+          // A process that already accepts clients receives the operators' requests itself. The
+          // standby of a predecessor outlasts its end.
+          standbyInherited =
               !net.isAcceptingClients()
-                  && (holding.standby() || (standby && holding.descriptorLimit() == 0));
-          front.setPredecessorFlowIds(number, holding.flowIds());
+                  && (state.standby() || (standbyInherited && state.descriptorLimit() == 0));
+          frontend.setPredecessorFlowIds(number, state.flowIds());
           dispatcher.report(
-              new NetworkEvent.PredecessorReported(
-                  number, holding.targets(), holding.connections()));
+              new NetworkEvent.PredecessorReported(number, state.targets(), state.connections()));
         });
   }
 
   /**
-   * Applies what can change while the proxy serves. Standing connections and open flows go on; the
-   * name, the address clients come to, the seed and the memory hold until a restart.
+   * Applies a new configuration without limits on slow peers. Established connections and open
+   * flows continue. The name, the listen address, the seed and the memory limit change only with a
+   * restart.
    */
   public void reload(Config next) {
     reload(next, RelayLimits.NONE);
   }
 
-  /** As {@link #reload(Config)}, with limits on slow peers. */
+  /** Applies a new configuration and new limits on slow peers, see {@link #reload(Config)}. */
   public void reload(Config next, RelayLimits limits) {
     reload(next, limits, null);
   }
 
-  /** As above, with other addresses to look for the fleet at, or null for the same. */
-  public void reload(Config next, RelayLimits limits, MembershipConfig joining) {
+  /**
+   * Applies a new configuration, new limits on slow peers and new seed addresses of the fleet, see
+   * {@link #reload(Config)}.
+   *
+   * @param membership holds the seed addresses, or null to keep the present ones
+   */
+  public void reload(Config next, RelayLimits limits, MembershipConfig membership) {
     net.execute(
         () -> {
-          share.setTotalLimit(next.descriptorLimit());
-          net.descriptorLimit(share.limit());
+          descriptorShare.setTotalLimit(next.descriptorLimit());
+          net.descriptorLimit(descriptorShare.limit());
           relay.configure(limits);
           settings = next.settings();
           dispatcher.configure(
@@ -284,83 +331,97 @@
               next.idleTimeoutMicros(),
               next.reportFields());
           discovery.changeAddress(next.discovery());
-          if (fleet != null && joining != null) {
-            fleet.setSeeds(joining.seeds());
+          if (fleet != null && membership != null) {
+            fleet.setSeeds(membership.seeds());
           }
           LOG.info("reloaded", value("discovery", next.discovery()));
         });
   }
 
-  /** As {@link #drain(Runnable)}; returns once the end has come or the time is over. */
+  /** Drains as {@link #drain(Runnable)} does, and waits until that or its time limit has ended. */
   public void drain() throws InterruptedException {
-    CountDownLatch empty = new CountDownLatch(1);
-    empty.await(drain(empty::countDown), TimeUnit.MICROSECONDS);
+    CountDownLatch drained = new CountDownLatch(1);
+    drained.await(drain(drained::countDown), TimeUnit.MICROSECONDS);
   }
 
   /**
-   * Sends the standing clients away and answers the rest; any thread may call.
+   * Moves the connected clients away and answers the pending flows.
    *
-   * @param empty runs on the loop's thread once none is left
-   * @return after how many microseconds the program must end, whether that has come or not
+   * @param drained runs on the event loop's thread once no flow is left
+   * @return the time in microseconds after which the program must end, whether or not the drain has
+   *     finished
    */
-  public long drain(Runnable empty) {
-    long longest = LONGEST_DEADLINE;
+  public long drain(Runnable drained) {
+    long longest = MAX_DEADLINE_MICROS;
     long deadline =
         settings.classes().stream()
             .mapToLong(Balancer.RequestClass::deadlineMicros)
             .max()
             .orElse(longest);
-    long left = Math.min(longest, deadline) + STOP_TIME;
+    long untilKill = Math.min(longest, deadline) + KILL_DELAY_MICROS;
     long start = clock.now();
     net.execute(
         () -> {
-          dispatcher.report(new NetworkEvent.StopRequested(start + left));
-          net.loop().schedule(left - KILL_MARGIN - LAST_RESETS, this::abandon);
-          awaitEmpty(
+          dispatcher.report(new NetworkEvent.StopRequested(start + untilKill));
+          net.loop()
+              .schedule(
+                  untilKill - KILL_MARGIN_MICROS - RESET_LEAD_MICROS, this::resetUnreadConnections);
+          awaitDrained(
               start,
               0,
               () -> {
-                goodbye();
-                empty.run();
+                leaveFleet();
+                drained.run();
               });
         });
-    return left - KILL_MARGIN;
+    return untilKill - KILL_MARGIN_MICROS;
   }
 
-  private void abandon() {
+  private void resetUnreadConnections() {
     relay.resetPending();
-    goodbye();
+    leaveFleet();
   }
 
-  private void goodbye() {
+  private void leaveFleet() {
     if (fleet != null) {
       fleet.close(true);
     }
   }
 
-  /** This proxy as a member of a fleet, or null; for the loop's thread, or before the start. */
+  /**
+   * Returns the fleet that this proxy is a member of, or null if it is in none. To be called on the
+   * event loop's thread, or before the start.
+   */
   public Fleet fleet() {
     return fleet;
   }
 
-  private boolean idle(long start) {
+  private boolean isIdle(long drainStart) {
     return decider.openFlowCount() == 0
         && !relay.hasPendingClientData()
-        && clock.now() - start >= STILL_COMING;
+        && clock.now() - drainStart >= MIN_DRAIN_MICROS;
   }
 
-  /** Empty is a proxy with no flow left, whose clients have seen the end or had time to. */
-  private void awaitEmpty(long start, long emptyFor, Runnable empty) {
-    if (idle(start)) {
-      // What has come on a resting connection meanwhile may be one more flow.
-      front.closeIdleConnections();
+  /**
+   * Runs the callback once no flow is left and all clients have closed their connections or have
+   * had the time to. Checks again after an interval until then.
+   *
+   * @param idleFor how long the proxy has been idle without interruption, in microseconds
+   */
+  private void awaitDrained(long drainStart, long idleFor, Runnable drained) {
+    if (isIdle(drainStart)) {
+      // Reads what has arrived on idle connections in the meantime, which may open another flow,
+      // and closes the connections that remain idle.
+      frontend.closeIdleConnections();
     }
-    boolean over = idle(start);
-    if (over && (!net.hasClosingLinks() || emptyFor >= LAST_WORDS)) {
-      empty.run();
+    boolean idle = isIdle(drainStart);
+    if (idle && (!net.hasClosingLinks() || idleFor >= CLIENT_CLOSE_TIMEOUT_MICROS)) {
+      drained.run();
     } else {
-      long next = over ? emptyFor + LOOK_AGAIN : 0;
-      net.loop().schedule(LOOK_AGAIN, () -> awaitEmpty(start, next, empty));
+      long nextIdleFor = idle ? idleFor + IDLE_CHECK_INTERVAL_MICROS : 0;
+      net.loop()
+          .schedule(
+              IDLE_CHECK_INTERVAL_MICROS, () -> awaitDrained(drainStart, nextIdleFor, drained));
     }
   }
 }
--- a/src/main/java/brassbank/proxy/Operation.java
+++ b/src/main/java/brassbank/proxy/ProxyOperations.java
@@ -10,14 +10,17 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/** What operators ask for, as the facade hears it, and its state, as they do. */
-final class Operation implements ManagementOperations {
+/** Passes operators' requests to the decision facade and reports the state of the proxy. */
+final class ProxyOperations implements ManagementOperations {
   private final Decider decider;
   private final Dispatcher dispatcher;
   private final Net net;
   private final Fleet fleet;
 
-  Operation(Decider decider, Dispatcher dispatcher, Net net, Fleet fleet) {
+  /**
+   * @param fleet the fleet that the proxy is a member of, or null if it is in none
+   */
+  ProxyOperations(Decider decider, Dispatcher dispatcher, Net net, Fleet fleet) {
     this.decider = decider;
     this.dispatcher = dispatcher;
     this.net = net;
@@ -29,37 +32,37 @@
     return fleet == null ? null : fleet.statusJson();
   }
 
-  /** Of this process: one that another has succeeded takes no clients. */
+  /** Returns the status of this process, which accepts no clients once it has a successor. */
   @Override
   public Result status() {
-    return answer(net.isAcceptingClients() && decider.admitsClients());
+    return result(net.isAcceptingClients() && decider.admitsClients());
   }
 
   @Override
   public Result enterStandby() {
     dispatcher.report(new NetworkEvent.StandbyRequested());
-    return answer(decider.isLeaving());
+    return result(decider.isLeaving());
   }
 
   @Override
-  public boolean requestStandby(Consumer<Result> then) {
+  public boolean requestStandby(Consumer<Result> callback) {
     if (fleet == null || !fleet.requiresDrainPermit() || decider.state() != State.ACTIVE) {
       return false;
     }
     fleet.requestDrainPermit(
-        why -> then.accept(why == null ? enterStandby() : new Result(false, why)));
+        refusal -> callback.accept(refusal == null ? enterStandby() : new Result(false, refusal)));
     return true;
   }
 
-  /** A proxy that will end takes no clients, whoever asks. */
+  /** Accepts clients again, unless the proxy is stopping. */
   @Override
   public Result activate() {
     dispatcher.report(new NetworkEvent.ActivationRequested());
-    return answer(decider.state() != State.STOPPING);
+    return result(decider.state() != State.STOPPING);
   }
 
-  private Result answer(boolean yes) {
+  private Result result(boolean success) {
     String state = decider.state().name().toLowerCase(Locale.ROOT);
-    return new Result(yes, state + " flows=" + decider.openFlowCount());
+    return new Result(success, state + " flows=" + decider.openFlowCount());
   }
 }
--- a/src/main/java/brassbank/proxy/package-info.java
+++ b/src/main/java/brassbank/proxy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One proxy: its parts and the planned stop. It is made on a network that it is handed, and knows
- * no process, no signal and no file.
+ * One proxy: its components and its planned stop. The proxy is created on a network that it is
+ * given, and depends on no process, signal or file.
  */
 package brassbank.proxy;
