--- a/src/main/java/brassbank/CheckCommand.java
+++ b/src/main/java/brassbank/CheckCommand.java
@@ -15,18 +15,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Tells all that is wrong with a file of options, at once. */
+/** Reports all problems of an options file in one run. */
 @Command(
     name = "check",
-    description = "Check a file for serve --config, or print what one may hold.",
+    description = "Check an options file for serve --config, or print all keys of one.",
     footer = {
       "",
-      "All that is wrong is told on standard error, a line each, which begins with the file and the"
-          + " line number. The status is 0 only where nothing is."
+      "Each problem is reported in one line on standard error, which begins with the file and the"
+          + " line number. The status is 0 only if there is none."
     })
 final class CheckCommand implements Callable<Integer> {
-  /** One of the two. */
-  private static final class What {
+  /** The action to perform: exactly one of the two must be given. */
+  private static final class Action {
     @Parameters(paramLabel = "FILE", description = "The TOML file to check.")
     private Path file;
 
@@ -39,20 +39,20 @@
   @Spec private CommandSpec spec;
 
   @ArgGroup(multiplicity = "1")
-  private What what;
+  private Action action;
 
   @Override
   public Integer call() {
     PrintWriter out = spec.commandLine().getOut();
-    if (what.keys) {
+    if (action.keys) {
       out.print(Reference.markdown());
       out.flush();
       return ExitStatus.OK;
     }
-    List<Problem> problems = OptionsFile.read(what.file).problems();
+    List<Problem> problems = OptionsFile.read(action.file).problems();
     problems.forEach(problem -> spec.commandLine().getErr().println(problem));
     if (problems.isEmpty()) {
-      out.println(what.file + " can be used");
+      out.println(action.file + " can be used");
       return ExitStatus.OK;
     }
     return ExitStatus.USAGE;
--- a/src/main/java/brassbank/Commands.java
+++ b/src/main/java/brassbank/Commands.java
@@ -9,14 +9,16 @@
 import java.util.concurrent.Callable;
 
 /**
- * The one list of what the program can be told, in the order that the help has. A command is one
- * class annotated with picocli's {@code @Command}; the frame gives it {@code --help}, {@code
- * --version}, the errors and the exit statuses. docs/command-line.md tells how to add one.
+ * The list of all commands of the program, in the order in which the help shows them.
+ *
+ * <p>A command is a class annotated with picocli's {@code @Command}. {@link brassbank.cli.Program}
+ * adds {@code --help} and {@code --version}, and handles errors and exit statuses for all of them.
+ * docs/command-line.md describes how to add a command.
  */
 final class Commands {
   private Commands() {}
 
-  /** New objects on each call: the library writes a run's options into them. */
+  /** Returns new objects on each call, because picocli writes the options of a run into them. */
   static List<Callable<Integer>> all() {
     return List.of(
         new ServeCommand(),
--- a/src/main/java/brassbank/Main.java
+++ b/src/main/java/brassbank/Main.java
@@ -2,7 +2,7 @@
 
 import brassbank.cli.Program;
 
-/** The entry of the program; what it can be told stands in {@link Commands}. */
+/** The entry point of the program. {@link Commands} lists its commands. */
 public final class Main {
   private Main() {}
 
@@ -11,9 +11,11 @@
   }
 
   /**
-   * The two commands that the platform starts go past the command line's library when they come
-   * without options: loading it costs a start time and memory that the platform's small machines
-   * lack (docs/command-line.md has the figures). Nothing on this path may touch {@link Program}.
+   * Runs the command that the arguments name.
+   *
+   * <p>The two commands that the platform starts bypass picocli when they are given without
+   * options, because loading it costs start-up time and memory that the platform's small machines
+   * lack (see docs/command-line.md for figures). Nothing on this path may load {@link Program}.
    */
   private static int run(String[] args) throws Exception {
     if (args.length == 1 && args[0].equals("serve")) {
--- a/src/main/java/brassbank/MembersCommand.java
+++ b/src/main/java/brassbank/MembersCommand.java
@@ -20,34 +20,34 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Whom one proxy sees in its fleet, by its management door. */
+/** Prints the members of a fleet as one proxy sees them, queried at its management address. */
 @Command(
     name = "members",
-    description = "Print whom a proxy sees in its fleet.",
+    description = "Print the members that a proxy sees in its fleet.",
     footer = {
       "",
-      "Status 1: there is no answer, or the proxy keeps no view. docs/membership.md tells what the"
-          + " states mean."
+      "Status 1: there is no answer, or the proxy keeps no view. docs/membership.md explains the"
+          + " states."
     })
 final class MembersCommand implements Callable<Integer> {
-  private static final int PATIENCE_MILLIS = 3_000;
-  private static final long NANOS = 1_000_000_000L;
+  private static final int TIMEOUT_MILLIS = 3_000;
+  private static final long WATCH_INTERVAL_NANOS = 1_000_000_000L;
   private static final Pattern ADDRESS = Pattern.compile("(.+):(\\d{1,5})");
-  private static final Pattern ANSWER =
+  private static final Pattern RESPONSE =
       Pattern.compile("HTTP/1\\.1 (\\d{3})[^\\r]*\\r\\n.*?\\r\\n\\r\\n(.*)", Pattern.DOTALL);
 
-  @Parameters(paramLabel = "HOST:PORT", description = "Where the proxy takes operators' calls.")
-  private String door;
+  @Parameters(paramLabel = "HOST:PORT", description = "The management address of the proxy.")
+  private String managementAddress;
 
-  @Option(names = "--json", description = "Print the proxy's answer as it is, with its figures.")
+  @Option(names = "--json", description = "Print the proxy's answer unchanged, with its counters.")
   private boolean json;
 
-  @Option(names = "--watch", description = "Print it again each second, until Ctrl-C.")
+  @Option(names = "--watch", description = "Repeat each second until Ctrl-C.")
   private boolean watch;
 
   private final PrintStream out = System.out;
 
-  /** An answer that is none. */
+  /** Thrown if the proxy answers with anything but a view. */
   private static final class NoViewException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -58,26 +58,26 @@
 
   @Override
   public Integer call() {
-    Matcher parts = ADDRESS.matcher(door);
+    Matcher parts = ADDRESS.matcher(managementAddress);
     if (!parts.matches() || Integer.parseInt(parts.group(2)) > 0xffff) {
-      throw new UsageException("'" + door + "' is no HOST:PORT");
+      throw new UsageException("'" + managementAddress + "' is not of the form HOST:PORT");
     }
     InetSocketAddress address =
         new InetSocketAddress(
             parts.group(1).replaceAll("[\\[\\]]", ""), Integer.parseInt(parts.group(2)));
     while (true) {
-      int status = once(address);
+      int status = printView(address);
       if (!watch) {
         return status;
       }
       out.println();
-      LockSupport.parkNanos(NANOS);
+      LockSupport.parkNanos(WATCH_INTERVAL_NANOS);
     }
   }
 
-  private int once(InetSocketAddress address) {
+  private int printView(InetSocketAddress address) {
     try {
-      String text = ask(address);
+      String text = fetchView(address);
       if (json) {
         out.println(text);
       } else {
@@ -85,41 +85,45 @@
       }
       return ExitStatus.OK;
     } catch (IOException | NoViewException e) {
-      System.err.println("brassbank members: " + door + ": " + e.getMessage());
+      System.err.println("brassbank members: " + managementAddress + ": " + e.getMessage());
     } catch (JsonParseException | IllegalStateException | NullPointerException e) {
-      System.err.println("brassbank members: " + door + " gives an answer that is no view");
+      System.err.println(
+          "brassbank members: " + managementAddress + ": the answer is not a membership view");
     }
     return ExitStatus.FAILED;
   }
 
-  private static String ask(InetSocketAddress address) throws IOException, NoViewException {
+  private static String fetchView(InetSocketAddress address) throws IOException, NoViewException {
     if (address.isUnresolved()) {
-      throw new IOException("no such host");
+      throw new IOException("unknown host");
     }
     try (Socket socket = new Socket()) {
-      socket.connect(address, PATIENCE_MILLIS);
-      socket.setSoTimeout(PATIENCE_MILLIS);
+      socket.connect(address, TIMEOUT_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       socket
           .getOutputStream()
           .write(
               "GET /members HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n"
                   .getBytes(StandardCharsets.US_ASCII));
-      String said = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-      Matcher answer = ANSWER.matcher(said);
-      if (!answer.matches()) {
-        throw new NoViewException("no answer by HTTP");
+      String response =
+          new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+      Matcher parts = RESPONSE.matcher(response);
+      if (!parts.matches()) {
+        throw new NoViewException("the answer is not an HTTP response");
       }
-      if (!answer.group(1).equals("200")) {
-        throw new NoViewException(answer.group(1) + " " + answer.group(2).strip());
+      if (!parts.group(1).equals("200")) {
+        throw new NoViewException(parts.group(1) + " " + parts.group(2).strip());
       }
-      return answer.group(2).strip();
+      return parts.group(2).strip();
     }
   }
 
   private void print(JsonObject view) {
     String self = view.get("self").getAsString();
     if (!view.get("member").getAsBoolean()) {
-      out.println(self + " is no member now: another process of it is, or its address is taken");
+      out.println(
+          self
+              + " is not a member now: another process with its name is, or its address is in use");
       return;
     }
     out.printf(
@@ -133,28 +137,28 @@
       JsonObject share = view.getAsJsonObject("share");
       out.printf(
           Locale.ROOT,
-          "spends %.1f%% of each budget of the fleet, %s%n",
+          "may spend %.1f%% of each budget of the fleet, %s%n",
           100 * share.get("part").getAsDouble(),
           share.get("seated").getAsBoolean()
-              ? "with a seat, one of " + share.get("of").getAsInt()
-              : "without a seat");
+              ? "with a rank lease, one of " + share.get("of").getAsInt()
+              : "without a rank lease");
     }
     out.printf(
         "%-16s %-22s %-10s %-8s %-9s %10s  %s%n",
         "member", "address", "zone", "state", "activity", "for", "incarnation");
     for (JsonElement element : view.getAsJsonArray("members")) {
-      JsonObject one = element.getAsJsonObject();
+      JsonObject member = element.getAsJsonObject();
       out.printf(
           Locale.ROOT,
           "%-16s %-22s %-10s %-8s %-9s %8.1f s  %d.%d%n",
-          one.get("name").getAsString(),
-          one.get("address").getAsString(),
-          one.get("zone").getAsString(),
-          one.get("state").getAsString(),
-          one.get("activity").getAsString(),
-          one.get("for_s").getAsDouble(),
-          one.get("birth").getAsLong(),
-          one.get("raised").getAsInt());
+          member.get("name").getAsString(),
+          member.get("address").getAsString(),
+          member.get("zone").getAsString(),
+          member.get("state").getAsString(),
+          member.get("activity").getAsString(),
+          member.get("for_s").getAsDouble(),
+          member.get("birth").getAsLong(),
+          member.get("raised").getAsInt());
     }
   }
 }
--- a/src/main/java/brassbank/ServeCommand.java
+++ b/src/main/java/brassbank/ServeCommand.java
@@ -23,99 +23,109 @@
 import picocli.CommandLine.Option;
 
 /**
- * The proxy, from its start to its planned stop. The thread that calls it waits for SIGHUP; sockets
- * and decisions have the selector thread.
+ * Runs one proxy from its start to its planned stop. The calling thread waits for SIGHUP; sockets
+ * and decisions are handled on the selector thread.
  */
 @Command(
     name = "serve",
     description = "Run one proxy in the foreground until SIGTERM.",
     footer = {
       "",
-      "LB_CONFIG names the configuration, a JSON file; LB_NAME, LB_LISTEN and LB_DISCOVERY go"
-          + " before its values. The log goes to standard error.",
+      "LB_CONFIG names the configuration, a JSON file; LB_NAME, LB_LISTEN and LB_DISCOVERY"
+          + " override its values. The log goes to standard error.",
       "",
-      "SIGHUP reads the files again while connections stand. SIGTERM is a planned stop: clients are"
-          + " moved late, one after the other, then the program ends with status 0.",
-      "LB_LISTEN_FD=0 takes clients from the listening socket inherited as descriptor 0, see"
+      "SIGHUP reloads the files; connections stay open. SIGTERM starts a planned stop: clients are"
+          + " moved one after another, as late as possible, then the program ends with status 0.",
+      "LB_LISTEN_FD=0 accepts clients on the listening socket inherited as descriptor 0, see"
           + " docs/handover.md.",
-      "A configuration that cannot be used ends it with status 2, an address that cannot be"
-          + " listened on with status 1."
+      "An unusable configuration ends it with status 2, an address that cannot be listened on"
+          + " with status 1."
     })
 final class ServeCommand implements Callable<Integer> {
   private static final Log LOG = Log.of("main");
 
-  /** The variable that names the log's form where no option does. */
-  private static final String FORMAT = "BRASSBANK_LOG";
+  /** The environment variable that sets the log format unless {@code --log} is given. */
+  private static final String LOG_FORMAT_VARIABLE = "BRASSBANK_LOG";
 
   @Option(
       names = "--config",
       paramLabel = "FILE",
       description =
-          "A TOML file of what the platform's JSON does not know, see docs/configuration.md;"
-              + " 'check FILE' tells all that is wrong with one.")
-  private Path options;
+          "A TOML file with options beyond the platform's JSON, see docs/configuration.md;"
+              + " 'check FILE' reports its problems.")
+  private Path optionsFile;
 
   @Option(
       names = "--log",
       paramLabel = "FORMAT",
       description =
-          "The form of the log's lines: ${COMPLETION-CANDIDATES}; else as BRASSBANK_LOG"
-              + " says, else text.")
-  private Format log;
+          "The log format: ${COMPLETION-CANDIDATES}; by default the one that BRASSBANK_LOG"
+              + " names, else text.")
+  private Format logFormat;
 
-  /** Serves until the program is told to stop, which ends it from another thread. */
+  /**
+   * Serves until the program receives SIGTERM, whose shutdown hook ends the program on another
+   * thread. Returns only if the proxy cannot start.
+   */
   @Override
   public Integer call() {
-    Hangup hangup = Hangup.taken();
-    Format format = log == null ? Format.named(named()) : log;
+    HangupSignal hangup = HangupSignal.install();
+    Format format = logFormat == null ? Format.named(logFormatName()) : logFormat;
     if (format == null) {
-      System.err.println("brassbank: " + FORMAT + " is neither text nor json: '" + named() + "'");
+      System.err.println(
+          "brassbank: "
+              + LOG_FORMAT_VARIABLE
+              + " is neither text nor json: '"
+              + logFormatName()
+              + "'");
       return ExitStatus.USAGE;
     }
     Clock clock = new SystemClock();
     Log.install(new Console(System.err, format, clock));
-    OwnOptions own = new OwnOptions(options);
+    OptionsLoader optionsLoader = new OptionsLoader(optionsFile);
     Config config;
-    OwnOptions.Said said;
+    OptionsLoader.Loaded options;
     try {
       config = Config.read(System.getenv());
-      said = own.read(config);
+      options = optionsLoader.read(config);
     } catch (ConfigException e) {
       System.err.println("brassbank: " + e.getMessage());
       return ExitStatus.USAGE;
-    } catch (OwnOptions.UnusableException e) {
+    } catch (OptionsLoader.UnusableException e) {
       e.problems().forEach(System.err::println);
       return ExitStatus.USAGE;
     }
     if (!System.getProperty("java.vm.info", "").contains("sharing")) {
       LOG.warn("archive-unused");
     }
-    if (hangup.ignored()) {
+    if (hangup.isIgnored()) {
       LOG.warn("hangup-ignored");
     }
-    Proxy proxy = new Proxy(config, said.relay(), said.joining(), new GrizzlyNetwork(clock));
-    // Before the first client can come: a signal between the two would end the program at once.
+    Proxy proxy =
+        new Proxy(config, options.relay(), options.membership(), new GrizzlyNetwork(clock));
+    // Registered before the first client can connect: a SIGTERM in between would end the program
+    // without a drain.
     Thread stop = new Thread(() -> stop(proxy), "stop");
     Runtime.getRuntime().addShutdownHook(stop);
     try {
       proxy.start();
     } catch (InheritedSocketException e) {
-      withdraw(stop);
+      removeHook(stop);
       System.err.println("brassbank: LB_LISTEN_FD: " + e.getMessage());
       return ExitStatus.USAGE;
     } catch (IOException | RuntimeException e) {
-      withdraw(stop);
+      removeHook(stop);
       System.err.println("brassbank: cannot serve on " + config.listen() + ": " + e.getMessage());
       return ExitStatus.FAILED;
     }
     LOG.info("serving", value("name", config.name()), value("listen", config.listen()));
     if (config.handover() != null) {
-      succeed(proxy, config, clock);
+      startHandover(proxy, config, clock);
     }
     try {
       while (true) {
         hangup.await();
-        config = reload(proxy, own, config);
+        config = reload(proxy, optionsLoader, config);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -123,40 +133,43 @@
     return ExitStatus.OK;
   }
 
-  /** A program that could not start has nobody to send away. */
-  private static void withdraw(Thread stop) {
+  /** Removes the shutdown hook of a proxy that could not start and therefore has no clients. */
+  private static void removeHook(Thread stop) {
     try {
       Runtime.getRuntime().removeShutdownHook(stop);
     } catch (IllegalStateException e) {
-      // The signal has come meanwhile: the end is under way.
+      // A signal has arrived in the meantime, and the shutdown is in progress.
       LOG.info("stopping-unstarted");
     }
   }
 
-  /** Without the file of locks the proxy serves all the same, and no upgrade is seen. */
-  private static void succeed(Proxy proxy, Config config, Clock clock) {
+  /**
+   * Starts the handover. A proxy that cannot use the lock file accepts clients nevertheless,
+   * without coordinating with other processes.
+   */
+  private static void startHandover(Proxy proxy, Config config, Clock clock) {
     try {
       Handover.start(
           config.handover(),
           new Handover.Process() {
             @Override
-            public boolean isReadyToServe(boolean first) {
-              return proxy.isReadyToServe(first);
+            public boolean isReadyToServe(boolean noneAccepting) {
+              return proxy.isReadyToServe(noneAccepting);
             }
 
             @Override
-            public void setAccepting(boolean on, Runnable done) {
-              proxy.setAccepting(on, done);
+            public void setAccepting(boolean accepting, Runnable done) {
+              proxy.setAccepting(accepting, done);
             }
 
             @Override
-            public void captureState(Consumer<HandoverState> told) {
-              proxy.captureState(told);
+            public void captureState(Consumer<HandoverState> consumer) {
+              proxy.captureState(consumer);
             }
 
             @Override
-            public void updatePredecessor(long number, HandoverState holding) {
-              proxy.updatePredecessor(number, holding);
+            public void updatePredecessor(long number, HandoverState state) {
+              proxy.updatePredecessor(number, state);
             }
           },
           clock);
@@ -168,33 +181,37 @@
     }
   }
 
-  private static String named() {
-    return System.getenv().getOrDefault(FORMAT, "text");
+  private static String logFormatName() {
+    return System.getenv().getOrDefault(LOG_FORMAT_VARIABLE, "text");
   }
 
   /**
-   * SIGHUP: the file is read here, so that the selector thread never waits for a disk.
+   * Reloads the files after SIGHUP. They are read on the calling thread, so that the selector
+   * thread never waits for a disk.
    *
-   * @return the configuration that holds from here on
+   * @return the configuration in force from now on
    */
-  private static Config reload(Proxy proxy, OwnOptions own, Config inForce) {
+  private static Config reload(Proxy proxy, OptionsLoader optionsLoader, Config current) {
     try {
-      Config next = Config.reread(System.getenv(), inForce);
-      OwnOptions.Said said = own.read(next);
-      proxy.reload(next, said.relay(), said.joining());
+      Config next = Config.reread(System.getenv(), current);
+      OptionsLoader.Loaded options = optionsLoader.read(next);
+      proxy.reload(next, options.relay(), options.membership());
       return next;
     } catch (ConfigException e) {
       LOG.warn("reload-refused", value("reason", e.getMessage()));
-    } catch (OwnOptions.UnusableException e) {
+    } catch (OptionsLoader.UnusableException e) {
       e.problems().forEach(problem -> LOG.warn("reload-refused", value("reason", problem)));
     } catch (RuntimeException e) {
-      // Whatever a file holds, it must not end a program that serves.
+      // No content of a file may end a program that is serving.
       LOG.warn("reload-refused", value("reason", e));
     }
-    return inForce;
+    return current;
   }
 
-  /** SIGTERM: the runtime waits for this hook, while the selector thread goes on serving. */
+  /**
+   * Drains the proxy after SIGTERM. The runtime waits for this shutdown hook while the selector
+   * thread continues to serve.
+   */
   private static void stop(Proxy proxy) {
     try {
       LOG.info("stopping");
@@ -203,7 +220,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    // The status of a stop as planned, where the signal's own would look like a failure.
+    // Reports success; the exit status of the signal itself would look like a failure.
     Runtime.getRuntime().halt(ExitStatus.OK);
   }
 }
--- a/src/main/java/brassbank/package-info.java
+++ b/src/main/java/brassbank/package-info.java
@@ -1,2 +1,2 @@
-/** The program: arguments, wiring and signals. */
+/** The program: its commands, the wiring of the proxy, and the signals that it handles. */
 package brassbank;
