--- a/src/main/java/brassbank/discovery/Discovery.java
+++ b/src/main/java/brassbank/discovery/Discovery.java
@@ -16,61 +16,69 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps the target group up to date: a watch that is renewed whenever it ends or falls silent, and
- * fetches of the whole list. While neither works, the list that the module has still holds.
+ * Keeps the target group up to date by a watch for changes, which is renewed whenever it ends or
+ * falls silent, and by fetches of the whole list. While neither works, the module continues with
+ * its current list. Runs on the event loop.
  */
 public final class Discovery implements Dispatcher.TargetSource {
   private static final Log LOG = Log.of("discovery");
 
-  /** Far more than a list of targets needs. */
-  private static final int LONGEST_LIST = 1 << 20;
+  /** Far more than a target list needs. */
+  private static final int MAX_LIST_CHARS = 1 << 20;
 
   private final Net net;
   private final Dispatcher dispatcher;
-  private final RandomGenerator chance;
-  private final Asking watching = new Asking(this::watch, true);
-  private final Asking listing = new Asking(this::list, false);
+  private final RandomGenerator random;
+  private final RetriedCall watchCalls = new RetriedCall(this::watchCall, true);
+  private final RetriedCall listCalls = new RetriedCall(this::listCall, false);
   private InetSocketAddress address;
+
+  /** The version of the last list or change that was applied. */
   private long index;
 
-  /** The watch is wanted. */
-  private boolean watched;
+  /** Whether the watch is to be kept up. */
+  private boolean isWatchWanted;
 
-  /** The whole list is wanted until it has come: what has changed is not known otherwise. */
-  private boolean gap;
+  /** Whether the whole list must be fetched, since changes may have been missed. */
+  private boolean isListWanted;
 
-  /** {@code chance} spreads the calls of proxies that fail at the same moment. */
+  /**
+   * Creates a client of discovery, which makes no call yet.
+   *
+   * @param index the version of the target list that the module starts with
+   * @param random spreads the calls of proxies whose calls fail at the same moment
+   */
   public Discovery(
       Net net,
       InetSocketAddress address,
       long index,
       Dispatcher dispatcher,
-      RandomGenerator chance) {
+      RandomGenerator random) {
     this.net = net;
     this.address = address;
     this.index = index;
     this.dispatcher = dispatcher;
-    this.chance = chance;
+    this.random = random;
   }
 
   @Override
-  public void watch(boolean on) {
-    watched = on;
-    if (on) {
-      watching.start();
+  public void watch(boolean enabled) {
+    isWatchWanted = enabled;
+    if (enabled) {
+      watchCalls.start();
     } else {
-      watching.stop();
+      watchCalls.stop();
     }
   }
 
   @Override
   public void fetch() {
-    listing.start();
+    listCalls.start();
   }
 
   /**
-   * Asks at another address from now on. Its versions need not be those of the old one, so that the
-   * whole list is taken; what the module has holds until that has come.
+   * Directs all further calls to another address. Its list versions need not match those of the old
+   * address, so that the whole list is fetched; the module keeps its list until then.
    */
   public void changeAddress(InetSocketAddress to) {
     if (to.equals(address)) {
@@ -78,97 +86,97 @@
     }
     LOG.info("discovery-moved", value("from", address), value("to", to));
     address = to;
-    watching.stop();
-    listing.stop();
-    lost();
-    watch(watched);
+    watchCalls.stop();
+    listCalls.stop();
+    requireFullList();
+    watch(isWatchWanted);
   }
 
-  /** What has changed is not known any longer: the whole list is taken, whatever its index. */
-  private void lost() {
+  /** Fetches the whole list and accepts any version of it, since changes may have been missed. */
+  private void requireFullList() {
     index = 0;
-    gap = true;
+    isListWanted = true;
     fetch();
   }
 
-  private Call watch() {
-    return new Call(
+  private HttpCall watchCall() {
+    return new HttpCall(
         net,
         "/api/targets?follow=1&since=" + index,
-        new Call.Listener() {
-          private final ObjectLines objects = new ObjectLines();
+        new HttpCall.Listener() {
+          private final JsonObjectAssembler objects = new JsonObjectAssembler();
 
           @Override
-          public void begun(Call call) {
-            watching.begun(call);
+          public void begun(HttpCall call) {
+            watchCalls.begun(call);
           }
 
           @Override
-          public void line(Call call, String line) {
-            String object = objects.line(line);
+          public void line(HttpCall call, String line) {
+            String object = objects.add(line);
             if (object != null) {
-              take(call, object);
+              handleObject(call, object);
             }
           }
 
           @Override
-          public void ended(Call call, String why) {
-            LOG.warn("watch-ended", value("reason", why));
-            watching.ended(call, why);
+          public void ended(HttpCall call, String reason) {
+            LOG.warn("watch-ended", value("reason", reason));
+            watchCalls.ended(call, reason);
           }
         });
   }
 
-  private void take(Call call, String object) {
-    TargetList list = read(object);
+  private void handleObject(HttpCall call, String object) {
+    TargetList list = parse(object);
     if (list == null || (!list.isSnapshot() && list.index() < index)) {
-      lost();
-      call.fail(list == null ? "a line that is no list" : "older than the list");
+      requireFullList();
+      call.fail(list == null ? "malformed target list" : "older than the current target list");
       return;
     }
-    gap &= !list.isSnapshot();
-    heard(list);
-    watching.worked();
+    isListWanted &= !list.isSnapshot();
+    applyList(list);
+    watchCalls.resetRetryDelay();
   }
 
-  private void heard(TargetList list) {
+  private void applyList(TargetList list) {
     index = list.index();
     dispatcher.report(new NetworkEvent.TargetsListed(list));
   }
 
-  private Call list() {
+  private HttpCall listCall() {
     StringBuilder body = new StringBuilder();
-    return new Call(
+    return new HttpCall(
         net,
         "/api/targets",
-        new Call.Listener() {
+        new HttpCall.Listener() {
           @Override
-          public void begun(Call call) {
-            listing.begun(call);
+          public void begun(HttpCall call) {
+            listCalls.begun(call);
           }
 
           @Override
-          public void line(Call call, String line) {
-            if (body.length() + line.length() <= LONGEST_LIST) {
+          public void line(HttpCall call, String line) {
+            if (body.length() + line.length() <= MAX_LIST_CHARS) {
               body.append(line);
             }
           }
 
           @Override
-          public void ended(Call call, String why) {
-            TargetList list = why.isEmpty() ? read(body.toString()) : null;
+          public void ended(HttpCall call, String reason) {
+            TargetList list = reason.isEmpty() ? parse(body.toString()) : null;
             if (list != null && list.index() >= index) {
-              gap = false;
-              listing.stop();
-              heard(list);
+              isListWanted = false;
+              listCalls.stop();
+              applyList(list);
               return;
             }
-            LOG.warn("list-missing", value("reason", why));
+            LOG.warn("list-missing", value("reason", reason));
             dispatcher.report(new NetworkEvent.FetchFailed());
-            if (gap) {
-              listing.ended(call, why);
+            if (isListWanted) {
+              listCalls.ended(call, reason);
             } else {
-              listing.stop();
+              listCalls.stop();
             }
           }
         });
@@ -178,7 +186,7 @@
     return TimeUnit.NANOSECONDS.toMicros(net.clock().nanos());
   }
 
-  private static TargetList read(String line) {
+  private static TargetList parse(String line) {
     try {
       return TargetList.parse(JsonParser.parseString(line).getAsJsonObject());
     } catch (JsonParseException | IllegalStateException | IllegalArgumentException e) {
@@ -188,111 +196,123 @@
   }
 
   /**
-   * One kind of call, made again after its failures with growing pauses and some chance, since all
-   * proxies share one discovery. Where a call says nothing for long, a second one is made beside it
-   * and whichever is answered first goes on; not while discovery itself turns calls away, which it
-   * does where too many wait. It owns the calls and the pause.
+   * A kind of call that is retried after failures, with exponential backoff and jitter, since all
+   * proxies share one discovery service. If a hedged call gets no answer for a while, a second one
+   * (the hedge) is made beside it, and the first to be answered continues. No hedge is made while
+   * discovery rejects calls, as it does when too many are waiting. Owns the calls and the timers.
    */
-  private final class Asking {
-    private final Supplier<Call> calls;
-
-    /** Whether a call that hangs is worth a second one: what else would bring the news in time. */
-    private final boolean twice;
-
-    private Call call;
-    private Call beside;
-    private Loop.Timer pause;
-    private Loop.Timer hanging;
-    private boolean turnedAway;
-    private long wait = Waits.FIRST_PAUSE;
-    private long opened = Long.MIN_VALUE / 2;
-
-    Asking(Supplier<Call> calls, boolean twice) {
-      this.calls = calls;
-      this.twice = twice;
+  private final class RetriedCall {
+    private final Supplier<HttpCall> callFactory;
+
+    /** Whether a hanging call gets a hedge, because nothing else would bring updates in time. */
+    private final boolean isHedged;
+
+    private HttpCall call;
+    private HttpCall hedge;
+    private Loop.Timer retryTimer;
+    private Loop.Timer hedgeTimer;
+
+    /** Whether discovery answered the last failed call with an error status. */
+    private boolean isRejected;
+
+    private long meanRetryDelayMicros = DiscoveryTimeouts.MIN_RETRY_DELAY_MICROS;
+    private long lastCallAtMicros = Long.MIN_VALUE / 2;
+
+    RetriedCall(Supplier<HttpCall> callFactory, boolean isHedged) {
+      this.callFactory = callFactory;
+      this.isHedged = isHedged;
     }
 
+    /** Starts a call, unless one is in progress or scheduled. */
     void start() {
-      if (call == null && pause == null) {
-        long soonest = opened + Waits.APART - now();
-        if (soonest <= 0) {
-          open();
+      if (call == null && retryTimer == null) {
+        long delayMicros = lastCallAtMicros + DiscoveryTimeouts.MIN_CALL_INTERVAL_MICROS - now();
+        if (delayMicros <= 0) {
+          startCall();
         } else {
-          pause = net.loop().after(soonest + chance.nextLong(Waits.FIRST_PAUSE), this::open);
+          retryTimer =
+              net.loop()
+                  .after(
+                      delayMicros + random.nextLong(DiscoveryTimeouts.MIN_RETRY_DELAY_MICROS),
+                      this::startCall);
         }
       }
     }
 
-    private void open() {
-      pause = null;
-      call = made();
-      if (twice && !turnedAway) {
-        hanging = net.loop().after(Waits.BESIDE, () -> beside = made());
+    private void startCall() {
+      retryTimer = null;
+      call = newCall();
+      if (isHedged && !isRejected) {
+        hedgeTimer = net.loop().after(DiscoveryTimeouts.HEDGE_MICROS, () -> hedge = newCall());
       }
     }
 
-    private Call made() {
-      opened = now();
-      Call made = calls.get();
-      made.start(address);
-      return made;
+    private HttpCall newCall() {
+      lastCallAtMicros = now();
+      HttpCall newCall = callFactory.get();
+      newCall.start(address);
+      return newCall;
     }
 
-    /** The answer to one of the calls has begun: it goes on, and any other is given up. */
-    void begun(Call by) {
-      notHanging();
-      Call other = by == call ? beside : call;
+    /**
+     * Continues with the call whose answer has begun, and cancels the other one if there is one.
+     */
+    void begun(HttpCall answered) {
+      cancelHedgeTimer();
+      HttpCall other = answered == call ? hedge : call;
       if (other != null) {
         other.cancel();
       }
-      call = by;
-      beside = null;
+      call = answered;
+      hedge = null;
     }
 
-    private void notHanging() {
-      if (hanging != null) {
-        hanging.cancel();
-        hanging = null;
+    private void cancelHedgeTimer() {
+      if (hedgeTimer != null) {
+        hedgeTimer.cancel();
+        hedgeTimer = null;
       }
     }
 
-    /** A call has failed; where another is out, that one is waited for. */
-    void ended(Call by, String why) {
-      turnedAway = why.startsWith("status");
-      if (by == call) {
-        call = beside;
+    /** Waits for the other call if there is one, and otherwise schedules a retry. */
+    void ended(HttpCall failed, String reason) {
+      isRejected = reason.startsWith("status");
+      if (failed == call) {
+        call = hedge;
       }
-      beside = null;
+      hedge = null;
       if (call != null) {
         return;
       }
-      notHanging();
-      long micros = wait / 2 + chance.nextLong(wait);
-      wait = Math.min(Waits.LONGEST_PAUSE, 2 * wait);
-      pause = net.loop().after(micros, this::open);
+      cancelHedgeTimer();
+      long delayMicros = meanRetryDelayMicros / 2 + random.nextLong(meanRetryDelayMicros);
+      meanRetryDelayMicros =
+          Math.min(DiscoveryTimeouts.MAX_RETRY_DELAY_MICROS, 2 * meanRetryDelayMicros);
+      retryTimer = net.loop().after(delayMicros, this::startCall);
     }
 
-    void worked() {
-      wait = Waits.FIRST_PAUSE;
-      turnedAway = false;
+    /** Resets the backoff after a success. */
+    void resetRetryDelay() {
+      meanRetryDelayMicros = DiscoveryTimeouts.MIN_RETRY_DELAY_MICROS;
+      isRejected = false;
     }
 
-    /** The one place where calls and a pause are given up. */
+    /** Cancels all calls and timers. */
     void stop() {
-      notHanging();
-      if (beside != null) {
-        beside.cancel();
-        beside = null;
+      cancelHedgeTimer();
+      if (hedge != null) {
+        hedge.cancel();
+        hedge = null;
       }
       if (call != null) {
         call.cancel();
         call = null;
       }
-      if (pause != null) {
-        pause.cancel();
-        pause = null;
+      if (retryTimer != null) {
+        retryTimer.cancel();
+        retryTimer = null;
       }
-      worked();
+      resetRetryDelay();
     }
   }
 }
--- a/src/main/java/brassbank/discovery/package-info.java
+++ b/src/main/java/brassbank/discovery/package-info.java
@@ -1,2 +1,5 @@
-/** Discovery over HTTP: the whole list, the watch, and asking again. */
+/**
+ * The client of the discovery service: the watch for changes of the target group, fetches of the
+ * whole list, and retries, all over HTTP.
+ */
 package brassbank.discovery;
--- a/src/test/java/brassbank/discovery/ObjectLinesTest.java
+++ b/src/test/java/brassbank/discovery/JsonObjectAssemblerTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ObjectLinesTest {
-  private final ObjectLines lines = new ObjectLines();
+class JsonObjectAssemblerTest {
+  private final JsonObjectAssembler assembler = new JsonObjectAssembler();
 
   private List<String> objects(String... text) {
     List<String> objects = new ArrayList<>();
     for (String line : text) {
-      String object = lines.line(line);
+      String object = assembler.add(line);
       if (object != null) {
         objects.add(object.strip());
       }
@@ -21,34 +21,34 @@
   }
 
   @Test
-  void anObjectIsOneLineOrSeveral() {
+  void objectTakesOneLineOrSeveral() {
     assertThat(objects("{\"a\":1}", "", "{", "  \"b\": [", "    2", "  ]", "}", "{\"c\":3}"))
         .containsExactly("{\"a\":1}", "{\n  \"b\": [\n    2\n  ]\n}", "{\"c\":3}");
   }
 
   @Test
-  void bracesWithinTextDoNotCount() {
+  void ignoresBracesWithinStrings() {
     assertThat(objects("{\"a\":\"{[\\\"{\"}", "{\"b\":\"}\"}"))
         .containsExactly("{\"a\":\"{[\\\"{\"}", "{\"b\":\"}\"}");
   }
 
   @Test
-  void anEmptyLineEndsAnObjectThatWasCutShort() {
+  void emptyLineEndsAnObjectThatWasCutShort() {
     assertThat(objects("{\"a\":[", "", "{\"b\":2}")).containsExactly("{\"a\":[", "{\"b\":2}");
   }
 
   @Test
-  void whatIsNoObjectIsHandedOnAtOnce() {
+  void returnsTextThatIsNoObjectAtOnce() {
     assertThat(objects("%&/", "}", "{\"b\":2}")).containsExactly("%&/", "}", "{\"b\":2}");
   }
 
   @Test
-  void whatNeverEndsIsHandedOnBeforeItGrowsWithoutBound() {
+  void returnsAnEndlessObjectBeforeItExceedsTheBound() {
     String part = "[" + "x".repeat(100_000);
-    int taken = 0;
-    while (lines.line(part) == null) {
-      taken++;
-      assertThat(taken).isLessThan(12);
+    int linesAdded = 0;
+    while (assembler.add(part) == null) {
+      linesAdded++;
+      assertThat(linesAdded).isLessThan(12);
     }
     assertThat(objects("{\"b\":2}")).containsExactly("{\"b\":2}");
   }
