--- a/src/main/java/brassbank/front/ClientFrontend.java
+++ b/src/main/java/brassbank/front/ClientFrontend.java
@@ -18,219 +18,234 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The platform's client protocol: {@code PING}, {@code OPEN}, and the answers to them. Another
- * front would hand its own flows to the same dispatcher.
+ * Serves the platform's client protocol: {@code PING}, {@code OPEN} and the answers to them. A
+ * front end for another protocol would submit its flows to the same dispatcher. Runs on the event
+ * loop.
  */
 public final class ClientFrontend {
   private static final Log LOG = Log.of("front");
 
   /**
-   * Whoever has not sent a whole first line by then is turned away, however much of it has come: a
-   * bad client is owed an error within 3 s of connecting.
+   * A client that has not sent a complete first line within this time is rejected, even if part of
+   * the line has come: a misbehaving client must receive an error within 3 s of connecting.
    */
-  private static final long FIRST_LINE_MICROS = 2_000_000;
+  private static final long FIRST_LINE_TIMEOUT_MICROS = 2_000_000;
 
-  /** The front may keep the connection of its PING; no other idle one is known to the protocol. */
-  private static final long GREETED_MICROS = 10_000_000;
+  /**
+   * How long a connection may stay idle after PING. The upstream load balancer may keep the
+   * connection of its PING open; the protocol has no other idle connections.
+   */
+  private static final long GREETED_TIMEOUT_MICROS = 10_000_000;
 
-  private static final int MOST_GREETED = 8;
+  /** The maximum number of connections that stay open after PING. */
+  private static final int MAX_GREETED = 8;
 
-  /** Where too many say nothing, no connection may stay silent for longer than this. */
-  private static final long PATIENCE_MICROS = 50_000;
+  /** How long a connection may send nothing while there are too many silent connections. */
+  private static final long MAX_SILENCE_MICROS = 50_000;
 
   /**
-   * A usual client's line comes with its connection: one that is this old makes room for others.
+   * How long a connection must have sent nothing before it is closed to free a descriptor. A normal
+   * client sends its line as soon as it has connected.
    */
-  private static final long HESITATION_MICROS = 10_000;
+  private static final long EVICTABLE_SILENCE_MICROS = 10_000;
 
-  private static final long READY_MICROS = 50_000;
+  /** How often a PING that waits for its PONG is checked again. */
+  private static final long ADMISSION_RECHECK_MICROS = 50_000;
 
   /**
-   * What waits in an inherited socket's queue when it is opened may have waited for a whole start,
-   * or for a hand-over: its client's time runs since then.
+   * How long a connection may have waited in the backlog of an inherited socket while no process
+   * accepted connections, during a start or during a handover. The client's timeout has been
+   * running for that time.
    */
-  private static final long START_MICROS = 1_000_000;
+  private static final long STARTUP_QUEUE_DELAY_MICROS = 1_000_000;
 
-  private static final long HANDOVER_MICROS = 60_000;
+  private static final long HANDOVER_QUEUE_DELAY_MICROS = 60_000;
 
-  /** So long after that the queue is taken to be the old one. */
-  private static final long QUEUE_MICROS = 100_000;
+  /** How long after opening the listener accepted connections count as backlog. */
+  private static final long QUEUE_DRAIN_MICROS = 100_000;
 
   private final Net net;
   private final Dispatcher dispatcher;
-  private long queuedUntil = Long.MIN_VALUE;
-  private long queuedFor;
+  private long queueDrainedAtNanos = Long.MIN_VALUE;
+
+  /** How long connections from the backlog are assumed to have waited. */
+  private long queueDelayMicros;
 
-  /** Connections that have sent no first line yet, the oldest first. */
-  private final Set<Session> silent = new LinkedHashSet<>();
+  /** Connections that have not sent a first line yet, the oldest first. */
+  private final Set<Session> silentSessions = new LinkedHashSet<>();
 
-  /** Those that have sent PING and may wait, the oldest first. */
-  private final Set<Session> greeted = new LinkedHashSet<>();
+  /** Connections that have sent PING and may stay open, the oldest first. */
+  private final Set<Session> greetedSessions = new LinkedHashSet<>();
 
-  /** The ids of flows that wait for their answer or whose connection stands. */
+  /** The ids of flows that await their answer or whose connection is established. */
   private final Set<String> openFlowIds = new HashSet<>();
 
-  /** Those of flows that a predecessor of this process holds, by its number. */
-  private final Map<Long, Set<String>> setPredecessorFlowIds = new HashMap<>();
+  /** The ids of flows that predecessors of this process hold, by process. */
+  private final Map<Long, Set<String>> predecessorFlowIds = new HashMap<>();
 
-  private boolean clearing;
-  private long flows;
+  private boolean isEvictionScheduled;
+  private long flowCount;
 
   public ClientFrontend(Net net, Dispatcher dispatcher) {
     this.net = net;
     this.dispatcher = dispatcher;
   }
 
-  /** The ids of flows that wait for their answer or whose connection stands. */
+  /** Returns the ids of flows that await their answer or whose connection is established. */
   public Set<String> openFlowIds() {
     return new LinkedHashSet<>(openFlowIds);
   }
 
-  /** The ids that a predecessor of this process holds now; none once it is gone. */
-  public void setPredecessorFlowIds(long process, Set<String> held) {
-    if (held.isEmpty()) {
-      setPredecessorFlowIds.remove(process);
+  /**
+   * Sets the ids of the flows that a predecessor of this process holds now.
+   *
+   * @param flowIds the ids, empty once the predecessor has stopped
+   */
+  public void setPredecessorFlowIds(long processId, Set<String> flowIds) {
+    if (flowIds.isEmpty()) {
+      predecessorFlowIds.remove(processId);
     } else {
-      setPredecessorFlowIds.put(process, held);
+      predecessorFlowIds.put(processId, flowIds);
     }
   }
 
   /**
-   * Connections that others have left waiting come from now on.
+   * Called when this process begins to accept connections, first those in the listener's backlog.
    *
-   * @param first whether no other process took any until now
+   * @param isFirstProcess whether no other process has accepted connections before
    */
-  public void listenerOpened(boolean first) {
-    queuedUntil = net.clock().nanos() + TimeUnit.MICROSECONDS.toNanos(QUEUE_MICROS);
-    queuedFor = first ? START_MICROS : HANDOVER_MICROS;
+  public void listenerOpened(boolean isFirstProcess) {
+    queueDrainedAtNanos = net.clock().nanos() + TimeUnit.MICROSECONDS.toNanos(QUEUE_DRAIN_MICROS);
+    queueDelayMicros = isFirstProcess ? STARTUP_QUEUE_DELAY_MICROS : HANDOVER_QUEUE_DELAY_MICROS;
   }
 
-  /** Takes a client's new connection. */
+  /** Accepts a client's new connection. */
   public void accept(Link link) {
     Session session = new Session(link);
     link.owner(session);
     session.awaitLine();
-    if (!clearing) {
-      clear();
+    if (!isEvictionScheduled) {
+      evictSilent();
     }
   }
 
   /**
-   * Guards the descriptors against clients that connect by hundreds and say nothing: a usual client
-   * sends its line at once, so that the oldest of those that did not make room for the others.
+   * Closes the oldest silent connections while there are too many. This protects the descriptors
+   * against hundreds of clients that connect and send nothing; normal clients send their line at
+   * once.
    */
-  private void clear() {
+  private void evictSilent() {
     long now = net.clock().nanos();
-    clearing = false;
-    while (silent.size() > net.silentRoom() && !clearing) {
-      Session oldest = silent.iterator().next();
-      if (now - oldest.silentSince >= TimeUnit.MICROSECONDS.toNanos(PATIENCE_MICROS)) {
-        oldest.spoke();
+    isEvictionScheduled = false;
+    while (silentSessions.size() > net.silentRoom() && !isEvictionScheduled) {
+      Session oldest = silentSessions.iterator().next();
+      if (now - oldest.silentSinceNanos >= TimeUnit.MICROSECONDS.toNanos(MAX_SILENCE_MICROS)) {
+        oldest.stopAwaitingLine();
         oldest.link.drop("BUSY");
       } else {
-        clearing = true;
-        net.loop().after(PATIENCE_MICROS / 2, this::clear);
+        isEvictionScheduled = true;
+        net.loop().after(MAX_SILENCE_MICROS / 2, this::evictSilent);
       }
     }
   }
 
   /**
-   * A client that has spoken needs a descriptor for its target: the oldest of those that say
-   * nothing make room. Dropped ones are replaced from the backlog at once, so that without this a
-   * usual client was refused while silent ones held the room.
+   * Closes the oldest silent connections until there is a descriptor for a new flow's target.
+   * {@link #evictSilent} alone does not suffice: closed connections are replaced from the backlog
+   * at once, and normal clients were refused while silent ones held the descriptors.
    */
-  private void makeRoom() {
+  private void freeDescriptors() {
     long now = net.clock().nanos();
-    while (net.full() && !silent.isEmpty()) {
-      Session oldest = silent.iterator().next();
-      if (now - oldest.silentSince < TimeUnit.MICROSECONDS.toNanos(HESITATION_MICROS)) {
+    while (net.full() && !silentSessions.isEmpty()) {
+      Session oldest = silentSessions.iterator().next();
+      if (now - oldest.silentSinceNanos < TimeUnit.MICROSECONDS.toNanos(EVICTABLE_SILENCE_MICROS)) {
         return;
       }
-      oldest.spoke();
+      oldest.stopAwaitingLine();
       oldest.link.drop("BUSY");
     }
   }
 
   /**
-   * The program ends: connections that have no flow are ended once what has come on them is read. A
-   * line that comes now is answered like any other; one that comes later is never sent on.
+   * Closes all connections without a flow before the program exits. Bytes that have already arrived
+   * are read first, so that their line is answered like any other; a later line is not forwarded.
    */
   public void closeIdleConnections() {
-    List<Session> resting = new ArrayList<>(silent);
-    resting.addAll(greeted);
-    for (Session session : resting) {
+    List<Session> idle = new ArrayList<>(silentSessions);
+    idle.addAll(greetedSessions);
+    for (Session session : idle) {
       session.link.receive();
-      if (session.rests()) {
-        session.end();
+      if (session.hasNoFlow()) {
+        session.close();
       }
     }
   }
 
-  /** Where a client's connection is on its way; it goes back from GREETED to ASKED at most. */
+  /** The phase of a client's connection; the only step back is from GREETED to AWAITING_PONG. */
   private enum Phase {
-    /** It has sent no whole line. */
-    SILENT,
-    /** It has sent PING, and is owed PONG. */
-    ASKED,
-    /** It was told, and may send its first line. */
+    /** The client has not sent a complete line. */
+    AWAITING_LINE,
+    /** The client has sent PING and has no answer yet. */
+    AWAITING_PONG,
+    /** The PING has been answered, and the client may send another line. */
     GREETED,
-    /** Its flow waits for an answer. */
-    WAITING,
-    /** It has its final answer, stands, or is gone. */
-    OVER
+    /** The client's flow has been submitted and has no answer yet. */
+    SUBMITTED,
+    /** The flow is answered or established, or the connection is closed. */
+    FINISHED
   }
 
-  /** One client's connection, until it stands or is answered. */
+  /** One client's connection, until its flow is established or answered. */
   private final class Session implements Link.Owner, Client {
     private final Link link;
-    private Phase phase = Phase.SILENT;
+    private Phase phase = Phase.AWAITING_LINE;
 
-    /** How long it may have waited before it was accepted, in microseconds. */
-    private final long queued;
+    /** How long the connection may have waited before it was accepted. */
+    private final long queuedMicros;
 
-    private Loop.Timer firstLine;
-    private long silentSince;
+    private Loop.Timer lineTimeout;
+    private long silentSinceNanos;
 
-    /** Until the flow stands: a session that lasts for hours keeps its id only. */
-    private OpenLine open;
+    /** Null once the flow is established: of a session that lasts for hours only the id is kept. */
+    private OpenRequest request;
 
-    private String id;
-    private long flow;
+    private String flowId;
+    private long flowNumber;
 
     Session(Link link) {
       this.link = link;
-      queued = net.clock().nanos() < queuedUntil ? queuedFor : 0;
+      queuedMicros = net.clock().nanos() < queueDrainedAtNanos ? queueDelayMicros : 0;
     }
 
     private void awaitLine() {
-      silent.add(this);
-      silentSince = net.clock().nanos();
-      firstLine = net.loop().after(FIRST_LINE_MICROS, () -> reject("no first line"));
+      silentSessions.add(this);
+      silentSinceNanos = net.clock().nanos();
+      lineTimeout = net.loop().after(FIRST_LINE_TIMEOUT_MICROS, () -> reject("no first line"));
     }
 
-    private boolean rests() {
-      return phase == Phase.SILENT || phase == Phase.ASKED || phase == Phase.GREETED;
+    private boolean hasNoFlow() {
+      return phase == Phase.AWAITING_LINE || phase == Phase.AWAITING_PONG || phase == Phase.GREETED;
     }
 
-    /** Ends a connection that has no flow, or none any longer. */
-    private void end() {
-      spoke();
-      phase = Phase.OVER;
+    /** Closes a connection that has no flow. */
+    private void close() {
+      stopAwaitingLine();
+      phase = Phase.FINISHED;
       link.close();
     }
 
-    /** The clock of a connection that says nothing ends, whichever it was. */
-    private void spoke() {
-      silent.remove(this);
-      greeted.remove(this);
-      if (firstLine != null) {
-        firstLine.cancel();
+    /** Stops the timeout for the next line, for a silent as well as for a greeted connection. */
+    private void stopAwaitingLine() {
+      silentSessions.remove(this);
+      greetedSessions.remove(this);
+      if (lineTimeout != null) {
+        lineTimeout.cancel();
       }
     }
 
     @Override
     public void received(Link from) {
-      if (phase == Phase.WAITING || phase == Phase.ASKED) {
+      if (phase == Phase.SUBMITTED || phase == Phase.AWAITING_PONG) {
         reject("more than one line before the answer");
         return;
       }
@@ -238,112 +253,117 @@
       if (link.buffer().overlong()) {
         reject("the line is too long");
       } else if (line != null) {
-        first(line);
+        handleLine(line);
       }
     }
 
-    /** A client sends one line and waits: with more behind it, none of them is carried out. */
-    private void first(String line) {
-      spoke();
+    /** Handles a line. A client must send one line and wait; further bytes make it invalid. */
+    private void handleLine(String line) {
+      stopAwaitingLine();
       if (link.buffer().held() > 0) {
         reject("more than one line before the answer");
       } else if (line.equals("PING")) {
-        greet();
+        handlePing();
       } else {
         try {
-          submit(OpenLine.parse(line));
+          submit(OpenRequest.parse(line));
         } catch (IllegalArgumentException e) {
           reject(e.getMessage());
         }
       }
     }
 
-    private void greet() {
-      if (greeted.size() >= MOST_GREETED) {
-        greeted.iterator().next().reject("too many connections wait after PING");
+    private void handlePing() {
+      if (greetedSessions.size() >= MAX_GREETED) {
+        greetedSessions.iterator().next().reject("too many connections wait after PING");
       }
-      greeted.add(this);
-      firstLine = net.loop().after(GREETED_MICROS, () -> reject("no line after PING"));
-      phase = Phase.ASKED;
-      admit();
+      greetedSessions.add(this);
+      lineTimeout = net.loop().after(GREETED_TIMEOUT_MICROS, () -> reject("no line after PING"));
+      phase = Phase.AWAITING_PONG;
+      answerPing();
     }
 
-    /** PONG brings clients: it waits until they can be served, and is none while they leave. */
-    private void admit() {
-      if (phase != Phase.ASKED) {
+    /**
+     * Answers a PING. Since PONG attracts clients, it is delayed until they can be served, and the
+     * answer is BUSY while the proxy moves its clients away.
+     */
+    private void answerPing() {
+      if (phase != Phase.AWAITING_PONG) {
         return;
       }
       if (dispatcher.admitsClients()) {
         phase = Phase.GREETED;
         link.send("PONG");
         if (!net.isOpen() && dispatcher.isLeaving()) {
-          // It asks again over a new connection, which another process takes: this one will end.
-          end();
+          // The next PING must come over a new connection, which another process accepts, since
+          // this process will exit.
+          close();
         }
       } else if (dispatcher.isLeaving()) {
         phase = Phase.GREETED;
         link.send("BUSY");
       } else {
-        net.loop().after(READY_MICROS, this::admit);
+        net.loop().after(ADMISSION_RECHECK_MICROS, this::answerPing);
       }
     }
 
-    /** An id is one flow's alone: its target would take a second one for the first. */
-    private void submit(OpenLine line) {
-      if (setPredecessorFlowIds.values().stream().anyMatch(held -> held.contains(line.id()))
+    /** Submits a flow. Its id must be unique: a target would confuse two flows with the same id. */
+    private void submit(OpenRequest line) {
+      if (predecessorFlowIds.values().stream().anyMatch(ids -> ids.contains(line.id()))
           || !openFlowIds.add(line.id())) {
         throw new IllegalArgumentException("the id is another open flow's");
       }
-      phase = Phase.WAITING;
-      open = line;
-      id = line.id();
-      flow = ++flows;
-      makeRoom();
-      dispatcher.submit(open.flow(flow, open.deadlineMillis() * 1000 - queued), this);
+      phase = Phase.SUBMITTED;
+      request = line;
+      flowId = line.id();
+      flowNumber = ++flowCount;
+      freeDescriptors();
+      dispatcher.submit(
+          request.toFlow(flowNumber, request.timeoutMillis() * 1000 - queuedMicros), this);
     }
 
-    /** The one place where a flow's id is free again. */
+    /** Frees the id of the flow. All ids are freed by this method. */
     @Override
     public void flowEnded() {
-      if (id != null) {
-        openFlowIds.remove(id);
+      if (flowId != null) {
+        openFlowIds.remove(flowId);
       }
     }
 
     private void reject(String reason) {
-      spoke();
+      stopAwaitingLine();
       LOG.info("client-rejected", value("reason", reason));
-      leave();
+      withdrawFlow();
       link.turnAway("ERR " + reason.replaceAll("[^ -~]", "?"));
     }
 
-    /** Takes back a flow that has no answer yet. */
-    private void leave() {
-      boolean waited = phase == Phase.WAITING;
-      phase = Phase.OVER;
-      if (waited) {
+    /** Withdraws the flow if it has no answer yet. */
+    private void withdrawFlow() {
+      boolean isUnanswered = phase == Phase.SUBMITTED;
+      phase = Phase.FINISHED;
+      if (isUnanswered) {
         flowEnded();
-        dispatcher.clientDisconnected(flow);
+        dispatcher.clientDisconnected(flowNumber);
       }
     }
 
     @Override
     public void ended(Link from, boolean reset) {
-      spoke();
+      stopAwaitingLine();
       link.close();
-      leave();
+      withdrawFlow();
     }
 
     @Override
     public String openingLine(long remainingMillis) {
-      return open.withDeadline(remainingMillis);
+      return request.toLine(remainingMillis);
     }
 
     @Override
     public Link establish(String line) {
-      phase = Phase.OVER;
-      open = null;
-      firstLine = null;
+      phase = Phase.FINISHED;
+      request = null;
+      lineTimeout = null;
       link.send(line);
       return link;
     }
@@ -359,7 +379,7 @@
     }
 
     private void answer(String line) {
-      phase = Phase.OVER;
+      phase = Phase.FINISHED;
       flowEnded();
       link.turnAway(line);
     }
--- a/src/main/java/brassbank/front/OpenLine.java
+++ b/src/main/java/brassbank/front/OpenRequest.java
@@ -5,28 +5,33 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** The first line of a client, {@code OPEN ID KEY NAME=VALUE,...}, taken apart and checked. */
-final class OpenLine {
-  private static final Pattern NAME = Pattern.compile("[!-~]{1,64}");
+/** A client's first line, {@code OPEN ID KEY NAME=VALUE,...}, parsed and validated. */
+final class OpenRequest {
+  /** A flow id or a key. */
+  private static final Pattern TOKEN = Pattern.compile("[!-~]{1,64}");
 
-  /** Milliseconds: digits only, and no more than eleven days. */
-  private static final Pattern DEADLINE = Pattern.compile("\\d{1,9}");
+  /** Milliseconds, digits only; nine digits are less than twelve days. */
+  private static final Pattern MILLIS = Pattern.compile("\\d{1,9}");
 
-  /** A figure as it is told, finite and not negative. */
-  private static final Pattern FIGURE = Pattern.compile("\\d{1,18}(\\.\\d+)?([eE][+-]?\\d{1,2})?");
+  /** A finite number of 0 or more. */
+  private static final Pattern NUMBER = Pattern.compile("\\d{1,18}(\\.\\d+)?([eE][+-]?\\d{1,2})?");
 
   private final String id;
   private final String key;
   private final Map<String, String> values;
 
-  private OpenLine(String id, String key, Map<String, String> values) {
+  private OpenRequest(String id, String key, Map<String, String> values) {
     this.id = id;
     this.key = key;
     this.values = values;
   }
 
-  /** Throws IllegalArgumentException on whatever a target must not be sent. */
-  static OpenLine parse(String line) {
+  /**
+   * Parses a line and rejects any that must not be forwarded to a target.
+   *
+   * @throws IllegalArgumentException if the line is malformed; the message is sent to the client
+   */
+  static OpenRequest parse(String line) {
     for (int i = 0; i < line.length(); i++) {
       if (line.charAt(i) < ' ' || line.charAt(i) > '~') {
         throw new IllegalArgumentException("not plain text");
@@ -36,7 +41,7 @@
     if (parts.length != 4 || !parts[0].equals("OPEN")) {
       throw new IllegalArgumentException("not OPEN ID KEY VALUES");
     }
-    if (!NAME.matcher(parts[1]).matches() || !NAME.matcher(parts[2]).matches()) {
+    if (!TOKEN.matcher(parts[1]).matches() || !TOKEN.matcher(parts[2]).matches()) {
       throw new IllegalArgumentException("no id or no key");
     }
     Map<String, String> values = new LinkedHashMap<>();
@@ -47,10 +52,10 @@
         throw new IllegalArgumentException("not a list of names and values");
       }
     }
-    OpenLine open = new OpenLine(parts[1], parts[2], values);
+    OpenRequest open = new OpenRequest(parts[1], parts[2], values);
     if (!values.containsKey("c")
-        || !DEADLINE.matcher(values.getOrDefault("d", "")).matches()
-        || !FIGURE.matcher(values.getOrDefault("h", "0")).matches()) {
+        || !MILLIS.matcher(values.getOrDefault("d", "")).matches()
+        || !NUMBER.matcher(values.getOrDefault("h", "0")).matches()) {
       throw new IllegalArgumentException("c, d or h is not valid");
     }
     return open;
@@ -60,8 +65,8 @@
     return id;
   }
 
-  /** How long the client waits, from the sending of the line. */
-  long deadlineMillis() {
+  /** Returns how long the client waits, counted from when it sent the line. */
+  long timeoutMillis() {
     return Long.parseLong(values.get("d"));
   }
 
@@ -69,7 +74,13 @@
     return values.containsKey("h") ? Double.parseDouble(values.get("h")) : 0;
   }
 
-  Flow flow(long number, long leftMicros) {
+  /**
+   * Returns the flow of this request.
+   *
+   * @param number the number of the flow in this process
+   * @param remainingMicros how much longer the client waits
+   */
+  Flow toFlow(long number, long remainingMicros) {
     String tenant = values.get("t");
     return new Flow(
         number,
@@ -77,15 +88,15 @@
         values.get("c"),
         tenant == null || tenant.isEmpty() ? null : tenant,
         values.get("g"),
-        leftMicros,
+        remainingMicros,
         hint(),
         "1".equals(values.get("r")),
         "1".equals(values.get("again")),
         values.get("at"));
   }
 
-  /** The same line for a target, but for how long the proxy will wait. */
-  String withDeadline(long millis) {
+  /** Returns the line for a target, which differs only in how long the proxy waits. */
+  String toLine(long millis) {
     StringBuilder line = new StringBuilder("OPEN ").append(id).append(' ').append(key);
     char before = ' ';
     for (Map.Entry<String, String> value : values.entrySet()) {
--- a/src/main/java/brassbank/front/package-info.java
+++ b/src/main/java/brassbank/front/package-info.java
@@ -1,2 +1,5 @@
-/** The platform's client protocol, the one front so far; it carries out what the facade decides. */
+/**
+ * The client-facing side of the proxy: the platform's client protocol, whose flows it submits to
+ * the dispatcher and whose clients it gives the resulting answers.
+ */
 package brassbank.front;
