--- a/src/main/java/brassbank/decide/Decider.java
+++ b/src/main/java/brassbank/decide/Decider.java
@@ -18,71 +18,80 @@
 import java.util.List;
 
 /**
- * The facade in front of the decision module, in blocking style: each call returns what is to be
- * done. It owns the module, its timers, the clock and the ledger of flows, and keeps for them that
- * a flow has one final answer, a forward one outcome, no two forwards are out, and nothing follows
- * the end. It is called from one thread; it never calls out.
+ * The blocking facade in front of the decision module: each call returns the decisions to carry
+ * out. The facade owns the module, its timers and the table of open flows, and guarantees that each
+ * flow gets one final answer, that each forward has one outcome, that a flow has at most one
+ * outstanding forward, and that no decision follows the end of a flow.
+ *
+ * <p>Not thread-safe. The facade does no I/O and makes no callbacks. Times are microseconds of the
+ * facade's clock unless the name says otherwise.
  */
 public final class Decider {
   private static final Log LOG = Log.of("decide");
 
-  private static final long MILLI = 1_000;
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_MILLI = 1_000;
 
   /**
-   * A standing connection whose target leaves a client's line unanswered for this long is moved.
-   * The contract asks for it within 7 s of the line; TCP never tells of a silent machine.
+   * An established connection is moved when its target leaves a client's line unanswered for this
+   * long. Clients must be moved within 7 s of the line, and TCP does not report a silent machine.
    */
-  private static final long UNANSWERED_LIMIT = 4_500 * MILLI;
+  private static final long UNANSWERED_LIMIT_MICROS = 4_500 * MICROS_PER_MILLI;
 
-  /** Pause before an open connection's own target is tried again after it could not be reached. */
-  private static final long REJOIN_PAUSE = 300 * MILLI;
+  /** The delay before a connection from before the start is tried again at its own target. */
+  private static final long RESUME_RETRY_DELAY_MICROS = 300 * MICROS_PER_MILLI;
 
-  /** An outcome that the module is still to be told. */
-  private record Owed(Entry entry, Outcome ending, boolean closed) {}
+  /** An outcome that has not been reported to the module yet. */
+  private record DeferredOutcome(FlowEntry entry, Outcome outcome, boolean isClosed) {}
 
   private Balancer.Settings settings;
   private final FlowClock clock;
   private final Balancer module;
-  private final Ledger ledger = new Ledger();
-  private final TargetGroup group;
+  private final FlowTable flows = new FlowTable();
+  private final TargetGroup targetGroup;
   private final Predecessors predecessors;
-  private final Delays delays = new Delays();
-  private final Alarms alarms = new Alarms();
-  private final ArrayDeque<Owed> owed = new ArrayDeque<>();
-  private List<Decision> out = new ArrayList<>();
-  private long now;
+  private final ResponseDelays responseDelays = new ResponseDelays();
+  private final TimerQueue timers = new TimerQueue();
+  private final ArrayDeque<DeferredOutcome> deferredOutcomes = new ArrayDeque<>();
+  private List<Decision> decisions = new ArrayList<>();
+  private long nowMicros;
   private final Lifecycle lifecycle = new Lifecycle();
   private boolean hasTargetList;
   private long newFlowCount;
 
-  /** Null where all targets are this proxy's to ask. */
+  /** The targets that this proxy probes and prefers, or null for all targets. */
   private Subset subset;
 
-  /** Starts the module with the list that this proxy last had. */
+  /**
+   * Creates the facade and starts the module.
+   *
+   * @param known the last target list that this proxy had, perhaps outdated
+   */
   public Decider(Balancer.Settings settings, long seed, TargetList known, FlowClock clock) {
     this.clock = clock;
-    this.group = new TargetGroup(clock);
-    this.now = clock.now();
-    this.module = new Policy(now, settings, seed, new Collector());
+    this.targetGroup = new TargetGroup(clock);
+    this.nowMicros = clock.now();
+    this.module = new Policy(nowMicros, settings, seed, new ActionCollector());
     this.predecessors = new Predecessors(module);
-    settings(settings);
-    list(known, Balancer.ListKind.CACHED);
+    configure(settings);
+    applyList(known, Balancer.ListKind.CACHED);
   }
 
-  private void settings(Balancer.Settings changed) {
+  private void configure(Balancer.Settings changed) {
     settings = changed;
-    delays.configure(changed);
+    responseDelays.configure(changed);
   }
 
-  // ------------------------------------------------------------- the facade
-
-  /** A flow has come in; what is decided on it comes back, a {@code Hold} if nothing is yet. */
+  /**
+   * Decides on a new flow.
+   *
+   * @return the resulting decisions, with a {@code Hold} if there is none on the flow yet
+   * @throws IllegalArgumentException if a flow of this id is open
+   */
   public List<Decision> pick(Flow flow) {
-    now = clock.now();
-    Balancer.require(ledger.get(flow.id()) == null, "flow " + flow.id() + " is known");
-    if (lifecycle.refusesClients(now)) {
-      return List.of(new Decision.FixedResponse(flow.id(), retryMillis()));
+    nowMicros = clock.now();
+    Balancer.require(flows.get(flow.id()) == null, "flow " + flow.id() + " is already open");
+    if (lifecycle.refusesClients(nowMicros)) {
+      return List.of(new Decision.FixedResponse(flow.id(), retryAfterMillis()));
     }
     if (settings.classes().stream().noneMatch(c -> c.name().equals(flow.flowClass()))) {
       return List.of(new Decision.Fail(flow.id()));
@@ -100,551 +109,581 @@
             false,
             flow.isReconnecting());
     newFlowCount += flow.isRetry() || flow.isReconnecting() ? 0 : 1;
-    Entry entry = new Entry(flow, request, now + request.left(), settings);
-    ledger.enter(entry);
-    alarms.set(entry.deadline + settings.rules().answerSlack(), Alarms.Kind.ANSWER_DUE, flow.id());
+    FlowEntry entry = new FlowEntry(flow, request, nowMicros + request.left(), settings);
+    flows.add(entry);
+    timers.schedule(
+        entry.deadlineMicros + settings.rules().answerSlack(),
+        TimerQueue.Kind.ANSWER_DUE,
+        flow.id());
     if (flow.resumeTarget() != null) {
-      rejoin(entry);
+      resume(entry);
     } else {
-      module.request(now, request);
+      module.request(nowMicros, request);
     }
-    if (ledger.get(flow.id()) == entry && entry.stage == Entry.Stage.HELD) {
-      out.add(new Decision.Hold(flow.id()));
+    if (flows.get(flow.id()) == entry && entry.stage == FlowEntry.Stage.PENDING) {
+      decisions.add(new Decision.Hold(flow.id()));
     }
-    return decided();
+    return takeDecisions();
   }
 
-  /** Something has happened; what is decided on it comes back. */
-  public List<Decision> report(NetworkEvent happening) {
-    now = clock.now();
-    if (happening instanceof NetworkEvent.FlowEstablished up) {
-      up(up.flow());
-    } else if (happening instanceof NetworkEvent.LoadReported load) {
-      Entry entry = ledger.standing(load.flow());
+  /** Processes an event and returns the resulting decisions. */
+  public List<Decision> report(NetworkEvent event) {
+    nowMicros = clock.now();
+    if (event instanceof NetworkEvent.FlowEstablished established) {
+      flowEstablished(established.flow());
+    } else if (event instanceof NetworkEvent.LoadReported load) {
+      FlowEntry entry = flows.getEstablished(load.flow());
       if (entry != null) {
         entry.load = load.load();
-        note(entry, Balancer.NoteKind.LOAD, load.load());
+        noteToModule(entry, Balancer.NoteKind.LOAD, load.load());
       }
-    } else if (happening instanceof NetworkEvent.RequestRelayed asked) {
-      asked(ledger.standing(asked.flow()));
-    } else if (happening instanceof NetworkEvent.ResponseRelayed answered) {
-      answered(ledger.standing(answered.flow()));
-    } else if (happening instanceof NetworkEvent.ForwardEnded ended) {
-      ended(ended);
-    } else if (happening instanceof NetworkEvent.ClientDisconnected left) {
-      left(left.flow());
-    } else if (happening instanceof NetworkEvent.ProbeCompleted probed) {
+    } else if (event instanceof NetworkEvent.RequestRelayed request) {
+      requestRelayed(flows.getEstablished(request.flow()));
+    } else if (event instanceof NetworkEvent.ResponseRelayed response) {
+      responseRelayed(flows.getEstablished(response.flow()));
+    } else if (event instanceof NetworkEvent.ForwardEnded ended) {
+      forwardEnded(ended);
+    } else if (event instanceof NetworkEvent.ClientDisconnected disconnected) {
+      clientDisconnected(disconnected.flow());
+    } else if (event instanceof NetworkEvent.ProbeCompleted probed) {
       module.probed(
-          now, probed.target(), probed.outcome().status, probed.elapsedMicros(), probed.report());
-    } else if (happening instanceof NetworkEvent.TargetsListed listed) {
-      this.hasTargetList = true;
-      list(
+          nowMicros,
+          probed.target(),
+          probed.outcome().status,
+          probed.elapsedMicros(),
+          probed.report());
+    } else if (event instanceof NetworkEvent.TargetsListed listed) {
+      hasTargetList = true;
+      applyList(
           listed.list(),
           listed.list().isSnapshot() ? Balancer.ListKind.FULL : Balancer.ListKind.DELTA);
-    } else if (happening instanceof NetworkEvent.FetchFailed) {
-      module.servers(now, Balancer.ListKind.FAILED, List.of());
-    } else if (happening instanceof NetworkEvent.SettingsChanged configured) {
-      settings(configured.settings());
-      module.settings(now, settings);
-    } else if (happening instanceof NetworkEvent.StopRequested stopping) {
-      leave(lifecycle.stop(now, stopping.deadlineMicros()));
-    } else if (happening instanceof NetworkEvent.StandbyRequested) {
-      leave(lifecycle.handle(Event.STANDBY, now));
-    } else if (happening instanceof NetworkEvent.ActivationRequested) {
-      lifecycle.handle(Event.ACTIVE, now);
-    } else if (happening instanceof NetworkEvent.PredecessorReported predecessor) {
+    } else if (event instanceof NetworkEvent.FetchFailed) {
+      module.servers(nowMicros, Balancer.ListKind.FAILED, List.of());
+    } else if (event instanceof NetworkEvent.SettingsChanged changed) {
+      configure(changed.settings());
+      module.settings(nowMicros, settings);
+    } else if (event instanceof NetworkEvent.StopRequested stop) {
+      startDrain(lifecycle.stop(nowMicros, stop.deadlineMicros()));
+    } else if (event instanceof NetworkEvent.StandbyRequested) {
+      startDrain(lifecycle.handle(Event.STANDBY, nowMicros));
+    } else if (event instanceof NetworkEvent.ActivationRequested) {
+      lifecycle.handle(Event.ACTIVE, nowMicros);
+    } else if (event instanceof NetworkEvent.PredecessorReported predecessor) {
       if (!hasTargetList && !predecessor.targets().isEmpty()) {
-        // Its list is newer than the one that this process was started with.
-        list(new TargetList(0, true, predecessor.targets()), Balancer.ListKind.CACHED);
+        // The predecessor's list is newer than the one that this process was started with.
+        applyList(new TargetList(0, true, predecessor.targets()), Balancer.ListKind.CACHED);
       }
-      predecessors.holds(now, settings, predecessor.processId(), predecessor.connections());
-    } else if (happening instanceof NetworkEvent.SuccessorChanged succeeded) {
-      lifecycle.setSuccessorPresent(succeeded.isPresent());
-    } else if (happening instanceof NetworkEvent.BudgetShareChanged shared) {
+      predecessors.update(nowMicros, settings, predecessor.processId(), predecessor.connections());
+    } else if (event instanceof NetworkEvent.SuccessorChanged successor) {
+      lifecycle.setSuccessorPresent(successor.isPresent());
+    } else if (event instanceof NetworkEvent.BudgetShareChanged share) {
       module.share(
-          now,
+          nowMicros,
           new Balancer.Share(
-              shared.share(),
-              shared.baseShare(),
-              shared.rank(),
-              shared.participants(),
-              clock.ofNanos(shared.untilNanos())));
-    } else if (happening instanceof NetworkEvent.ServingStarted) {
-      lifecycle.handle(Event.SERVING, now);
-    } else if (happening instanceof NetworkEvent.SubsetChanged peers) {
-      subset = peers.subset();
-      module.own(now, subset == null ? null : subset.of(group.peers()));
+              share.share(),
+              share.baseShare(),
+              share.rank(),
+              share.participants(),
+              clock.fromNanos(share.untilNanos())));
+    } else if (event instanceof NetworkEvent.ServingStarted) {
+      lifecycle.handle(Event.SERVING, nowMicros);
+    } else if (event instanceof NetworkEvent.SubsetChanged changed) {
+      subset = changed.subset();
+      module.own(nowMicros, subset == null ? null : subset.of(targetGroup.peers()));
     }
-    return decided();
+    return takeDecisions();
   }
 
-  /** Does what is due at {@code at}, a time of the facade's clock. */
-  public List<Decision> tick(long at) {
-    now = Math.max(now, at);
-    for (Alarms.Alarm due = alarms.due(now); due != null; due = alarms.due(now)) {
-      ring(due);
+  /** Runs the timers that are due at {@code atMicros} and returns the resulting decisions. */
+  public List<Decision> tick(long atMicros) {
+    nowMicros = Math.max(nowMicros, atMicros);
+    for (TimerQueue.Timer due = timers.pollDue(nowMicros);
+        due != null;
+        due = timers.pollDue(nowMicros)) {
+      fire(due);
     }
-    return decided();
+    return takeDecisions();
   }
 
-  /** When {@link #tick} is next due, or Long.MAX_VALUE. */
+  /** Returns when {@link #tick} is next due, or {@link Long#MAX_VALUE} if no timer is pending. */
   public long nextTick() {
-    return alarms.next();
+    return timers.nextDueMicros();
   }
 
-  /** Flows without a final answer, and standing connections. */
+  /** Returns the number of flows without a final answer and of established connections. */
   public int openFlowCount() {
-    return ledger.size();
+    return flows.size();
   }
 
-  /** Flows that have come in so far, to be served for the first time. */
+  /** Returns the number of flows picked so far, without retries and reconnects. */
   public long newFlowCount() {
     return newFlowCount;
   }
 
-  /** Whether clients are taken: none is before any target is known. */
+  /** Whether clients are admitted, which requires that a target is known. */
   public boolean admitsClients() {
-    return lifecycle.admitsClients() && !group.isEmpty();
+    return lifecycle.admitsClients() && !targetGroup.isEmpty();
   }
 
-  /** Whether any target is known, so that clients could be served. */
+  /** Whether any target is known. */
   public boolean hasTargets() {
-    return !group.isEmpty();
+    return !targetGroup.isEmpty();
   }
 
-  /** Whether the whole list has come from discovery, so that what is known is no old one. */
+  /** Whether discovery has reported a target list to this process. */
   public boolean hasTargetList() {
     return hasTargetList;
   }
 
-  /** Whether the clients are to go elsewhere. */
+  /** Whether the proxy is moving its clients away or has done so. */
   public boolean isLeaving() {
     return lifecycle.state().isLeaving();
   }
 
-  /** What the proxy is now. */
+  /** Returns the state of the proxy. */
   public State state() {
     return lifecycle.state();
   }
 
-  /** What the module holds itself to now, as plain values. */
+  /** Returns a snapshot of the limits that the module applies. */
   public LimitsSnapshot limits() {
     return module.limits();
   }
 
-  private List<Decision> decided() {
-    // What the module itself ended: its outcome must not reach the module within its own call.
-    while (!owed.isEmpty()) {
-      Owed next = owed.remove();
-      outcome(next.entry(), next.ending(), next.closed());
+  private List<Decision> takeDecisions() {
+    // Outcomes of forwards that the module itself ended must not reach it within its own call.
+    while (!deferredOutcomes.isEmpty()) {
+      DeferredOutcome next = deferredOutcomes.remove();
+      reportOutcome(next.entry(), next.outcome(), next.isClosed());
     }
-    if (out.isEmpty()) {
-      // Most lines change nothing: they cost no list either.
+    if (decisions.isEmpty()) {
+      // Most relayed lines lead to no decision; they must not allocate a list.
       return List.of();
     }
-    List<Decision> decided = out;
-    out = new ArrayList<>();
+    List<Decision> decided = decisions;
+    decisions = new ArrayList<>();
     return decided;
   }
 
-  // ------------------------------------------------------------ life of a flow
-
-  private void up(long flow) {
-    Entry entry = ledger.get(flow);
-    if (entry == null || entry.stage != Entry.Stage.OUT) {
+  private void flowEstablished(long flow) {
+    FlowEntry entry = flows.get(flow);
+    if (entry == null || entry.stage != FlowEntry.Stage.FORWARDED) {
       return;
     }
-    entry.stage = Entry.Stage.UP;
+    entry.stage = FlowEntry.Stage.ESTABLISHED;
     if (entry.flow.resumeTarget() != null) {
-      module.resumed(now, entry.request, entry.target.name());
+      module.resumed(nowMicros, entry.request, entry.target.name());
     } else {
-      module.accepted(now, flow, entry.forwards - 1, entry.target.name(), now - entry.sentAt);
+      module.accepted(
+          nowMicros,
+          flow,
+          entry.forwardCount - 1,
+          entry.target.name(),
+          nowMicros - entry.sentAtMicros);
     }
   }
 
-  private void ended(NetworkEvent.ForwardEnded ended) {
-    Entry entry = ledger.get(ended.flow());
-    if (entry == null || entry.stage == Entry.Stage.HELD) {
+  private void forwardEnded(NetworkEvent.ForwardEnded ended) {
+    FlowEntry entry = flows.get(ended.flow());
+    if (entry == null || entry.stage == FlowEntry.Stage.PENDING) {
       return;
     }
-    if (entry.stage == Entry.Stage.UP) {
+    if (entry.stage == FlowEntry.Stage.ESTABLISHED) {
       if (ended.outcome() == Outcome.RESET) {
         LOG.info("connection-broken", flow(entry.flow.id()), target(entry.target.name()));
       }
-      ledger.close(entry);
-      outcome(entry, ended.outcome(), true);
+      flows.remove(entry);
+      reportOutcome(entry, ended.outcome(), true);
     } else {
       LOG.info(
           "forward-ended",
           flow(entry.flow.id()),
           target(entry.target.name()),
           value("ending", ended.outcome()));
-      entry.stage = Entry.Stage.HELD;
-      outcome(entry, ended.outcome(), false);
+      entry.stage = FlowEntry.Stage.PENDING;
+      reportOutcome(entry, ended.outcome(), false);
     }
   }
 
-  private void left(long flow) {
-    Entry entry = ledger.get(flow);
+  private void clientDisconnected(long flow) {
+    FlowEntry entry = flows.get(flow);
     if (entry == null) {
       return;
     }
-    ledger.close(entry);
-    if (entry.stage == Entry.Stage.UP) {
-      outcome(entry, Outcome.CANCELLED, true);
+    flows.remove(entry);
+    if (entry.stage == FlowEntry.Stage.ESTABLISHED) {
+      reportOutcome(entry, Outcome.CANCELLED, true);
       return;
     }
     if (entry.flow.resumeTarget() == null) {
-      module.lapsed(now, flow);
+      module.lapsed(nowMicros, flow);
     }
-    if (entry.stage == Entry.Stage.OUT) {
-      out.add(new Decision.Cancel(flow));
-      outcome(entry, Outcome.CANCELLED, true);
+    if (entry.stage == FlowEntry.Stage.FORWARDED) {
+      decisions.add(new Decision.Cancel(flow));
+      reportOutcome(entry, Outcome.CANCELLED, true);
     }
   }
 
-  /** The one place where a forward's outcome reaches the module. */
-  private void outcome(Entry entry, Outcome ending, boolean closed) {
-    if (entry.flow.resumeTarget() != null && entry.stage != Entry.Stage.UP) {
-      if (!closed) {
-        retryRejoin(entry, ending);
+  /**
+   * Reports an outcome to the module. All outcomes of forwards go through this method.
+   *
+   * @param isClosed whether the flow has its final answer
+   */
+  private void reportOutcome(FlowEntry entry, Outcome outcome, boolean isClosed) {
+    if (entry.flow.resumeTarget() != null && entry.stage != FlowEntry.Stage.ESTABLISHED) {
+      if (!isClosed) {
+        retryResume(entry, outcome);
       }
       return;
     }
-    if (!ending.status.neverRan) {
-      entry.mayHaveRun();
+    if (!outcome.status.neverRan) {
+      entry.markMayHaveRun();
     }
     module.outcome(
-        now,
+        nowMicros,
         new Balancer.Outcome(
             entry.flow.id(),
-            entry.attempt(),
+            entry.attemptNumber(),
             entry.target.name(),
-            ending.status,
-            now - entry.sentAt,
-            closed,
+            outcome.status,
+            nowMicros - entry.sentAtMicros,
+            isClosed,
             List.of()));
   }
 
-  private void forward(Entry entry, Target target, long until) {
-    entry.stage = Entry.Stage.OUT;
-    entry.forwards++;
+  private void forward(FlowEntry entry, Target target, long answerDeadlineMicros) {
+    entry.stage = FlowEntry.Stage.FORWARDED;
+    entry.forwardCount++;
     entry.target = target;
-    entry.sentAt = now;
-    alarms.set(until, Alarms.Kind.FORWARD_DUE, entry.flow.id(), entry.forwards);
-    out.add(new Decision.Forward(entry.flow.id(), target, until, entry.sendBy()));
+    entry.sentAtMicros = nowMicros;
+    timers.schedule(
+        answerDeadlineMicros, TimerQueue.Kind.FORWARD_DUE, entry.flow.id(), entry.forwardCount);
+    decisions.add(
+        new Decision.Forward(
+            entry.flow.id(), target, answerDeadlineMicros, entry.sendDeadlineMicros()));
   }
 
-  // --------------------------- connections that were open before this proxy
-
-  /** Goes to the connection's own target; the module hears of it once it stands again. */
-  private void rejoin(Entry entry) {
-    Target target = group.get(entry.flow.resumeTarget());
+  /**
+   * Forwards a connection from before this proxy's start to its own target. The module is informed
+   * once the connection is established again.
+   */
+  private void resume(FlowEntry entry) {
+    Target target = targetGroup.get(entry.flow.resumeTarget());
     if (target != null) {
-      forward(entry, target, entry.deadline);
+      forward(entry, target, entry.deadlineMicros);
     } else {
-      alarms.set(now + REJOIN_PAUSE, Alarms.Kind.REJOIN, entry.flow.id());
+      timers.schedule(
+          nowMicros + RESUME_RETRY_DELAY_MICROS, TimerQueue.Kind.REJOIN, entry.flow.id());
     }
   }
 
-  private void retryRejoin(Entry entry, Outcome ending) {
-    boolean again =
-        ending == Outcome.CONNECT_FAILED
-            && now + REJOIN_PAUSE < entry.deadline
-            && entry.forwards < entry.settings.limits().maxAttempts();
-    if (again) {
-      alarms.set(now + REJOIN_PAUSE, Alarms.Kind.REJOIN, entry.flow.id());
+  private void retryResume(FlowEntry entry, Outcome outcome) {
+    boolean shouldRetry =
+        outcome == Outcome.CONNECT_FAILED
+            && nowMicros + RESUME_RETRY_DELAY_MICROS < entry.deadlineMicros
+            && entry.forwardCount < entry.settings.limits().maxAttempts();
+    if (shouldRetry) {
+      timers.schedule(
+          nowMicros + RESUME_RETRY_DELAY_MICROS, TimerQueue.Kind.REJOIN, entry.flow.id());
     } else {
-      ledger.close(entry);
-      out.add(
-          ending.status.neverRan
+      flows.remove(entry);
+      decisions.add(
+          outcome.status.neverRan
               ? new Decision.FixedResponse(entry.flow.id(), 0)
               : new Decision.Fail(entry.flow.id()));
     }
   }
 
-  // --------------------------------------------------- lines and their delay
-
-  private void asked(Entry entry) {
-    if (entry != null && entry.askedAt == 0) {
-      entry.askedAt = now;
-      if (!entry.watched) {
-        // One for each connection and not for each line: thousands a second would pile up here.
-        entry.watched = true;
-        alarms.set(now + UNANSWERED_LIMIT, Alarms.Kind.UNANSWERED, entry.flow.id());
+  private void requestRelayed(FlowEntry entry) {
+    if (entry != null && entry.requestAtMicros == 0) {
+      entry.requestAtMicros = nowMicros;
+      if (!entry.hasUnansweredTimer) {
+        // One timer per connection, not per line: with thousands of lines a second, timers that
+        // cannot be cancelled would accumulate.
+        entry.hasUnansweredTimer = true;
+        timers.schedule(
+            nowMicros + UNANSWERED_LIMIT_MICROS, TimerQueue.Kind.UNANSWERED, entry.flow.id());
       }
     }
   }
 
-  private void answered(Entry entry) {
-    if (entry == null || entry.askedAt == 0) {
+  private void responseRelayed(FlowEntry entry) {
+    if (entry == null || entry.requestAtMicros == 0) {
       return;
     }
-    double millis = (now - entry.askedAt) / (double) MILLI;
-    entry.askedAt = 0;
-    if (delays.tells(now, entry.target.name(), millis)) {
-      note(entry, Balancer.NoteKind.DELAY, millis);
+    double millis = (nowMicros - entry.requestAtMicros) / (double) MICROS_PER_MILLI;
+    entry.requestAtMicros = 0;
+    if (responseDelays.shouldReport(nowMicros, entry.target.name(), millis)) {
+      noteToModule(entry, Balancer.NoteKind.DELAY, millis);
     }
   }
 
-  private void note(Entry entry, Balancer.NoteKind kind, double value) {
-    module.note(now, entry.flow.id(), entry.attempt(), entry.target.name(), kind, value);
+  private void noteToModule(FlowEntry entry, Balancer.NoteKind kind, double value) {
+    module.note(
+        nowMicros, entry.flow.id(), entry.attemptNumber(), entry.target.name(), kind, value);
   }
 
-  // ------------------------------------------------------------------- alarms
-
-  private void ring(Alarms.Alarm alarm) {
-    if (alarm.kind() == Alarms.Kind.MODULE) {
-      module.timer(now, alarm.subject());
+  private void fire(TimerQueue.Timer timer) {
+    if (timer.kind() == TimerQueue.Kind.MODULE) {
+      module.timer(nowMicros, timer.subject());
       return;
     }
-    if (alarm.kind() == Alarms.Kind.LEAVE) {
-      if (alarm.subject() == lifecycle.drainNumber()) {
-        step();
+    if (timer.kind() == TimerQueue.Kind.LEAVE) {
+      if (timer.subject() == lifecycle.drainNumber()) {
+        drainStep();
       }
       return;
     }
-    Entry entry = ledger.get(alarm.subject());
+    FlowEntry entry = flows.get(timer.subject());
     if (entry == null) {
       return;
     }
-    switch (alarm.kind()) {
+    switch (timer.kind()) {
       case FORWARD_DUE -> {
-        if (entry.stage == Entry.Stage.OUT && entry.forwards == alarm.forward()) {
+        if (entry.stage == FlowEntry.Stage.FORWARDED
+            && entry.forwardCount == timer.forwardNumber()) {
           LOG.info("forward-unanswered", flow(entry.flow.id()), target(entry.target.name()));
-          entry.stage = Entry.Stage.HELD;
-          out.add(new Decision.Cancel(entry.flow.id()));
-          outcome(entry, Outcome.TIMED_OUT, false);
+          entry.stage = FlowEntry.Stage.PENDING;
+          decisions.add(new Decision.Cancel(entry.flow.id()));
+          reportOutcome(entry, Outcome.TIMED_OUT, false);
         }
       }
       case ANSWER_DUE -> {
-        // Guards the one rule that no client may break for us: an answer before it gives up.
-        if (entry.stage != Entry.Stage.UP) {
+        // Whatever the module does, a client must get its answer before it times out.
+        if (entry.stage != FlowEntry.Stage.ESTABLISHED) {
           LOG.warn("deadline-passed", flow(entry.flow.id()));
-          giveUp(entry);
+          answerUnserved(entry);
         }
       }
       case UNANSWERED -> {
-        entry.watched = false;
-        if (entry.stage == Entry.Stage.UP && entry.askedAt > 0) {
-          if (now - entry.askedAt >= UNANSWERED_LIMIT) {
+        entry.hasUnansweredTimer = false;
+        if (entry.stage == FlowEntry.Stage.ESTABLISHED && entry.requestAtMicros > 0) {
+          if (nowMicros - entry.requestAtMicros >= UNANSWERED_LIMIT_MICROS) {
             LOG.info("connection-silent", flow(entry.flow.id()), target(entry.target.name()));
-            ledger.close(entry);
-            out.add(new Decision.Move(entry.flow.id()));
-            outcome(entry, Outcome.RESET, true);
+            flows.remove(entry);
+            decisions.add(new Decision.Move(entry.flow.id()));
+            reportOutcome(entry, Outcome.RESET, true);
           } else {
-            entry.watched = true;
-            alarms.set(entry.askedAt + UNANSWERED_LIMIT, Alarms.Kind.UNANSWERED, entry.flow.id());
+            entry.hasUnansweredTimer = true;
+            timers.schedule(
+                entry.requestAtMicros + UNANSWERED_LIMIT_MICROS,
+                TimerQueue.Kind.UNANSWERED,
+                entry.flow.id());
           }
         }
       }
       case REJOIN -> {
-        if (entry.stage == Entry.Stage.HELD) {
-          rejoin(entry);
+        if (entry.stage == FlowEntry.Stage.PENDING) {
+          resume(entry);
         }
       }
-      default -> throw new IllegalStateException("no such alarm: " + alarm.kind());
+      default -> throw new IllegalStateException("unexpected timer: " + timer.kind());
     }
   }
 
   /**
-   * Answers a flow that is held no longer. The module says how: one whose forward may have run must
-   * not be told that trying again is harmless, unless it is.
+   * Gives a flow that is not served its final answer. The module chooses the answer: where a
+   * forward may have run, the client must not be told that a retry is harmless, unless it is.
    */
-  private void giveUp(Entry entry) {
+  private void answerUnserved(FlowEntry entry) {
     if (entry.flow.resumeTarget() == null) {
-      module.giveUp(now, entry.flow.id());
+      module.giveUp(nowMicros, entry.flow.id());
     }
-    if (ledger.get(entry.flow.id()) != entry) {
+    if (flows.get(entry.flow.id()) != entry) {
       return;
     }
-    // A connection that was open before this proxy is none of the module's.
-    ledger.close(entry);
-    if (entry.stage == Entry.Stage.OUT) {
-      out.add(new Decision.Cancel(entry.flow.id()));
-      out.add(new Decision.Fail(entry.flow.id()));
+    // The module does not know connections from before this proxy's start.
+    flows.remove(entry);
+    if (entry.stage == FlowEntry.Stage.FORWARDED) {
+      decisions.add(new Decision.Cancel(entry.flow.id()));
+      decisions.add(new Decision.Fail(entry.flow.id()));
     } else {
-      out.add(new Decision.FixedResponse(entry.flow.id(), retryMillis()));
+      decisions.add(new Decision.FixedResponse(entry.flow.id(), retryAfterMillis()));
     }
   }
 
-  /** Who leaves knows when its clients reach another proxy; else no better time is known. */
-  private long retryMillis() {
+  /**
+   * Returns the retry hint for a refused client. Only a proxy that is leaving knows when the client
+   * would reach another proxy; otherwise the hint is 0.
+   */
+  private long retryAfterMillis() {
     Balancer.Limits limits = settings.limits();
     return limits.retryAfter()
-        ? Math.min(lifecycle.retryDelayMicros(now), limits.maxRetryAfter()) / MILLI
+        ? Math.min(lifecycle.retryDelayMicros(nowMicros), limits.maxRetryAfter()) / MICROS_PER_MILLI
         : 0;
   }
 
   /**
-   * Whether a forward that was decided earlier may still be sent to its target: one that has begun
-   * to leave while its connect was under way takes nothing new.
+   * Whether the target still accepts new flows. A forward must not be sent to a target that began
+   * to drain while the connect was in progress.
    */
   public boolean isServing(String target) {
-    return group.serves(target);
+    return targetGroup.isServing(target);
   }
 
-  /** The target group as discovery told it. */
+  /** Returns the target group as discovery last reported it. */
   public List<TargetList.Entry> targets() {
-    return group.told();
+    return targetGroup.entries();
   }
 
-  /** How many connections of predecessors the module is told of. */
+  /** Returns how many connections of predecessors the module counts. */
   int predecessorConnectionCount() {
-    return predecessors.counted();
+    return predecessors.connectionCount();
   }
 
-  /** The connections that stand here. */
+  /** Returns the established connections of this process. */
   public List<EstablishedConnection> establishedConnections() {
-    return ledger.standing();
+    return flows.establishedConnections();
   }
 
-  // ---------------------------------------------------------------- departure
-
-  private void leave(boolean begun) {
-    if (begun) {
-      DrainSchedule departure = lifecycle.drainSchedule();
+  private void startDrain(boolean hasBegun) {
+    if (hasBegun) {
+      DrainSchedule schedule = lifecycle.drainSchedule();
       LOG.info(
           "departure-planned",
           value("state", lifecycle.state()),
-          value("flows", ledger.size()),
-          value("from_ms", departure.untilFirst(now, ledger.size()) / MILLI),
-          value("to_ms", departure.untilEnd(now) / MILLI));
-      alarms.set(now, Alarms.Kind.LEAVE, lifecycle.drainNumber());
+          value("flows", flows.size()),
+          value(
+              "from_ms", schedule.microsUntilFirstMove(nowMicros, flows.size()) / MICROS_PER_MILLI),
+          value("to_ms", schedule.microsUntilEnd(nowMicros) / MICROS_PER_MILLI));
+      timers.schedule(nowMicros, TimerQueue.Kind.LEAVE, lifecycle.drainNumber());
     }
   }
 
   /**
-   * Takes the departure one step on: clients are moved, and flows that wait are refused, when the
-   * plan says so. What waits goes first, since nobody serves it here. A forward that is out may
-   * still be answered until the end.
+   * Performs one step of the drain: moves clients and refuses pending flows, as many as the
+   * schedule asks for. Pending flows go first, since this proxy does not serve them. An outstanding
+   * forward may still be answered until the end of the schedule.
    */
-  private void step() {
-    List<Entry> going = ledger.toSendAway();
-    DrainSchedule.Step step = lifecycle.step(now, going.size(), ledger.size());
+  private void drainStep() {
+    List<FlowEntry> candidates = flows.drainOrder();
+    DrainSchedule.Step step = lifecycle.step(nowMicros, candidates.size(), flows.size());
     if (step == null) {
       return;
     }
-    going.stream().limit(step.count()).forEach(this::sendAway);
-    if (lifecycle.refusesClients(now)) {
-      ledger.all().forEach(this::sendAway);
+    candidates.stream().limit(step.count()).forEach(this::drainFlow);
+    if (lifecycle.refusesClients(nowMicros)) {
+      flows.openFlows().forEach(this::drainFlow);
     }
     if (lifecycle.drainSchedule() == null) {
       LOG.info("drained");
     } else {
-      alarms.set(step.next(), Alarms.Kind.LEAVE, lifecycle.drainNumber());
+      timers.schedule(step.nextMicros(), TimerQueue.Kind.LEAVE, lifecycle.drainNumber());
     }
   }
 
-  private void sendAway(Entry entry) {
-    if (entry.stage == Entry.Stage.UP) {
-      moveAway(entry);
+  private void drainFlow(FlowEntry entry) {
+    if (entry.stage == FlowEntry.Stage.ESTABLISHED) {
+      move(entry);
     } else {
-      giveUp(entry);
+      answerUnserved(entry);
     }
   }
 
-  private void moveAway(Entry entry) {
-    ledger.close(entry);
-    out.add(new Decision.Move(entry.flow.id()));
-    owed.add(new Owed(entry, Outcome.CANCELLED, true));
+  private void move(FlowEntry entry) {
+    flows.remove(entry);
+    decisions.add(new Decision.Move(entry.flow.id()));
+    deferredOutcomes.add(new DeferredOutcome(entry, Outcome.CANCELLED, true));
   }
 
-  // ------------------------------------------------------------- target group
-
-  private void list(TargetList list, Balancer.ListKind kind) {
-    List<Balancer.ServerEntry> entries = group.take(list, kind, delays::forget);
+  private void applyList(TargetList list, Balancer.ListKind kind) {
+    List<Balancer.ServerEntry> entries = targetGroup.apply(list, kind, responseDelays::forget);
     if (subset != null) {
-      module.own(now, subset.of(group.peers()));
+      module.own(nowMicros, subset.of(targetGroup.peers()));
     }
-    module.servers(now, kind, entries);
+    module.servers(nowMicros, kind, entries);
   }
 
-  /** Turns the module's actions into decisions, against the ledger. */
-  private final class Collector implements Balancer.Actions {
+  /** Turns the module's actions into decisions, checked against the table of open flows. */
+  private final class ActionCollector implements Balancer.Actions {
     @Override
     public void send(long id, String server, long abandonAt) {
-      Entry entry = ledger.get(id);
-      Target target = group.get(server);
-      if (entry == null || entry.stage != Entry.Stage.HELD || target == null) {
-        throw new IllegalStateException("no forward of flow " + id + " to " + server + " may go");
+      FlowEntry entry = flows.get(id);
+      Target target = targetGroup.get(server);
+      if (entry == null || entry.stage != FlowEntry.Stage.PENDING || target == null) {
+        throw new IllegalStateException("the module may not forward flow " + id + " to " + server);
       }
-      forward(entry, target, abandonAt > 0 ? Math.min(abandonAt, entry.deadline) : entry.deadline);
+      forward(
+          entry,
+          target,
+          abandonAt > 0 ? Math.min(abandonAt, entry.deadlineMicros) : entry.deadlineMicros);
     }
 
     @Override
     public void refuse(long id, long retryAfter) {
-      if (answer(id)) {
-        long millis = (retryAfter + MILLI - 1) / MILLI;
-        out.add(new Decision.FixedResponse(id, Math.max(millis, retryMillis())));
+      if (closeUnanswered(id)) {
+        long millis = (retryAfter + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+        decisions.add(new Decision.FixedResponse(id, Math.max(millis, retryAfterMillis())));
       }
     }
 
     @Override
     public void fail(long id) {
-      if (answer(id)) {
-        out.add(new Decision.Fail(id));
+      if (closeUnanswered(id)) {
+        decisions.add(new Decision.Fail(id));
       }
     }
 
-    private boolean answer(long id) {
-      Entry entry = ledger.get(id);
-      if (entry == null || entry.stage == Entry.Stage.UP) {
+    private boolean closeUnanswered(long id) {
+      FlowEntry entry = flows.get(id);
+      if (entry == null || entry.stage == FlowEntry.Stage.ESTABLISHED) {
         return false;
       }
-      ledger.close(entry);
-      if (entry.stage == Entry.Stage.OUT) {
-        out.add(new Decision.Cancel(id));
-        owed.add(new Owed(entry, Outcome.CANCELLED, true));
+      flows.remove(entry);
+      if (entry.stage == FlowEntry.Stage.FORWARDED) {
+        decisions.add(new Decision.Cancel(id));
+        deferredOutcomes.add(new DeferredOutcome(entry, Outcome.CANCELLED, true));
       }
       return true;
     }
 
     @Override
     public void cancel(long id, int attempt) {
-      Entry entry = ledger.get(id);
-      if (entry != null && entry.stage == Entry.Stage.OUT && entry.forwards == attempt + 1) {
-        entry.stage = Entry.Stage.HELD;
-        out.add(new Decision.Cancel(id));
-        owed.add(new Owed(entry, Outcome.CANCELLED, false));
+      FlowEntry entry = flows.get(id);
+      if (entry != null
+          && entry.stage == FlowEntry.Stage.FORWARDED
+          && entry.forwardCount == attempt + 1) {
+        entry.stage = FlowEntry.Stage.PENDING;
+        decisions.add(new Decision.Cancel(id));
+        deferredOutcomes.add(new DeferredOutcome(entry, Outcome.CANCELLED, false));
       }
     }
 
     @Override
     public void move(long id) {
-      Entry entry = ledger.standing(id);
+      FlowEntry entry = flows.getEstablished(id);
       if (entry != null) {
         LOG.info("connection-moved", flow(id), target(entry.target.name()));
-        moveAway(entry);
+        Decider.this.move(entry);
       }
     }
 
     @Override
     public void timer(long delay, long token) {
-      alarms.set(now + delay, Alarms.Kind.MODULE, token);
+      timers.schedule(nowMicros + delay, TimerQueue.Kind.MODULE, token);
     }
 
     @Override
     public void probe(String server) {
-      Target target = group.get(server);
+      Target target = targetGroup.get(server);
       if (target != null) {
-        out.add(new Decision.Probe(target));
+        decisions.add(new Decision.Probe(target));
       }
     }
 
     @Override
     public void watch(boolean on) {
-      out.add(new Decision.Watch(on));
+      decisions.add(new Decision.Watch(on));
     }
 
     @Override
     public void fetch() {
-      out.add(new Decision.Fetch());
+      decisions.add(new Decision.Fetch());
     }
 
     @Override
     public void tell(int peer, byte[] message) {
-      throw new UnsupportedOperationException("proxies have no way to talk to each other");
+      throw new UnsupportedOperationException("the module may not send messages to other proxies");
     }
 
     @Override
--- a/src/main/java/brassbank/decide/Decision.java
+++ b/src/main/java/brassbank/decide/Decision.java
@@ -1,37 +1,46 @@
 package brassbank.decide;
 
-/** What is to be done now, in the order given. A decision that names no flow concerns the proxy. */
+/**
+ * An action to be carried out, in the order returned by the facade. A decision without a flow
+ * concerns the proxy as a whole.
+ */
 public sealed interface Decision {
 
   /**
-   * Send the flow to this target and wait for its answer (times of this facade's clock).
+   * Forward the flow to the target and wait for its answer. Times are microseconds of the facade's
+   * clock.
    *
-   * @param until the answer is waited for
-   * @param sendBy the line is sent, or not at all
+   * @param answerDeadlineMicros how long to wait for the answer
+   * @param sendDeadlineMicros the line must not be sent after this time
    */
-  record Forward(long flow, Target target, long until, long sendBy) implements Decision {}
+  record Forward(long flow, Target target, long answerDeadlineMicros, long sendDeadlineMicros)
+      implements Decision {}
 
-  /** Final answer: not served, and trying again is harmless; after {@code retryMillis} if not 0. */
-  record FixedResponse(long flow, long retryMillis) implements Decision {}
+  /**
+   * Final answer: the flow is not served, and a retry is harmless.
+   *
+   * @param retryAfterMillis how long the client should wait before it retries, 0 for no hint
+   */
+  record FixedResponse(long flow, long retryAfterMillis) implements Decision {}
 
-  /** Final answer: not served, and nothing is promised. */
+  /** Final answer: the flow is not served, and it may or may not have run. */
   record Fail(long flow) implements Decision {}
 
-  /** Give up the forward that is out. Its outcome is known here: nothing is to be reported. */
+  /** Cancel the outstanding forward. Its outcome is known to the facade and is not reported. */
   record Cancel(long flow) implements Decision {}
 
-  /** Ask the client of a standing connection to come again, and end both sides. */
+  /** Ask the client of an established connection to reconnect, and close both sides. */
   record Move(long flow) implements Decision {}
 
-  /** Nothing yet: a later tick or report decides on the flow. */
+  /** No decision yet: a later tick or report decides on the flow. */
   record Hold(long flow) implements Decision {}
 
-  /** Ask a target for its load. */
+  /** Probe a target for its load. */
   record Probe(Target target) implements Decision {}
 
-  /** Keep a watch on the target group, or end it. */
-  record Watch(boolean on) implements Decision {}
+  /** Start or stop watching the target group. */
+  record Watch(boolean enabled) implements Decision {}
 
-  /** Ask for the whole target group once. */
+  /** Fetch the whole target group once. */
   record Fetch() implements Decision {}
 }
--- a/src/main/java/brassbank/decide/EstablishedConnection.java
+++ b/src/main/java/brassbank/decide/EstablishedConnection.java
@@ -1,14 +1,15 @@
 package brassbank.decide;
 
 /**
- * A connection that stands, as another process of the same proxy must know it to count it.
+ * An established connection, as reported to other processes of the same proxy so that they can
+ * count it.
  *
- * @param id its number in the process that holds it
- * @param tenant or null
- * @param group what it shares work with, or null
- * @param loadHint its client's guess at its load, 0 for none
- * @param target the name of its target
- * @param load as the target told it last, NaN where it has not
+ * @param id the flow's number in the process that holds the connection
+ * @param tenant the flow's tenant, or null
+ * @param group the name of the group of flows that share work on a target, or null
+ * @param loadHint the client's estimate of its load, 0 for none
+ * @param target the name of the target
+ * @param load the load that the target last reported, NaN before the first report
  */
 public record EstablishedConnection(
     long id,
--- a/src/main/java/brassbank/decide/FlowClock.java
+++ b/src/main/java/brassbank/decide/FlowClock.java
@@ -3,71 +3,77 @@
 import brassbank.sources.Clock;
 
 /**
- * The module's clock: microseconds that never go back, near Unix time.
+ * The clock of the facade and of the decision module: microseconds that never go back, close to
+ * Unix time when the process starts.
  *
- * <p>Unix times that discovery tells are mapped by the wall clock. That may be stepped: put
- * forward, it makes a target that has just started look as if it had been warm for long, and the
- * proxies together push it over. So of the wall clock's distances from the steady one that were
- * seen within the last two minutes, the least counts, by which a target is younger rather than
- * older; the figure is far above any warm-up. A step does no lasting harm.
+ * <p>Start times of targets, which discovery reports as Unix times, are converted by means of the
+ * wall clock. The wall clock may be stepped: when it is set forward, a target that has just started
+ * looks as if it had long been warm, and all proxies together would overload it. The conversion
+ * therefore uses the smallest offset between the wall clock and the monotonic clock within the last
+ * one to two minutes, which makes a target look younger rather than older. The window is far longer
+ * than any warm-up, so that a step has no lasting effect.
+ *
+ * <p>Not thread-safe.
  */
 public final class FlowClock {
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
-  /** The wall clock is looked at each second, whenever {@link #now} is asked for. */
-  private static final long LOOK_EVERY = SECOND;
+  /** How often {@link #now} samples the wall clock. */
+  private static final long SAMPLE_INTERVAL_MICROS = MICROS_PER_SECOND;
 
-  /** A distance is remembered for one to two of these. */
-  private static final long WINDOW = 60 * SECOND;
+  /** An offset is remembered for one to two windows. */
+  private static final long WINDOW_MICROS = 60 * MICROS_PER_SECOND;
 
   private final Clock clock;
   private final long startNanos;
-  private final long base;
+  private final long startMicros;
+
+  /** The smallest offset of the wall clock from this clock in the current window. */
+  private long minOffset;
 
-  /** The wall clock's time minus this clock's, in microseconds: the least of both windows. */
-  private long least;
+  /** The smallest offset in the previous window. */
+  private long previousMinOffset;
 
-  private long leastBefore;
-  private long windowSince;
-  private long lookedAt;
+  private long windowStart;
+  private long sampledAt;
 
   public FlowClock(Clock clock) {
     this.clock = clock;
     startNanos = clock.nanos();
-    base = clock.unixMillis() * 1000;
-    windowSince = base;
-    lookedAt = base;
+    startMicros = clock.unixMillis() * 1000;
+    windowStart = startMicros;
+    sampledAt = startMicros;
   }
 
-  /** Microseconds; also sees to it that a step of the wall clock is noticed. */
+  /** Returns the time in microseconds, and samples the wall clock if a sample is due. */
   public long now() {
-    long now = base + (clock.nanos() - startNanos) / 1000;
-    if (now - lookedAt >= LOOK_EVERY) {
-      look(now);
+    long now = startMicros + (clock.nanos() - startNanos) / 1000;
+    if (now - sampledAt >= SAMPLE_INTERVAL_MICROS) {
+      sampleWallClock(now);
     }
     return now;
   }
 
-  /** This clock's time for one of the steady clock's. */
-  long ofNanos(long nanos) {
-    return base + (nanos - startNanos) / 1000;
+  /** Converts a time of the monotonic clock, in nanoseconds, to this clock. */
+  long fromNanos(long nanos) {
+    return startMicros + (nanos - startNanos) / 1000;
   }
 
-  private void look(long now) {
-    lookedAt = now;
-    long distance = clock.unixMillis() * 1000 - now;
-    if (now - windowSince >= WINDOW) {
-      // After two windows without a look, what was seen before them is no longer of use.
-      leastBefore = now - windowSince >= 2 * WINDOW ? distance : least;
-      least = distance;
-      windowSince = now;
+  private void sampleWallClock(long now) {
+    sampledAt = now;
+    long offset = clock.unixMillis() * 1000 - now;
+    if (now - windowStart >= WINDOW_MICROS) {
+      // After two windows without a sample, the offsets of the earlier window are outdated.
+      previousMinOffset = now - windowStart >= 2 * WINDOW_MICROS ? offset : minOffset;
+      minOffset = offset;
+      windowStart = now;
     }
-    least = Math.min(least, distance);
+    minOffset = Math.min(minOffset, offset);
   }
 
-  /** This clock's time for a Unix time in milliseconds; 0 stays 0, which means long ago. */
-  long ofUnixMillis(long millis) {
-    look(now());
-    return millis <= 0 ? 0 : Math.max(1, millis * 1000 - Math.min(least, leastBefore));
+  /** Converts a Unix time in milliseconds to this clock; 0, which means long ago, stays 0. */
+  long fromUnixMillis(long millis) {
+    sampleWallClock(now());
+    return millis <= 0 ? 0 : Math.max(1, millis * 1000 - Math.min(minOffset, previousMinOffset));
   }
 }
--- a/src/main/java/brassbank/decide/Outcome.java
+++ b/src/main/java/brassbank/decide/Outcome.java
@@ -2,21 +2,27 @@
 
 import ashspar.Balancer;
 
-/** How a forward or a probe ended; whether it has run follows PROTOCOL's table. */
+/**
+ * How a forward, an established connection or a probe ended. The outcome also determines whether
+ * the target may have begun to serve the attempt, which decides if a repeat is harmless.
+ */
 public enum Outcome {
-  /** Served to its end, or a probe that was answered. */
+  /** The session was served to its end, or the probe was answered. */
   SERVED(Balancer.Status.OK),
-  /** The target answered with an error, or with a line that means nothing here. */
+  /** The target answered with an error or with an unknown line. */
   ERROR(Balancer.Status.ERROR),
-  /** Turned away by the target: it never ran. */
+  /** The target rejected the attempt, which never ran. */
   BUSY(Balancer.Status.FULL),
-  /** Refused, never up, or broken before the line's last byte was written: it never ran. */
+  /**
+   * The connect was refused or timed out, or the connection broke before the last byte of the line
+   * was written. The attempt never ran.
+   */
   CONNECT_FAILED(Balancer.Status.CONNECT_FAILED),
-  /** Broken after that: it may have run. */
+  /** The connection broke after the line was written. The attempt may have run. */
   RESET(Balancer.Status.RESET),
-  /** No answer in time: it may have run. */
+  /** No answer came in time. The attempt may have run. */
   TIMED_OUT(Balancer.Status.TIMEOUT),
-  /** The client left, or the target sent it away. */
+  /** The client disconnected, or the target asked it to reconnect elsewhere. */
   CANCELLED(Balancer.Status.CANCELLED);
 
   final Balancer.Status status;
--- a/src/main/java/brassbank/decide/Predecessors.java
+++ b/src/main/java/brassbank/decide/Predecessors.java
@@ -7,81 +7,89 @@
 import java.util.Map;
 
 /**
- * The connections that earlier generations of this proxy's process still hold. The module is told
- * of them as if they were this process's own: budgets are then not doubled, and the room that a
- * moved client leaves is known before the next report shows it. For one thread at a time.
+ * The connections that predecessors of this process still hold. The module counts them as this
+ * process's own: budgets are then not spent twice, and the capacity that a moved client frees is
+ * known before the target's next load report shows it. Not thread-safe.
  */
 final class Predecessors {
   private final Balancer module;
 
-  /** What each of them holds, by its flows' ids. */
-  private final Map<Long, Map<Long, EstablishedConnection>> shadows = new HashMap<>();
+  /** The connections of each predecessor, by process id and then by flow id. */
+  private final Map<Long, Map<Long, EstablishedConnection>> connectionsByProcess = new HashMap<>();
 
   Predecessors(Balancer module) {
     this.module = module;
   }
 
-  /** What the process holds from now on; nothing, where it has ended. */
-  void holds(
-      long now, Balancer.Settings settings, long process, List<EstablishedConnection> standing) {
-    Map<Long, EstablishedConnection> before =
-        shadows.computeIfAbsent(process, p -> new LinkedHashMap<>());
+  /**
+   * Replaces the connections of a predecessor and reports the differences to the module.
+   *
+   * @param connections what the predecessor holds now, empty if it has ended
+   */
+  void update(
+      long nowMicros,
+      Balancer.Settings settings,
+      long processId,
+      List<EstablishedConnection> connections) {
+    Map<Long, EstablishedConnection> current =
+        connectionsByProcess.computeIfAbsent(processId, p -> new LinkedHashMap<>());
     Map<Long, EstablishedConnection> next = new LinkedHashMap<>();
-    standing.forEach(one -> next.put(one.id(), one));
-    for (EstablishedConnection gone : before.values()) {
-      if (!next.containsKey(gone.id())) {
+    connections.forEach(connection -> next.put(connection.id(), connection));
+    for (EstablishedConnection closed : current.values()) {
+      if (!next.containsKey(closed.id())) {
         module.outcome(
-            now,
+            nowMicros,
             new Balancer.Outcome(
-                shadow(process, gone),
+                moduleFlowId(processId, closed),
                 0,
-                gone.target(),
+                closed.target(),
                 Outcome.SERVED.status,
                 0,
                 true,
                 List.of()));
       }
     }
-    before.keySet().retainAll(next.keySet());
-    for (EstablishedConnection one : standing) {
-      // A class that these settings do not know is none that the module could count.
-      if (settings.classes().stream().noneMatch(c -> c.name().equals(one.flowClass()))) {
+    current.keySet().retainAll(next.keySet());
+    for (EstablishedConnection connection : connections) {
+      // The module cannot count a flow whose class is not in these settings.
+      if (settings.classes().stream().noneMatch(c -> c.name().equals(connection.flowClass()))) {
         continue;
       }
-      long id = shadow(process, one);
-      EstablishedConnection known = before.put(one.id(), one);
+      long id = moduleFlowId(processId, connection);
+      EstablishedConnection known = current.put(connection.id(), connection);
       if (known == null) {
         module.resumed(
-            now,
+            nowMicros,
             new Balancer.Request(
                 id,
-                one.key(),
-                one.group(),
-                one.flowClass(),
-                one.tenant(),
+                connection.key(),
+                connection.group(),
+                connection.flowClass(),
+                connection.tenant(),
                 0,
-                one.loadHint(),
+                connection.loadHint(),
                 false,
                 true,
                 false),
-            one.target());
+            connection.target());
       }
-      if (one.load() >= 0 && (known == null || known.load() != one.load())) {
-        module.note(now, id, 0, one.target(), Balancer.NoteKind.LOAD, one.load());
+      if (connection.load() >= 0 && (known == null || known.load() != connection.load())) {
+        module.note(
+            nowMicros, id, 0, connection.target(), Balancer.NoteKind.LOAD, connection.load());
       }
     }
-    if (before.isEmpty()) {
-      shadows.remove(process);
+    if (current.isEmpty()) {
+      connectionsByProcess.remove(processId);
     }
   }
 
-  /** An id that no flow of this process's own has. */
-  private static long shadow(long process, EstablishedConnection one) {
-    return (process << 40) + one.id();
+  /** Returns an id for the module that no flow of this process has. */
+  private static long moduleFlowId(long processId, EstablishedConnection connection) {
+    return (processId << 40) + connection.id();
   }
 
-  /** How many connections the module is told of. */
-  int counted() {
-    return shadows.values().stream().mapToInt(Map::size).sum();
+  /** Returns how many connections of predecessors the module counts. */
+  int connectionCount() {
+    return connectionsByProcess.values().stream().mapToInt(Map::size).sum();
   }
 }
--- a/src/main/java/brassbank/decide/TargetGroup.java
+++ b/src/main/java/brassbank/decide/TargetGroup.java
@@ -13,55 +13,56 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The target group as discovery told it. For one thread at a time. */
+/** The target group as discovery last reported it. Not thread-safe. */
 final class TargetGroup {
   private static final Log LOG = Log.of("decide");
 
   private final FlowClock clock;
-  private final Map<String, Target> group = new HashMap<>();
-  private final Map<String, TargetList.Entry> told = new LinkedHashMap<>();
+  private final Map<String, Target> targets = new HashMap<>();
+  private final Map<String, TargetList.Entry> entries = new LinkedHashMap<>();
 
   TargetGroup(FlowClock clock) {
     this.clock = clock;
   }
 
-  /** Null where no such target is known. */
+  /** Returns the target of this name, or null if it is unknown. */
   Target get(String name) {
-    return group.get(name);
+    return targets.get(name);
   }
 
-  /** Whether the target takes new flows, as far as is known. */
-  boolean serves(String name) {
-    TargetList.Entry entry = told.get(name);
+  /** Whether discovery reports the target as accepting new flows. */
+  boolean isServing(String name) {
+    TargetList.Entry entry = entries.get(name);
     return entry != null && entry.status() == TargetList.Status.SERVING;
   }
 
   boolean isEmpty() {
-    return group.isEmpty();
+    return targets.isEmpty();
   }
 
-  /** As discovery told it; a copy. */
-  List<TargetList.Entry> told() {
-    return List.copyOf(told.values());
+  /** Returns a copy of the entries that discovery reported. */
+  List<TargetList.Entry> entries() {
+    return List.copyOf(entries.values());
   }
 
-  /** The targets by name and zone, for those who choose among them. */
+  /** Returns the names and zones of the targets, for the selection of a subset. */
   List<Peer> peers() {
-    return told.values().stream().map(entry -> new Peer(entry.name(), entry.zone())).toList();
+    return entries.values().stream().map(entry -> new Peer(entry.name(), entry.zone())).toList();
   }
 
   /**
-   * Takes a list over.
+   * Applies a list or a list of changes.
    *
-   * @param gone hears of those that are no longer there, in a list of changes
-   * @return the same for the module
+   * @param onRemoved receives the name of each target that the list reports as deleted
+   * @return the entries of the list in the module's form
    */
-  List<Balancer.ServerEntry> take(TargetList list, Balancer.ListKind kind, Consumer<String> gone) {
+  List<Balancer.ServerEntry> apply(
+      TargetList list, Balancer.ListKind kind, Consumer<String> onRemoved) {
     if (kind != Balancer.ListKind.DELTA) {
-      group.clear();
-      told.clear();
+      targets.clear();
+      entries.clear();
     }
-    List<Balancer.ServerEntry> entries = new ArrayList<>(list.entries().size());
+    List<Balancer.ServerEntry> servers = new ArrayList<>(list.entries().size());
     for (TargetList.Entry entry : list.entries()) {
       if (kind == Balancer.ListKind.DELTA) {
         LOG.info(
@@ -71,14 +72,14 @@
             value("since_ms", entry.startUnixMillis()));
       }
       if (entry.status() == TargetList.Status.DELETED) {
-        group.remove(entry.name());
-        told.remove(entry.name());
-        gone.accept(entry.name());
+        targets.remove(entry.name());
+        entries.remove(entry.name());
+        onRemoved.accept(entry.name());
       } else {
-        group.put(entry.name(), new Target(entry.name(), entry.address()));
-        told.put(entry.name(), entry);
+        targets.put(entry.name(), new Target(entry.name(), entry.address()));
+        entries.put(entry.name(), entry);
       }
-      entries.add(
+      servers.add(
           new Balancer.ServerEntry(
               entry.name(),
               entry.zone(),
@@ -86,9 +87,9 @@
               entry.group(),
               state(entry.status()),
               entry.weight(),
-              clock.ofUnixMillis(entry.startUnixMillis())));
+              clock.fromUnixMillis(entry.startUnixMillis())));
     }
-    return entries;
+    return servers;
   }
 
   private static Balancer.State state(TargetList.Status status) {
--- a/src/main/java/brassbank/decide/TargetList.java
+++ b/src/main/java/brassbank/decide/TargetList.java
@@ -9,9 +9,10 @@
 import java.util.List;
 
 /**
- * The target group as discovery sends it: all of it, or the entries that have changed.
+ * A target list as discovery sends it: the whole target group, or the entries that have changed.
  *
- * @param isSnapshot true where a target that is missing has been removed
+ * @param index the version of the target group at discovery
+ * @param isSnapshot whether the list is complete: a target that is not listed has been removed
  */
 public record TargetList(long index, boolean isSnapshot, List<Entry> entries) {
 
@@ -19,14 +20,19 @@
     entries = List.copyOf(entries);
   }
 
-  /** What discovery says of a target. */
+  /** The status of a target in discovery. */
   public enum Status {
     SERVING,
     DRAINING,
     DELETED
   }
 
-  /** One target; {@code sinceMillis} is the Unix time of its last start, 0 for long ago. */
+  /**
+   * One target.
+   *
+   * @param address where the target listens; null only if a deleted target is listed without one
+   * @param startUnixMillis the Unix time of the target's last start, 0 for long ago
+   */
   public record Entry(
       String name,
       InetSocketAddress address,
@@ -37,7 +43,11 @@
       double weight,
       long startUnixMillis) {}
 
-  /** Reads discovery's form; throws IllegalArgumentException on what is malformed. */
+  /**
+   * Parses a list in discovery's JSON form.
+   *
+   * @throws IllegalArgumentException if the list is malformed
+   */
   public static TargetList parse(JsonObject json) {
     try {
       List<Entry> entries = new ArrayList<>();
@@ -52,7 +62,7 @@
         | UnsupportedOperationException
         | ClassCastException
         | NullPointerException e) {
-      throw new IllegalArgumentException("no list of targets: " + e.getMessage(), e);
+      throw new IllegalArgumentException("malformed target list: " + e.getMessage(), e);
     }
   }
 
@@ -60,7 +70,7 @@
     Status status = Status.valueOf(json.get("status").getAsString());
     String name = json.get("name").getAsString();
     if (name.isEmpty()) {
-      throw new IllegalArgumentException("a target has no name");
+      throw new IllegalArgumentException("malformed target list: a target has an empty name");
     }
     InetSocketAddress address =
         status == Status.DELETED && !json.has("address")
@@ -77,18 +87,22 @@
         json.has("since_ms") ? json.get("since_ms").getAsLong() : 0);
   }
 
-  /** A numeric address and port; a host name is refused, since there is no DNS. */
+  /**
+   * Parses a numeric address and port. Host names are rejected, since there is no DNS.
+   *
+   * @throws IllegalArgumentException if the text is not of the form {@code address:port}
+   */
   public static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon);
     if (!host.matches("[0-9.]+|\\[?[0-9a-fA-F:]+\\]?")) {
-      throw new IllegalArgumentException("no numeric address:port: " + text);
+      throw new IllegalArgumentException("expected a numeric address:port, found " + text);
     }
     try {
       return new InetSocketAddress(
           InetAddress.getByName(host), Integer.parseInt(text.substring(colon + 1)));
     } catch (UnknownHostException e) {
-      throw new IllegalArgumentException("no address: " + text, e);
+      throw new IllegalArgumentException("invalid address: " + text, e);
     }
   }
 }
--- a/src/main/java/brassbank/decide/package-info.java
+++ b/src/main/java/brassbank/decide/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The facade in front of the decision module: pick, report and tick, all answered by their return
- * value. Nothing outside this package sees the module's events or actions.
+ * The blocking facade in front of the decision module {@code ashspar}: {@code pick}, {@code report}
+ * and {@code tick} return the resulting decisions. Nothing outside this package sees the module's
+ * events or actions.
  */
 package brassbank.decide;
--- a/src/main/java/brassbank/forward/Client.java
+++ b/src/main/java/brassbank/forward/Client.java
@@ -2,23 +2,30 @@
 
 import brassbank.net.Link;
 
-/** A flow's client, as its front speaks to it. Exactly one of the three answers is given. */
+/**
+ * The client of a flow, as its protocol implements it. Exactly one of {@link #establish}, {@link
+ * #refuse} and {@link #fail} is called. All methods are called on the event loop.
+ */
 public interface Client {
-  /** The first line for a target, which says how long the proxy will wait. */
+  /** Returns the first line for a target, which states how long the proxy waits for the answer. */
   String openingLine(long remainingMillis);
 
-  /** Served: passes the target's line on, and hands the client's link over. */
+  /** Relays the target's first line to the client and hands over the client's link. */
   Link establish(String line);
 
-  /** Refused: trying again is harmless, after so many milliseconds if not 0. */
+  /**
+   * Refuses the flow; a retry is harmless.
+   *
+   * @param retryMillis how long the client should wait before it retries, 0 for no hint
+   */
   void refuse(long retryMillis);
 
-  /** Failed. */
+  /** Fails the flow, which may or may not have run. */
   void fail();
 
-  /** The last line for a client that is to come again. */
+  /** Returns the final line for a client that is asked to reconnect. */
   String farewellLine();
 
-  /** The connection that stood after {@link #establish} is over. */
+  /** Called when the connection that was established by {@link #establish} has ended. */
   void flowEnded();
 }
--- a/src/main/java/brassbank/forward/Dispatcher.java
+++ b/src/main/java/brassbank/forward/Dispatcher.java
@@ -29,17 +29,19 @@
 import java.util.function.Supplier;
 
 /**
- * Where decisions meet the network: hands the facade what fronts, targets and discovery bring, and
- * carries out what it returns. Everything here runs on the selector thread.
+ * Connects the facade to the network: reports events from clients, targets and discovery to the
+ * facade, and carries out the decisions that it returns. Runs on the event loop.
  */
 public final class Dispatcher {
   private static final Log LOG = Log.of("dispatcher");
-  private static final long MILLI = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
 
-  /** What keeps the target group up to date. */
+  /** Supplies target lists, which it reports to the dispatcher as events. */
   public interface TargetSource {
-    void watch(boolean on);
+    /** Starts or stops watching the target group for changes. */
+    void watch(boolean enabled);
 
+    /** Fetches the whole target list once. */
     void fetch();
   }
 
@@ -50,15 +52,17 @@
   private long connectMicros;
   private final Prober prober;
   private final Map<Long, Session> sessions = new HashMap<>();
-  private final Deque<Decision> todo = new ArrayDeque<>();
-  private boolean carrying;
+  private final Deque<Decision> pendingDecisions = new ArrayDeque<>();
+  private boolean isExecuting;
 
-  /** Flows that hold a client's descriptor and will need a target's. */
+  /** Flows that hold a client's descriptor and will need one for a target. */
   private int flowsAwaitingTarget;
 
-  private TargetSource group;
+  private TargetSource targetSource;
   private Loop.Timer timer;
-  private long armedFor = Long.MAX_VALUE;
+
+  /** When the timer is due, Long.MAX_VALUE if there is none. */
+  private long armedForMicros = Long.MAX_VALUE;
 
   public Dispatcher(
       Decider decider,
@@ -76,86 +80,91 @@
     this.prober = new Prober(net, connectMicros, idleMicros, reportFields, this::probed);
   }
 
-  /** Begins with what the facade decided when it was made. */
-  public void start(TargetSource targetGroup) {
-    group = targetGroup;
+  /** Carries out the decisions that the facade made at its creation. */
+  public void start(TargetSource targetSource) {
+    this.targetSource = targetSource;
     tick();
   }
 
-  /** The settings have changed; what is under way goes on by the old ones. */
+  /** Applies changed settings; forwards and probes in progress continue under the old ones. */
   public void configure(
-      Balancer.Settings settings, long connect, long idle, List<String> reportFields) {
-    connectMicros = connect;
-    prober.settings(connect, idle, reportFields);
+      Balancer.Settings settings, long connectMicros, long idleMicros, List<String> reportFields) {
+    this.connectMicros = connectMicros;
+    prober.configure(connectMicros, idleMicros, reportFields);
     report(new NetworkEvent.SettingsChanged(settings));
   }
 
-  /** Whether clients are taken. */
+  /** Whether clients are admitted. */
   public boolean admitsClients() {
     return decider.admitsClients();
   }
 
-  /** Whether the clients are to go elsewhere. */
+  /** Whether the proxy is moving its clients away or has done so. */
   public boolean isLeaving() {
     return decider.isLeaving();
   }
 
-  /** How many flows will need a target's descriptor, and do not hold it yet. */
+  /** Returns how many flows will need a descriptor for a target and do not hold it yet. */
   public int flowsAwaitingTarget() {
     return flowsAwaitingTarget;
   }
 
-  /** A front's new flow; the client is told its answer. */
+  /** Submits a new flow, whose answer is passed to the client. */
   public void submit(Flow flow, Client client) {
     if (net.full(flowsAwaitingTarget)) {
-      // Without a descriptor there is nothing to decide: refused while there is room to say so.
-      // Flows that wait count with the target's descriptor that each of them will need: where all
-      // targets failed for a while, those that had been taken met the limit together afterwards.
+      // Without a descriptor for a target the flow cannot be forwarded, so it is refused while
+      // there
+      // is still a descriptor to answer with. Each waiting flow counts with the descriptor that it
+      // will need; otherwise flows accepted while all targets fail hit the limit together once the
+      // targets recover.
       client.refuse(0);
       return;
     }
     Session session = new Session(flow, client);
     sessions.put(flow.id(), session);
-    session.waits(true);
+    session.setAwaitingTarget(true);
     decide(() -> decider.pick(flow));
   }
 
-  /** A client has left before it had its answer. */
+  /** Withdraws a flow whose client has disconnected before its answer. */
   public void clientDisconnected(long flow) {
-    Session session = over(flow);
+    Session session = removeSession(flow);
     if (session != null && session.forward != null) {
       session.forward.cancel();
     }
     report(new NetworkEvent.ClientDisconnected(flow));
   }
 
-  /** The one place where a flow's session ends; null where it has ended before. */
-  private Session over(long flow) {
+  /** Removes and returns a flow's session, or returns null if it has already ended. */
+  private Session removeSession(long flow) {
     Session session = sessions.remove(flow);
     if (session != null) {
-      session.waits(false);
+      session.setAwaitingTarget(false);
     }
     return session;
   }
 
-  /** Tells the facade what has happened, which is twice for each line that is answered. */
-  public void report(NetworkEvent happening) {
+  /**
+   * Reports an event to the facade and carries out its decisions. Called twice for each relayed
+   * line that is answered, hence without the lambda of {@link #decide}.
+   */
+  public void report(NetworkEvent event) {
     List<Decision> decided = List.of();
     try {
-      decided = decider.report(happening);
+      decided = decider.report(event);
     } catch (RuntimeException e) {
       LOG.error("decision-failed", e);
     }
-    carryOut(decided);
+    execute(decided);
   }
 
-  private void probed(Target target, Outcome ending, long elapsedMicros, List<Double> report) {
-    report(new NetworkEvent.ProbeCompleted(target.name(), ending, elapsedMicros, report));
+  private void probed(Target target, Outcome outcome, long elapsedMicros, List<Double> report) {
+    report(new NetworkEvent.ProbeCompleted(target.name(), outcome, elapsedMicros, report));
   }
 
   private void tick() {
     timer = null;
-    armedFor = Long.MAX_VALUE;
+    armedForMicros = Long.MAX_VALUE;
     decide(() -> decider.tick(clock.now()));
   }
 
@@ -166,42 +175,45 @@
     } catch (RuntimeException e) {
       LOG.error("decision-failed", e);
     }
-    carryOut(decided);
+    execute(decided);
   }
 
-  /** Carrying a decision out may bring news at once: what follows from it waits for its turn. */
-  private void carryOut(List<Decision> decided) {
+  /**
+   * Carries out decisions in order. Carrying one out may report further events at once; the
+   * decisions on those are queued behind the current ones.
+   */
+  private void execute(List<Decision> decided) {
     if (!decided.isEmpty()) {
-      todo.addAll(decided);
+      pendingDecisions.addAll(decided);
     }
-    if (carrying) {
+    if (isExecuting) {
       return;
     }
-    carrying = true;
+    isExecuting = true;
     try {
-      for (Decision next = todo.poll(); next != null; next = todo.poll()) {
+      for (Decision next = pendingDecisions.poll(); next != null; next = pendingDecisions.poll()) {
         Decision decision = next;
-        Loop.guarded(() -> carryOut(decision));
+        Loop.guarded(() -> execute(decision));
       }
     } finally {
-      carrying = false;
-      arm();
+      isExecuting = false;
+      armTimer();
     }
   }
 
-  private void arm() {
+  private void armTimer() {
     long due = decider.nextTick();
-    if (due < armedFor) {
+    if (due < armedForMicros) {
       if (timer != null) {
         timer.cancel();
       }
-      armedFor = due;
+      armedForMicros = due;
       timer = net.loop().after(due - clock.now(), this::tick);
     }
   }
 
-  /** A decision on a flow whose client has left meanwhile finds no session and is void. */
-  private void carryOut(Decision decision) {
+  /** Carries out one decision, which is void if the flow's session has ended meanwhile. */
+  private void execute(Decision decision) {
     if (decision instanceof Decision.Forward forward) {
       Session session = sessions.get(forward.flow());
       if (session != null) {
@@ -211,90 +223,101 @@
       Session session = sessions.get(cancel.flow());
       if (session != null) {
         session.forward.cancel();
-        session.waits(true);
+        session.setAwaitingTarget(true);
       }
     } else if (decision instanceof Decision.FixedResponse fixed) {
-      Session session = over(fixed.flow());
+      Session session = removeSession(fixed.flow());
       if (session != null) {
-        session.client.refuse(fixed.retryMillis());
+        session.client.refuse(fixed.retryAfterMillis());
       }
     } else if (decision instanceof Decision.Fail fail) {
-      Session session = over(fail.flow());
+      Session session = removeSession(fail.flow());
       if (session != null) {
         session.client.fail();
       }
     } else if (decision instanceof Decision.Move move) {
-      Session session = over(move.flow());
+      Session session = removeSession(move.flow());
       if (session != null) {
-        // The flow's id is free once its connection has ended, and no sooner.
+        // The client's flow id becomes free only once its connection has ended.
         session.pair.farewell(session.client.farewellLine(), session.client::flowEnded);
       }
     } else if (decision instanceof Decision.Probe probe) {
       prober.probe(probe.target());
     } else if (decision instanceof Decision.Watch watch) {
-      group.watch(watch.on());
+      targetSource.watch(watch.enabled());
     } else if (decision instanceof Decision.Fetch) {
-      group.fetch();
+      targetSource.fetch();
     }
   }
 
-  /** One flow, from its first line to its final answer or to the end of its connection. */
+  /** One flow, from its submission to its final answer or to the end of its connection. */
   private final class Session implements Forward.Listener, Watcher {
     private final long flow;
     private final String practice;
     private final Client client;
 
-    /** It was open before this proxy: it goes back to its own target, even while that leaves. */
-    private final boolean resumed;
+    /**
+     * Whether the connection is from before this proxy's start. It returns to its own target, even
+     * if that is draining.
+     */
+    private final boolean isResumed;
 
-    /** The attempt that is out, or was last; gone once the connection stands. */
+    /** The outstanding or last forward; null once the connection is established. */
     private Forward forward;
 
     private String target;
     private Pair pair;
-    private boolean waits;
+    private boolean isAwaitingTarget;
 
-    /** Told again and again, from the first line on. */
-    private NetworkEvent.RequestRelayed asked;
+    /** The events for relayed lines, created with the first line and reused for every other. */
+    private NetworkEvent.RequestRelayed requestRelayed;
 
-    private NetworkEvent.ResponseRelayed answered;
+    private NetworkEvent.ResponseRelayed responseRelayed;
 
-    /** How the connection has ended if the target ends it now: its last line may say. */
-    private Outcome ending = Outcome.RESET;
+    /** The outcome if the target closes the connection now, as its last line announced it. */
+    private Outcome closeOutcome = Outcome.RESET;
 
     Session(Flow opened, Client client) {
       this.flow = opened.id();
       this.practice = opened.tenant();
       this.client = client;
-      this.resumed = opened.resumeTarget() != null;
+      this.isResumed = opened.resumeTarget() != null;
     }
 
-    /** Whether it waits for a target, so that its second descriptor is still to come. */
-    void waits(boolean now) {
-      if (now != waits) {
-        waits = now;
-        flowsAwaitingTarget += now ? 1 : -1;
+    /** Records whether the flow awaits a target and will need a descriptor for it. */
+    void setAwaitingTarget(boolean isAwaiting) {
+      if (isAwaiting != isAwaitingTarget) {
+        isAwaitingTarget = isAwaiting;
+        flowsAwaitingTarget += isAwaiting ? 1 : -1;
       }
     }
 
     void forward(Decision.Forward decided) {
-      waits(false);
+      setAwaitingTarget(false);
       target = decided.target().name();
-      forward = new Forward(net, flow, decided.target(), () -> opening(decided), this);
-      // A connect that is given up with its forward never came up: that is told just before.
-      long left = Math.min(decided.until() - MILLI, decided.sendBy()) - clock.now();
+      forward = new Forward(net, flow, decided.target(), () -> openingLine(decided), this);
+      // The connect times out 1 ms before the forward, so that the outcome is a failed connect,
+      // which
+      // proves that the attempt never ran, and not a time-out.
+      long left =
+          Math.min(decided.answerDeadlineMicros() - MICROS_PER_MILLI, decided.sendDeadlineMicros())
+              - clock.now();
       forward.start(Math.min(connectMicros, Math.max(0, left)));
     }
 
-    /** The first line, or null where it must not be sent any longer. */
-    private String opening(Decision.Forward decided) {
+    /** Returns the first line for the target, or null if it must no longer be sent. */
+    private String openingLine(Decision.Forward decided) {
       long now = clock.now();
-      boolean late = now > decided.sendBy() || !(resumed || decider.isServing(target));
-      return late ? null : client.openingLine(Math.max(0, (decided.until() - now) / MILLI));
+      boolean late =
+          now > decided.sendDeadlineMicros() || !(isResumed || decider.isServing(target));
+      return late
+          ? null
+          : client.openingLine(
+              Math.max(0, (decided.answerDeadlineMicros() - now) / MICROS_PER_MILLI));
     }
 
     @Override
-    public void up(String line, Link targetLink) {
+    public void established(String line, Link targetLink) {
       forward = null;
       pair = relay.pair(flow, practice, client.establish(line), targetLink, this);
       report(new NetworkEvent.FlowEstablished(flow));
@@ -302,41 +325,41 @@
     }
 
     @Override
-    public void ended(Outcome how) {
-      waits(true);
-      report(new NetworkEvent.ForwardEnded(flow, how));
+    public void ended(Outcome outcome) {
+      setAwaitingTarget(true);
+      report(new NetworkEvent.ForwardEnded(flow, outcome));
     }
 
     @Override
     public void asked() {
-      if (asked == null) {
-        asked = new NetworkEvent.RequestRelayed(flow);
-        answered = new NetworkEvent.ResponseRelayed(asked.flow());
+      if (requestRelayed == null) {
+        requestRelayed = new NetworkEvent.RequestRelayed(flow);
+        responseRelayed = new NetworkEvent.ResponseRelayed(requestRelayed.flow());
       }
-      report(asked);
+      report(requestRelayed);
     }
 
     @Override
     public void answered() {
-      report(answered);
+      report(responseRelayed);
     }
 
     @Override
     public void bye() {
-      ending = Outcome.SERVED;
+      closeOutcome = Outcome.SERVED;
     }
 
     @Override
     public void moving() {
-      ending = Outcome.CANCELLED;
+      closeOutcome = Outcome.CANCELLED;
     }
 
     @Override
     public String gaveUp(Side side, Verdict.Reason reason) {
-      if (over(flow) != null) {
+      if (removeSession(flow) != null) {
         client.flowEnded();
       }
-      // A client that is too slow is no news of its target; a target that does not read is.
+      // A client that is too slow says nothing about its target; a target that does not read does.
       report(
           side == Side.CLIENT
               ? new NetworkEvent.ClientDisconnected(flow)
@@ -347,7 +370,7 @@
     @Override
     public void load(String text) {
       try {
-        report(new NetworkEvent.LoadReported(flow, LoadReport.number(text)));
+        report(new NetworkEvent.LoadReported(flow, LoadReport.parseValue(text)));
       } catch (IllegalArgumentException e) {
         LOG.warn("load-bad", flow(flow), target(target), value("text", text));
       }
@@ -355,13 +378,13 @@
 
     @Override
     public void ended(boolean byClient, boolean reset) {
-      if (over(flow) != null) {
+      if (removeSession(flow) != null) {
         client.flowEnded();
       }
-      if (byClient && ending == Outcome.RESET) {
+      if (byClient && closeOutcome == Outcome.RESET) {
         report(new NetworkEvent.ClientDisconnected(flow));
       } else {
-        report(new NetworkEvent.ForwardEnded(flow, ending));
+        report(new NetworkEvent.ForwardEnded(flow, closeOutcome));
       }
     }
   }
--- a/src/main/java/brassbank/forward/Forward.java
+++ b/src/main/java/brassbank/forward/Forward.java
@@ -14,120 +14,124 @@
 import java.util.function.Supplier;
 
 /**
- * One attempt of a flow at a target, from its connect to the target's first line. It owns the
- * target's link until the target serves, and gives it back in {@link #cancel}.
+ * One attempt to open a flow at a target, from the connect to the target's first line. It owns the
+ * target's link until the target accepts the flow, and releases it in {@link #cancel}. Runs on the
+ * event loop.
  */
 final class Forward implements Link.Owner, Net.Connected {
   private static final Log LOG = Log.of("forward");
 
-  /** What becomes of a forward: one of the two is told, unless it is cancelled before. */
+  /** Receives the result of a forward: one call, or none if the forward is cancelled before. */
   interface Listener {
-    /** The target serves: from here on its link is the listener's. */
-    void up(String line, Link target);
+    /** The target has accepted the flow; its link now belongs to the listener. */
+    void established(String line, Link target);
 
-    void ended(Outcome ending);
+    /** The attempt has ended without a connection. */
+    void ended(Outcome outcome);
   }
 
   private final Net net;
   private final long flow;
   private final Target target;
-  private final Supplier<String> opening;
+  private final Supplier<String> openingLine;
   private final Listener listener;
-  private Network.Attempt connecting;
+  private Network.Attempt connectAttempt;
   private Link link;
-  private boolean sent;
-  private boolean over;
+  private boolean isSent;
+  private boolean isFinished;
 
   /**
-   * {@code opening} gives the first line once the connection is up, since its time runs till then;
-   * or null where it is too late to send it.
+   * Creates a forward, which {@link #start} begins.
+   *
+   * @param openingLine supplies the first line when the connection is up, since the line states the
+   *     remaining time; supplies null if the line must no longer be sent
    */
-  Forward(Net net, long flow, Target target, Supplier<String> opening, Listener listener) {
+  Forward(Net net, long flow, Target target, Supplier<String> openingLine, Listener listener) {
     this.net = net;
     this.flow = flow;
     this.target = target;
-    this.opening = opening;
+    this.openingLine = openingLine;
     this.listener = listener;
   }
 
   void start(long connectMicros) {
-    connecting = net.connect(target.address(), connectMicros, this, this);
+    connectAttempt = net.connect(target.address(), connectMicros, this, this);
   }
 
   @Override
   public void up(Link connected) {
     link = connected;
-    String line = opening.get();
+    String line = openingLine.get();
     if (line == null) {
-      end(Outcome.CONNECT_FAILED);
+      finish(Outcome.CONNECT_FAILED);
       return;
     }
-    // Only a line whose last byte has been written may have run.
-    link.send((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1), () -> sent = true);
+    // The attempt may have run only once the last byte of the line has been written.
+    link.send((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1), () -> isSent = true);
   }
 
   @Override
   public void failed(Throwable cause) {
-    end(Outcome.CONNECT_FAILED);
+    finish(Outcome.CONNECT_FAILED);
   }
 
   @Override
   public void received(Link from) {
     String line = link.buffer().nextLine();
-    if (!sent) {
-      // Whatever this answers, it is not our line, which never goes out now.
+    if (!isSent) {
+      // This cannot be an answer to the line, which has not been written and never will be.
       LOG.warn("answer-early", flow(flow), target(target.name()));
-      end(Outcome.CONNECT_FAILED);
+      finish(Outcome.CONNECT_FAILED);
     } else if (link.buffer().overlong()) {
       LOG.warn("answer-overlong", flow(flow), target(target.name()));
-      end(Outcome.ERROR);
+      finish(Outcome.ERROR);
     } else if (line != null) {
-      answered(line);
+      handleAnswer(line);
     }
   }
 
-  private void answered(String line) {
+  private void handleAnswer(String line) {
     int space = line.indexOf(' ');
     switch (space < 0 ? line : line.substring(0, space)) {
       case "UP" -> {
         if (line.length() <= "UP ".length()) {
-          // Without a receipt no stream host has served: it is not to be passed off as that.
-          bad(line);
+          // A stream host that accepts a flow sends a receipt; the client must not get UP without.
+          rejectAnswer(line);
           return;
         }
-        over = true;
-        listener.up(line, link);
+        isFinished = true;
+        listener.established(line, link);
       }
-      case "BUSY" -> end(Outcome.BUSY);
-      case "MOVE" -> end(Outcome.CANCELLED);
-      case "ERR" -> end(Outcome.ERROR);
-      default -> bad(line);
+      case "BUSY" -> finish(Outcome.BUSY);
+      case "MOVE" -> finish(Outcome.CANCELLED);
+      case "ERR" -> finish(Outcome.ERROR);
+      default -> rejectAnswer(line);
     }
   }
 
-  private void bad(String line) {
+  private void rejectAnswer(String line) {
     LOG.warn("answer-bad", flow(flow), target(target.name()), value("line", line));
-    end(Outcome.ERROR);
+    finish(Outcome.ERROR);
   }
 
   @Override
   public void ended(Link from, boolean reset) {
-    end(sent ? Outcome.RESET : Outcome.CONNECT_FAILED);
+    finish(isSent ? Outcome.RESET : Outcome.CONNECT_FAILED);
   }
 
-  private void end(Outcome ending) {
-    if (!over) {
+  private void finish(Outcome outcome) {
+    if (!isFinished) {
       cancel();
-      listener.ended(ending);
+      listener.ended(outcome);
     }
   }
 
-  /** Gives the attempt up. A line that is not out yet never goes out. */
+  /** Cancels the attempt. A line that has not been written completely is not written further. */
   void cancel() {
-    over = true;
+    isFinished = true;
     if (link == null) {
-      connecting.cancel();
-    } else if (sent) {
+      connectAttempt.cancel();
+    } else if (isSent) {
       link.close();
     } else {
       link.reset();
--- a/src/main/java/brassbank/forward/Prober.java
+++ b/src/main/java/brassbank/forward/Prober.java
@@ -19,68 +19,72 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Asks targets for their load, on connections that are kept for the next probe for a while. */
+/**
+ * Probes targets for their load. Connections are kept open for a while and reused by later probes.
+ * Runs on the event loop.
+ */
 final class Prober {
   private static final Log LOG = Log.of("probe");
 
-  /** A probe that takes longer says enough; a silent machine would never answer. */
-  private static final long LIMIT_MICROS = 250_000;
+  /** The timeout of a probe, which a silent machine would never answer. */
+  private static final long TIMEOUT_MICROS = 250_000;
 
-  private static final byte[] STATS = "STATS\r\n".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] STATS_REQUEST = "STATS\r\n".getBytes(StandardCharsets.US_ASCII);
 
-  /** Who is told how a probe ended, once each. */
+  /** Receives the result of each probe once. */
   interface Listener {
-    void probed(Target target, Outcome ending, long elapsedMicros, List<Double> report);
+    void probed(Target target, Outcome outcome, long elapsedMicros, List<Double> report);
   }
 
   private final Net net;
   private long connectMicros;
   private long idleMicros;
-  private List<String> fields;
+  private List<String> reportFields;
   private final Listener listener;
 
-  /** The connections that wait for a next probe; none of these lists is empty. */
-  private final Map<InetSocketAddress, Deque<Kept>> kept = new HashMap<>();
+  /** The idle connections by address, the last used one first; no queue is empty. */
+  private final Map<InetSocketAddress, Deque<IdleConnection>> idleConnections = new HashMap<>();
 
-  Prober(Net net, long connectMicros, long idleMicros, List<String> fields, Listener listener) {
+  Prober(
+      Net net, long connectMicros, long idleMicros, List<String> reportFields, Listener listener) {
     this.net = net;
     this.listener = listener;
-    settings(connectMicros, idleMicros, fields);
+    configure(connectMicros, idleMicros, reportFields);
   }
 
-  void settings(long connect, long idle, List<String> reportFields) {
-    connectMicros = Math.min(connect, LIMIT_MICROS);
-    // Sooner than the target, so that no probe goes into a connection that is just being closed.
-    idleMicros = idle - idle / 5;
-    fields = reportFields;
+  void configure(long connectMicros, long idleMicros, List<String> reportFields) {
+    this.connectMicros = Math.min(connectMicros, TIMEOUT_MICROS);
+    // Shorter than the target's own limit, so that no probe meets a connection that is closing.
+    this.idleMicros = idleMicros - idleMicros / 5;
+    this.reportFields = reportFields;
   }
 
   void probe(Target target) {
     new Probe(target).start();
   }
 
-  /** One question to one target. It owns its connection and gives it back in {@link #giveBack}. */
+  /** One probe of one target. It owns its connection and releases it in {@link #releaseLink}. */
   private final class Probe implements Link.Owner, Net.Connected {
     private final Target target;
     private final long startedAt = net.clock().nanos();
-    private Loop.Timer limit;
-    private Network.Attempt connecting;
+    private Loop.Timer timeout;
+    private Network.Attempt connectAttempt;
     private Link link;
-    private boolean sent;
-    private boolean over;
+    private boolean isSent;
+    private boolean isFinished;
 
-    /** The connection has carried a probe before: its target may have ended it meanwhile. */
-    private boolean used;
+    /** Whether the connection has carried a probe before; its target may have closed it since. */
+    private boolean isReused;
 
     Probe(Target target) {
       this.target = target;
     }
 
     void start() {
-      limit = net.loop().after(LIMIT_MICROS, this::overdue);
-      Deque<Kept> idle = kept.get(target.address());
+      timeout = net.loop().after(TIMEOUT_MICROS, this::timedOut);
+      Deque<IdleConnection> idle = idleConnections.get(target.address());
       if (idle != null) {
-        used = true;
+        isReused = true;
         up(idle.peek().take());
       } else {
         connect();
@@ -88,114 +92,115 @@
     }
 
     private void connect() {
-      connecting = net.connect(target.address(), connectMicros, this, this);
+      connectAttempt = net.connect(target.address(), connectMicros, this, this);
     }
 
-    private void overdue() {
-      end(link == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT, List.of());
+    private void timedOut() {
+      finish(link == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT, List.of());
     }
 
     @Override
     public void up(Link connected) {
       link = connected;
       link.owner(this);
-      link.send(STATS, () -> sent = true);
+      link.send(STATS_REQUEST, () -> isSent = true);
     }
 
     @Override
     public void failed(Throwable cause) {
-      end(Outcome.CONNECT_FAILED, List.of());
+      finish(Outcome.CONNECT_FAILED, List.of());
     }
 
     @Override
     public void received(Link from) {
       String line = link.buffer().nextLine();
       if (link.buffer().overlong()) {
-        bad("a line that is too long");
+        rejectAnswer("line too long");
       } else if (line != null) {
-        answered(line);
+        handleAnswer(line);
       }
     }
 
-    private void answered(String line) {
+    private void handleAnswer(String line) {
       if (line.equals("PONG") || line.startsWith("PONG ")) {
         try {
           String text = line.substring("PONG".length()).trim();
-          end(Outcome.SERVED, text.isEmpty() ? List.of() : LoadReport.parse(text, fields));
+          finish(Outcome.SERVED, text.isEmpty() ? List.of() : LoadReport.parse(text, reportFields));
         } catch (IllegalArgumentException e) {
-          bad(line);
+          rejectAnswer(line);
         }
       } else if (line.equals("ERR") || line.startsWith("ERR ")) {
-        end(Outcome.ERROR, List.of());
+        finish(Outcome.ERROR, List.of());
       } else {
-        bad(line);
+        rejectAnswer(line);
       }
     }
 
-    private void bad(String line) {
+    private void rejectAnswer(String line) {
       LOG.warn("probe-answer-bad", target(target.name()), value("line", line));
-      end(Outcome.ERROR, List.of());
+      finish(Outcome.ERROR, List.of());
     }
 
     @Override
     public void ended(Link from, boolean reset) {
-      if (used && !over) {
-        // An idle connection that its target ends as the question goes out tells nothing of the
-        // target: taken for a failure, it kept a sound one without new flows and probes.
-        used = false;
-        sent = false;
+      if (isReused && !isFinished) {
+        // A target that closes an idle connection just as the probe is sent has not failed.
+        // Counted as a failure, this kept new flows and probes away from a sound target.
+        isReused = false;
+        isSent = false;
         link.close();
         link = null;
         connect();
         return;
       }
-      end(sent ? Outcome.RESET : Outcome.CONNECT_FAILED, List.of());
+      finish(isSent ? Outcome.RESET : Outcome.CONNECT_FAILED, List.of());
     }
 
-    private void end(Outcome ending, List<Double> report) {
-      if (!over) {
-        over = true;
-        giveBack(ending == Outcome.SERVED);
+    private void finish(Outcome outcome, List<Double> report) {
+      if (!isFinished) {
+        isFinished = true;
+        releaseLink(outcome == Outcome.SERVED);
         long elapsed = TimeUnit.NANOSECONDS.toMicros(net.clock().nanos() - startedAt);
-        listener.probed(target, ending, elapsed, report);
+        listener.probed(target, outcome, elapsed, report);
       }
     }
 
-    private void giveBack(boolean usable) {
-      limit.cancel();
+    private void releaseLink(boolean usable) {
+      timeout.cancel();
       if (link == null) {
-        connecting.cancel();
+        connectAttempt.cancel();
       } else if (usable && link.buffer().held() == 0 && link.isOpen() && !net.full()) {
-        // What came behind the answer would be taken for the next one's, and that for the one
-        // after.
-        new Kept(target.address(), link).keep();
+        // A connection with bytes behind the answer is not reused: they would be taken for the
+        // answer to the next probe, and each answer for that to the probe after it.
+        new IdleConnection(target.address(), link).park();
       } else {
         link.close();
       }
     }
   }
 
-  /** A connection between two probes. */
-  private final class Kept implements Link.Owner {
+  /** An open connection between two probes. */
+  private final class IdleConnection implements Link.Owner {
     private final InetSocketAddress address;
     private final Link link;
-    private Loop.Timer idle;
+    private Loop.Timer expiry;
 
-    Kept(InetSocketAddress address, Link link) {
+    IdleConnection(InetSocketAddress address, Link link) {
       this.address = address;
       this.link = link;
     }
 
-    void keep() {
+    void park() {
       link.owner(this);
-      kept.computeIfAbsent(address, a -> new ArrayDeque<>()).push(this);
-      idle = net.loop().after(idleMicros, () -> take().close());
+      idleConnections.computeIfAbsent(address, a -> new ArrayDeque<>()).push(this);
+      expiry = net.loop().after(idleMicros, () -> take().close());
     }
 
-    /** Takes the connection off the list; it is the caller's from here on. */
+    /** Removes the connection from the idle ones and returns its link to the caller. */
     Link take() {
-      idle.cancel();
-      kept.computeIfPresent(address, (a, all) -> all.remove(this) && all.isEmpty() ? null : all);
+      expiry.cancel();
+      idleConnections.computeIfPresent(
+          address, (a, all) -> all.remove(this) && all.isEmpty() ? null : all);
       return link;
     }
 
--- a/src/main/java/brassbank/forward/package-info.java
+++ b/src/main/java/brassbank/forward/package-info.java
@@ -1,2 +1,2 @@
-/** Towards the targets: the dispatcher, which carries out what is decided, forwards and probes. */
+/** The side towards the targets: carries out decisions, forwards flows and probes targets. */
 package brassbank.forward;
--- a/src/main/java/brassbank/lifecycle/DrainSchedule.java
+++ b/src/main/java/brassbank/lifecycle/DrainSchedule.java
@@ -1,145 +1,153 @@
 package brassbank.lifecycle;
 
 /**
- * When clients that are to leave are moved: one after the other, evenly, and all of them in time.
- * They are moved as late as that allows, since whoever is moved early has nowhere better to go.
+ * The schedule by which clients are moved before the proxy leaves: one after the other, evenly
+ * spaced, and all before the end of the schedule. Clients are moved as late as that allows, since
+ * an early move gains them nothing.
  *
- * <p>Each {@link #step} is told how many clients are left and spreads them over what is left of the
- * time, so that clients that leave by themselves slow the others' pace. What a late step missed it
- * makes up for. A step costs O(1).
+ * <p>Each {@link #step} receives the number of remaining clients and spreads them over the
+ * remaining time, so that the pace slows when clients disconnect by themselves. A late step makes
+ * up for the moves that it missed. A step is O(1).
  *
- * <p>No clock, no thread, no I/O; called from one thread. All times are microseconds of the
- * caller's clock.
+ * <p>Not thread-safe. All times are microseconds of the caller's clock.
  */
 public final class DrainSchedule {
-  private static final long MILLI = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
 
   /**
-   * The last client is moved this long before the kill: a farewell may wait 0.5 s for the end of a
-   * line on its way ({@code net.Pair}), and the program ends 0.1 s before the kill.
+   * How long before the kill the last client is moved: the final line to a client may wait 0.5 s
+   * for the end of a line that is being relayed, and the program exits 0.1 s before the kill.
    */
-  static final long END_MARGIN = 600 * MILLI;
+  static final long KILL_MARGIN_MICROS = 600 * MICROS_PER_MILLI;
 
   /**
-   * After a call for standby the last client is moved by then. It may be held for 4 s; a farewell
-   * waits as above, and a starved core needs the rest.
+   * How long after a request for standby the last client is moved. All clients must be gone within
+   * 4 s; the final line may wait 0.5 s as above, and the rest is a reserve for a starved processor.
    */
-  static final long STANDBY = 3_000 * MILLI;
+  static final long STANDBY_LIMIT_MICROS = 3_000 * MICROS_PER_MILLI;
 
-  /** The least time that moves are spread over, so that even a few never come back all at once. */
-  static final long LEAST_WINDOW = 400 * MILLI;
+  /** The minimum time over which moves are spread, so that few clients do not reconnect at once. */
+  static final long MIN_WINDOW_MICROS = 400 * MICROS_PER_MILLI;
 
-  /** Each client has this much time of its own; docs/start-and-stop.md has the measurement. */
-  static final long PER_CLIENT = 3 * MILLI;
+  /** The time between two moves; docs/start-and-stop.md has the measurement. */
+  static final long MICROS_PER_CLIENT = 3 * MICROS_PER_MILLI;
 
   /**
-   * For so long after the signal or the call the front may still send clients here (PROTOCOL,
-   * Figures).
+   * How long the upstream load balancer may send clients to the proxy after the signal or the
+   * request.
    */
-  static final long STILL_COMING = 400 * MILLI;
+  static final long BALANCER_REACTION_MICROS = 400 * MICROS_PER_MILLI;
 
-  /** A refused client is asked to wait at least this long, as the module asks its own. */
-  static final long LEAST_RETRY = 100 * MILLI;
+  /** The minimum retry delay for a refused client, the same as the decision module's. */
+  static final long MIN_RETRY_DELAY_MICROS = 100 * MICROS_PER_MILLI;
 
-  /** The least time between two steps; a faster pace takes several clients in one. */
-  private static final long LEAST_PAUSE = MILLI;
+  /** The minimum time between two steps; at a faster pace one step moves several clients. */
+  private static final long MIN_STEP_MICROS = MICROS_PER_MILLI;
 
-  /** The plan asks again this soon while it waits to begin: clients come and go meanwhile. */
-  private static final long LOOK_AGAIN = 50 * MILLI;
+  /** The time between two steps before the first move, since the number of clients may change. */
+  private static final long RECHECK_MICROS = 50 * MICROS_PER_MILLI;
 
   /**
-   * What is to be done now, and when to ask again.
+   * One step of the schedule.
    *
-   * @param count how many clients to send away now
-   * @param next the time of the next step, later than now
+   * @param count how many clients to move or refuse now
+   * @param nextMicros when the next step is due, later than now
    */
-  public record Step(int count, long next) {}
+  public record Step(int count, long nextMicros) {}
 
-  private final long start;
-  private final long end;
+  private final long startMicros;
+  private final long endMicros;
 
-  /** When the next client is due, once the first has gone. */
-  private long due;
+  /** When the next client is to be moved, once the first has been. */
+  private long nextMoveMicros;
 
-  private boolean begun;
+  private boolean hasStarted;
 
-  private DrainSchedule(long now, long end) {
-    start = now;
-    this.end = Math.max(now, end);
+  private DrainSchedule(long nowMicros, long endMicros) {
+    startMicros = nowMicros;
+    this.endMicros = Math.max(nowMicros, endMicros);
   }
 
   /**
-   * For a program that is to end.
+   * Returns a schedule for a program that must exit.
    *
-   * @param now when the signal came
-   * @param killAt when the program may be killed; where that is nearer than the margin, all clients
-   *     are sent away at once
+   * @param nowMicros when the signal came
+   * @param killAtMicros when the program may be killed; if that is within the margin, all clients
+   *     are moved at once
    */
-  static DrainSchedule beforeKill(long now, long killAt) {
-    return new DrainSchedule(now, killAt - END_MARGIN);
+  static DrainSchedule beforeKill(long nowMicros, long killAtMicros) {
+    return new DrainSchedule(nowMicros, killAtMicros - KILL_MARGIN_MICROS);
   }
 
-  /** For a program that stays, and is to hold no client soon after {@code now}, the call. */
-  static DrainSchedule toStandby(long now) {
-    return new DrainSchedule(now, now + STANDBY);
+  /** Returns a schedule for a program that stands by, from the operator's request on. */
+  static DrainSchedule toStandby(long nowMicros) {
+    return new DrainSchedule(nowMicros, nowMicros + STANDBY_LIMIT_MICROS);
   }
 
-  /** The same departure, over no later than another that has begun before. */
+  /** Returns this schedule, ended no later than an earlier one, which may be null. */
   DrainSchedule noLaterThan(DrainSchedule other) {
-    return other == null ? this : new DrainSchedule(start, Math.min(end, other.end));
+    return other == null
+        ? this
+        : new DrainSchedule(startMicros, Math.min(endMicros, other.endMicros));
   }
 
-  /** Whether the time is up, so that all who are left must go now. */
-  boolean over(long now) {
-    return now >= end;
+  /** Whether the schedule has ended, so that all remaining clients must be moved now. */
+  boolean isOver(long nowMicros) {
+    return nowMicros >= endMicros;
   }
 
   /**
-   * What to do now.
+   * Returns what to do now.
    *
-   * @param left the clients that are still to be sent away, 0 or more
+   * @param left the number of clients that are still to be moved or refused, 0 or more
    */
-  Step step(long now, int left) {
-    if (over(now)) {
-      return new Step(left, now + LOOK_AGAIN);
+  Step step(long nowMicros, int left) {
+    if (isOver(nowMicros)) {
+      return new Step(left, nowMicros + RECHECK_MICROS);
     }
-    long begin = begin(left);
-    if (left == 0 || now < begin) {
-      return new Step(0, Math.max(now + 1, Math.min(Math.min(begin, end), now + LOOK_AGAIN)));
+    long firstMove = firstMoveMicros(left);
+    if (left == 0 || nowMicros < firstMove) {
+      return new Step(
+          0,
+          Math.max(
+              nowMicros + 1, Math.min(Math.min(firstMove, endMicros), nowMicros + RECHECK_MICROS)));
     }
-    due = begun ? due : now;
-    begun = true;
-    // From when the step was due, not from now: what a late caller missed is made up for at once,
-    // where a pace that only quickened left most clients for the last moment.
-    long time = end - due;
-    long late = now - due;
-    long count = Math.min(left, 1 + late * left / time);
-    due += Math.max(1, count * time / left);
-    return new Step((int) count, Math.max(due, now + LEAST_PAUSE));
+    nextMoveMicros = hasStarted ? nextMoveMicros : nowMicros;
+    hasStarted = true;
+    // The pace is counted from when the step was due, not from now, so that a late step makes up
+    // at once for missed moves. Merely raising the pace left most clients for the last moment.
+    long remaining = endMicros - nextMoveMicros;
+    long late = nowMicros - nextMoveMicros;
+    long count = Math.min(left, 1 + late * left / remaining);
+    nextMoveMicros += Math.max(1, count * remaining / left);
+    return new Step((int) count, Math.max(nextMoveMicros, nowMicros + MIN_STEP_MICROS));
   }
 
-  /** When the first of so many clients is moved, if none leaves by itself. */
-  private long begin(int left) {
-    return Math.max(start, end - Math.max(LEAST_WINDOW, left * PER_CLIENT));
+  /** Returns when the first of the clients is moved, if none disconnects by itself. */
+  private long firstMoveMicros(int left) {
+    return Math.max(startMicros, endMicros - Math.max(MIN_WINDOW_MICROS, left * MICROS_PER_CLIENT));
   }
 
-  /** Whether the front has had time to hear that no clients are wanted. */
-  boolean quiet(long now) {
-    return now >= start + STILL_COMING;
+  /** Whether the upstream load balancer has had time to notice that no clients are admitted. */
+  boolean hasBalancerReacted(long nowMicros) {
+    return nowMicros >= startMicros + BALANCER_REACTION_MICROS;
   }
 
-  /** How long a client that is refused now had better wait: until the front sends it elsewhere. */
-  long comeBackAfter(long now) {
-    return Math.max(LEAST_RETRY, start + STILL_COMING - now);
+  /**
+   * Returns how long a client refused now should wait before it retries: until the upstream load
+   * balancer sends it to another proxy.
+   */
+  long retryDelayMicros(long nowMicros) {
+    return Math.max(MIN_RETRY_DELAY_MICROS, startMicros + BALANCER_REACTION_MICROS - nowMicros);
   }
 
-  /** How long the first of so many clients stays, if none leaves by itself. */
-  public long untilFirst(long now, int left) {
-    return Math.max(0, begin(left) - now);
+  /** Returns the time until the first of the clients is moved, if none disconnects by itself. */
+  public long microsUntilFirstMove(long nowMicros, int left) {
+    return Math.max(0, firstMoveMicros(left) - nowMicros);
   }
 
-  /** How long the last one stays at most. */
-  public long untilEnd(long now) {
-    return Math.max(0, end - now);
+  /** Returns the maximum time until the last client is moved. */
+  public long microsUntilEnd(long nowMicros) {
+    return Math.max(0, endMicros - nowMicros);
   }
 }
--- a/src/main/java/brassbank/lifecycle/Event.java
+++ b/src/main/java/brassbank/lifecycle/Event.java
@@ -1,19 +1,19 @@
 package brassbank.lifecycle;
 
-/** What can change the proxy's {@link State}. */
+/** An event that can change the proxy's {@link State}. */
 public enum Event {
-  /** The proxy takes connections. */
+  /** The proxy has begun to accept connections. */
   SERVING,
 
-  /** An operator asks to have the clients sent away. */
+  /** An operator asks the proxy to move its clients away and to stand by. */
   STANDBY,
 
-  /** An operator asks to have clients taken. */
+  /** An operator asks the proxy to accept clients. */
   ACTIVE,
 
-  /** The departure is over. */
+  /** A drain is complete. */
   GONE,
 
-  /** The program is to end. */
+  /** The program must exit. */
   STOP
 }
--- a/src/main/java/brassbank/lifecycle/Lifecycle.java
+++ b/src/main/java/brassbank/lifecycle/Lifecycle.java
@@ -7,17 +7,17 @@
 import static brassbank.lifecycle.State.STOPPING;
 
 /**
- * The proxy's state, and the one plan by which its clients leave, whatever they leave for.
+ * The state machine of the proxy, with the schedule by which its clients are moved, both for a
+ * standby and for a stop.
  *
- * <p>Each pair of state and event has its outcome in a table; most change nothing, and none is an
- * error, so that a call can be repeated. O(1) each.
+ * <p>A table gives the next state for each pair of state and event. Most pairs change nothing, and
+ * none is an error, so that an operator's call can be repeated. Each operation is O(1).
  *
- * <p>No clock, no thread, no I/O; called from one thread. All times are microseconds of the
- * caller's clock.
+ * <p>Not thread-safe. All times are microseconds of the caller's clock.
  */
 public final class Lifecycle {
-  /** For each state, in their order, what it becomes by each event, in theirs. */
-  private static final State[][] TABLE = {
+  /** The next state, by the ordinals of the state and of the event. */
+  private static final State[][] TRANSITIONS = {
     // SERVING, STANDBY, ACTIVE, GONE, STOP
     /* STARTING */ {ACTIVE, DRAINING, STARTING, STARTING, STOPPING},
     /* ACTIVE */ {ACTIVE, DRAINING, ACTIVE, ACTIVE, STOPPING},
@@ -28,107 +28,111 @@
 
   private State state = STARTING;
 
-  /** The state that a stop came in. */
-  private State last = STARTING;
+  /** The state in which the stop was requested. */
+  private State stateBeforeStop = STARTING;
 
+  /** Whether another process accepts this proxy's clients. */
   private boolean hasSuccessor;
 
-  /** Null unless clients are on their way out. */
+  /** The schedule of the drain in progress, or null. */
   private DrainSchedule drainSchedule;
 
-  private int departures;
+  private int drainCount;
 
-  /** What becomes of the state {@code from} by the event. */
-  static State after(State from, Event event) {
-    return TABLE[from.ordinal()][event.ordinal()];
+  /** Returns the state that follows {@code from} on the event. */
+  static State transition(State from, Event event) {
+    return TRANSITIONS[from.ordinal()][event.ordinal()];
   }
 
-  /** What the proxy is now. */
+  /** Returns the state of the proxy. */
   public State state() {
     return state;
   }
 
   /**
-   * Something has happened.
+   * Processes an event.
    *
-   * @return whether a departure has begun, whose first {@link #step} is due now
+   * @return whether a drain has begun, whose first {@link #step} is due now
    */
-  public boolean handle(Event event, long now) {
+  public boolean handle(Event event, long nowMicros) {
     State before = state;
-    state = after(before, event);
+    state = transition(before, event);
     if (state == before) {
       return false;
     }
-    drainSchedule = state == DRAINING ? DrainSchedule.toStandby(now) : null;
-    departures += state == DRAINING ? 1 : 0;
+    drainSchedule = state == DRAINING ? DrainSchedule.toStandby(nowMicros) : null;
+    drainCount += state == DRAINING ? 1 : 0;
     return state == DRAINING;
   }
 
   /**
-   * The program is to end. A second signal changes nothing; what a drain has promised holds.
+   * Begins the stop of the program. A second call changes nothing, and the stop does not extend a
+   * drain that is in progress.
    *
-   * @param killAt when the program may be killed
-   * @return whether a departure has begun, as with {@link #handle}
+   * @param killAtMicros when the program may be killed
+   * @return whether a drain has begun, as with {@link #handle}
    */
-  public boolean stop(long now, long killAt) {
+  public boolean stop(long nowMicros, long killAtMicros) {
     if (state == STOPPING) {
       return false;
     }
-    last = state;
-    state = after(state, Event.STOP);
-    drainSchedule = DrainSchedule.beforeKill(now, killAt).noLaterThan(drainSchedule);
-    departures++;
+    stateBeforeStop = state;
+    state = transition(state, Event.STOP);
+    drainSchedule = DrainSchedule.beforeKill(nowMicros, killAtMicros).noLaterThan(drainSchedule);
+    drainCount++;
     return true;
   }
 
-  /** Another process takes the proxy's clients from here on, or none does any longer. */
+  /** Records whether another process accepts this proxy's clients. */
   public void setSuccessorPresent(boolean isPresent) {
     hasSuccessor = isPresent;
   }
 
-  /** Whether the proxy takes clients: by this process, or by one that has succeeded it. */
+  /** Whether the proxy accepts clients, in this process or in a successor. */
   public boolean admitsClients() {
-    return state == ACTIVE || (state == STOPPING && hasSuccessor && last == ACTIVE);
+    return state == ACTIVE || (state == STOPPING && hasSuccessor && stateBeforeStop == ACTIVE);
   }
 
-  /** The departure under way, or null. */
+  /** Returns the schedule of the drain in progress, or null. */
   public DrainSchedule drainSchedule() {
     return drainSchedule;
   }
 
-  /** The number of the latest departure: a step that was due in an earlier one is void. */
+  /** Returns the number of the latest drain; steps that were due in an earlier one are void. */
   public int drainNumber() {
-    return departures;
+    return drainCount;
   }
 
-  /** Whether a client that comes now is turned away, since it could not stay. */
-  public boolean refusesClients(long now) {
-    return state == STANDBY || (drainSchedule != null && drainSchedule.over(now));
+  /** Whether new clients are refused, since they would have to be moved at once. */
+  public boolean refusesClients(long nowMicros) {
+    return state == STANDBY || (drainSchedule != null && drainSchedule.isOver(nowMicros));
   }
 
-  /** How long a client that is refused now had better wait; 0 where no better time is known. */
-  public long retryDelayMicros(long now) {
+  /** Returns how long a client refused now should wait before it retries, 0 if not known. */
+  public long retryDelayMicros(long nowMicros) {
     if (drainSchedule != null) {
-      return drainSchedule.comeBackAfter(now);
+      return drainSchedule.retryDelayMicros(nowMicros);
     }
-    return state == STANDBY ? DrainSchedule.LEAST_RETRY : 0;
+    return state == STANDBY ? DrainSchedule.MIN_RETRY_DELAY_MICROS : 0;
   }
 
   /**
-   * Takes the departure one step on. A drain without clients is over once the front has had time to
-   * hear of it.
+   * Performs one step of the drain in progress. A drain without clients ends once the upstream load
+   * balancer has had time to notice that the proxy admits no clients.
    *
-   * @param left the clients that are still to be sent away
-   * @param open those and the flows that have an attempt out
-   * @return what to do now, and when to ask again; null where nobody is leaving
+   * @param left the number of clients that are still to be moved or refused
+   * @param open {@code left} and the number of flows with an outstanding attempt
+   * @return what to do now and when to call again, or null if no drain is in progress
    */
-  public DrainSchedule.Step step(long now, int left, int open) {
+  public DrainSchedule.Step step(long nowMicros, int left, int open) {
     if (drainSchedule == null) {
       return null;
     }
-    DrainSchedule.Step step = drainSchedule.step(now, left);
-    if (state == DRAINING && (drainSchedule.over(now) || (open == 0 && drainSchedule.quiet(now)))) {
-      handle(Event.GONE, now);
+    DrainSchedule.Step step = drainSchedule.step(nowMicros, left);
+    if (state == DRAINING
+        && (drainSchedule.isOver(nowMicros)
+            || (open == 0 && drainSchedule.hasBalancerReacted(nowMicros)))) {
+      handle(Event.GONE, nowMicros);
     }
     return step;
   }
--- a/src/main/java/brassbank/lifecycle/State.java
+++ b/src/main/java/brassbank/lifecycle/State.java
@@ -1,23 +1,25 @@
 package brassbank.lifecycle;
 
-/** What the proxy is now, as operators see it. */
+/** The state of the proxy, as operators see it. */
 public enum State {
-  /** Not yet able to serve: it asks for patience. */
+  /** The proxy cannot serve yet; clients are asked to wait. */
   STARTING,
 
-  /** Takes clients. */
+  /** The proxy accepts clients. */
   ACTIVE,
 
-  /** Takes no new clients but serves what still arrives, and sends all of them away. */
+  /**
+   * The proxy moves all clients away and solicits no new ones, but serves those that still come.
+   */
   DRAINING,
 
-  /** Holds no client and takes none; it lives on, so that it can be called back at once. */
+  /** The proxy holds no clients and accepts none, but runs on so that it can be reactivated. */
   STANDBY,
 
-  /** Will end: as draining, and nothing brings it back. */
+  /** The proxy moves all clients away and then exits; no event leads out of this state. */
   STOPPING;
 
-  /** Whether the clients are to go, or have gone. */
+  /** Whether the proxy is moving its clients away or has done so. */
   public boolean isLeaving() {
     return this == DRAINING || this == STANDBY || this == STOPPING;
   }
--- a/src/main/java/brassbank/lifecycle/package-info.java
+++ b/src/main/java/brassbank/lifecycle/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the proxy is now: its states, what each event makes of them, and the plan by which clients
- * leave. Values in, values out: no clock, no thread, no I/O, and no other package of the project.
+ * The state of the proxy, the transitions between states, and the schedule by which clients are
+ * moved during a drain. The classes are pure: no clock, no thread, no I/O, and no dependency on any
+ * other package of the project.
  */
 package brassbank.lifecycle;
--- a/src/test/java/brassbank/decide/AcceptedSettingsTest.java
+++ b/src/test/java/brassbank/decide/AcceptedSettingsTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whatever a reload accepts can be worked with: a setting that is odd is refused when the file is
- * read, or does no harm, but never fails in the midst of being applied.
+ * Settings that a reload accepts must also be applicable: an odd value is either rejected when the
+ * file is read or harmless, but never causes a failure after the settings are in force.
  */
 class AcceptedSettingsTest {
-  private static final List<String> ODD =
+  private static final List<String> ODD_VALUES =
       List.of(
           "0", "-1", "0.5", "1e-9", "1e12", "1e300", "\"x\"", "\"\"", "null", "[]", "{}", "true");
 
@@ -40,42 +40,45 @@
             }
           });
 
-  /** The paths of all settings; of a list's entries those of the first. */
-  private static void paths(String path, JsonElement element, List<String> into) {
+  /** Collects the paths of all settings; of a list only those of its first entry. */
+  private static void collectPaths(String path, JsonElement element, List<String> paths) {
     if (element instanceof JsonObject object) {
       for (Map.Entry<String, JsonElement> entry : object.entrySet()) {
-        paths(path + "/" + entry.getKey(), entry.getValue(), into);
+        collectPaths(path + "/" + entry.getKey(), entry.getValue(), paths);
       }
     } else if (element instanceof JsonArray array && !array.isEmpty()) {
-      paths(path + "/0", array.get(0), into);
+      collectPaths(path + "/0", array.get(0), paths);
     }
-    into.add(path);
+    paths.add(path);
   }
 
   private static void put(JsonObject root, String path, JsonElement value) {
     String[] parts = path.substring(1).split("/");
-    JsonElement at = root;
+    JsonElement parent = root;
     for (int i = 0; i < parts.length - 1; i++) {
-      at = at instanceof JsonObject object ? object.get(parts[i]) : at.getAsJsonArray().get(0);
+      parent =
+          parent instanceof JsonObject object
+              ? object.get(parts[i])
+              : parent.getAsJsonArray().get(0);
     }
-    if (at instanceof JsonObject object) {
+    if (parent instanceof JsonObject object) {
       object.add(parts[parts.length - 1], value);
     } else {
-      at.getAsJsonArray().set(0, value);
+      parent.getAsJsonArray().set(0, value);
     }
   }
 
   @Test
-  void whatIsAcceptedCanBeWorkedWith() throws Exception {
-    JsonObject sound =
+  void acceptedSettingsCanBeApplied() throws Exception {
+    JsonObject valid =
         JsonParser.parseString(Files.readString(Path.of("example/config.json"))).getAsJsonObject();
     List<String> paths = new ArrayList<>();
-    paths("/settings", sound.get("settings"), paths);
+    collectPaths("/settings", valid.get("settings"), paths);
     List<String> failures = new ArrayList<>();
     int accepted = 0;
     for (String path : paths) {
-      for (String odd : ODD) {
-        JsonObject changed = sound.deepCopy();
+      for (String odd : ODD_VALUES) {
+        JsonObject changed = valid.deepCopy();
         put(changed, path, JsonParser.parseString(odd));
         Config next;
         try {
@@ -85,7 +88,7 @@
         }
         accepted++;
         try {
-          work(Config.of(sound.toString()), next);
+          exercise(Config.of(valid.toString()), next);
         } catch (RuntimeException e) {
           failures.add(path + " = " + odd + ": " + e + " at " + e.getStackTrace()[0]);
         }
@@ -95,14 +98,14 @@
     assertThat(failures).as("of %s accepted", accepted).isEmpty();
   }
 
-  /** A reload in the midst of flows, a host that joins cold, and a planned stop. */
-  private void work(Config first, Config next) {
+  /** Runs a reload between flows, the arrival of a cold host, and a planned stop. */
+  private void exercise(Config first, Config next) {
     Decider decider = new Decider(first.settings(), 1, first.known(), clock);
     flows(decider, 1, first);
     decider.report(new NetworkEvent.SettingsChanged(next.settings()));
     flows(decider, 100, next);
     TargetList.Entry known = first.known().entries().get(0);
-    TargetList.Entry joins =
+    TargetList.Entry joining =
         new TargetList.Entry(
             "cold",
             known.address(),
@@ -112,7 +115,7 @@
             TargetList.Status.SERVING,
             1,
             clock.now() / 1000);
-    decider.report(new NetworkEvent.TargetsListed(new TargetList(9, false, List.of(joins))));
+    decider.report(new NetworkEvent.TargetsListed(new TargetList(9, false, List.of(joining))));
     flows(decider, 200, next);
     decider.report(new NetworkEvent.StopRequested(clock.now() + 3_000_000));
     for (int i = 0; i < 40; i++) {
@@ -130,7 +133,7 @@
                   new Flow(id, "k", type, "kelvin-stone", "g", 2_000_000, 0, false, false, null)));
       nanos += 70_000_000L;
       decided.addAll(decider.tick(clock.now()));
-      decided.forEach(one -> carryOut(decider, one));
+      decided.forEach(decision -> carryOut(decider, decision));
     }
   }
 
--- a/src/test/java/brassbank/decide/DeciderTest.java
+++ b/src/test/java/brassbank/decide/DeciderTest.java
@@ -34,7 +34,7 @@
             }
           });
 
-  /** The longest that a placement waits for its probes. */
+  /** The maximum time that a placement waits for its probes. */
   private static final long PROBE_WAIT_MICROS = 60_000;
 
   private Decider decider;
@@ -46,8 +46,9 @@
     decider = new Decider(config.settings(), 1, config.known(), clock);
   }
 
-  private static Flow flow(long id, long leftMicros, String at) {
-    return new Flow(id, "key", "preview", null, null, leftMicros, 0, false, false, at);
+  private static Flow flow(long id, long remainingMicros, String resumeTarget) {
+    return new Flow(
+        id, "key", "preview", null, null, remainingMicros, 0, false, false, resumeTarget);
   }
 
   private List<Decision> tickAfter(long micros) {
@@ -55,35 +56,35 @@
     return decider.tick(clock.now());
   }
 
-  /** A flow that has been forwarded, after the wait for the first probes, which nobody answers. */
-  private List<Decision> placed(Flow flow) {
+  /** Picks a flow and waits until it is forwarded: the first probes stay unanswered. */
+  private List<Decision> place(Flow flow) {
     List<Decision> decided = new ArrayList<>(decider.pick(flow));
     decided.addAll(tickAfter(PROBE_WAIT_MICROS));
     return decided;
   }
 
-  private static <T extends Decision> List<T> only(Class<T> type, List<Decision> decisions) {
+  private static <T extends Decision> List<T> ofType(Class<T> type, List<Decision> decisions) {
     return decisions.stream().filter(type::isInstance).map(type::cast).toList();
   }
 
   @Test
-  void givesUpAForwardBeforeTheFinalAnswerAndAnswersAtTheDeadline() {
-    List<Decision> picked = placed(flow(1, 500_000, null));
-    assertThat(only(Decision.Forward.class, picked)).hasSize(1);
+  void cancelsAForwardBeforeTheFinalAnswerAndAnswersAtTheDeadline() {
+    List<Decision> picked = place(flow(1, 500_000, null));
+    assertThat(ofType(Decision.Forward.class, picked)).hasSize(1);
     assertThat(decider.limits().placesTaken()).isEqualTo(1);
-    assertThat(only(Decision.Cancel.class, tickAfter(499_000 - PROBE_WAIT_MICROS))).isEmpty();
+    assertThat(ofType(Decision.Cancel.class, tickAfter(499_000 - PROBE_WAIT_MICROS))).isEmpty();
     List<Decision> due = tickAfter(1_000);
-    Decision.FixedResponse answer = only(Decision.FixedResponse.class, due).get(0);
+    Decision.FixedResponse answer = ofType(Decision.FixedResponse.class, due).get(0);
     assertThat(due).containsSubsequence(new Decision.Cancel(1), answer);
-    assertThat(answer.retryMillis()).isBetween(1L, 2000L);
+    assertThat(answer.retryAfterMillis()).isBetween(1L, 2000L);
     assertThat(decider.openFlowCount()).isZero();
     assertThat(decider.limits().placesTaken()).isZero();
   }
 
-  /** Fewer attempts, and a class that is gone, hold for what comes after the reload. */
+  /** A lower limit of attempts and a removed class apply only to flows after the reload. */
   @Test
-  void aFlowKeepsTheSettingsThatItCameUnder() {
-    placed(flow(1, 4_000_000, null));
+  void flowKeepsTheSettingsOfItsArrival() {
+    place(flow(1, 4_000_000, null));
     Balancer.Settings old = config.settings();
     Balancer.Limits limits = old.limits();
     Balancer.Limits fewer =
@@ -101,34 +102,37 @@
     List<Decision> next =
         new ArrayList<>(decider.report(new NetworkEvent.ForwardEnded(1, Outcome.BUSY)));
     next.addAll(tickAfter(200_000));
-    assertThat(only(Decision.Forward.class, next)).as("a second attempt").hasSize(1);
+    assertThat(ofType(Decision.Forward.class, next)).as("a second attempt").hasSize(1);
 
     Flow later = new Flow(3, "key", "presentation", null, null, 2_900_000, 0, false, false, null);
-    List<Decision> decided = placed(later);
-    assertThat(only(Decision.Forward.class, decided)).hasSize(1);
+    List<Decision> decided = place(later);
+    assertThat(ofType(Decision.Forward.class, decided)).hasSize(1);
     decided = new ArrayList<>(decider.report(new NetworkEvent.ForwardEnded(3, Outcome.BUSY)));
     decided.addAll(tickAfter(200_000));
-    assertThat(only(Decision.FixedResponse.class, decided)).as("the only attempt").hasSize(1);
+    assertThat(ofType(Decision.FixedResponse.class, decided)).as("the only attempt").hasSize(1);
   }
 
-  /** Else its module would take the hosts for fuller than they are, and both fill the same ones. */
+  /**
+   * If the successor's module does not count the predecessor's connections, it takes the hosts for
+   * fuller than they are, and both processes fill the same ones.
+   */
   @Test
-  void whatAPredecessorHoldsIsCountedUntilItIsGone() {
-    placed(flow(1, 500_000, null));
+  void connectionsOfAPredecessorAreCountedUntilTheyAreClosed() {
+    place(flow(1, 500_000, null));
     decider.report(new NetworkEvent.FlowEstablished(1));
     decider.report(new NetworkEvent.LoadReported(1, 2_000));
-    List<EstablishedConnection> held = decider.establishedConnections();
-    assertThat(held).hasSize(1);
+    List<EstablishedConnection> connections = decider.establishedConnections();
+    assertThat(connections).hasSize(1);
     Decider successor = new Decider(config.settings(), 2, config.known(), clock);
     EstablishedConnection foreign =
         new EstablishedConnection(9, "key", "no-such", null, null, 0, "s-1", 1);
     successor.report(
-        new NetworkEvent.PredecessorReported(3, List.of(), List.of(held.get(0), foreign)));
-    assertThat(successor.openFlowCount()).as("they are not its own").isZero();
+        new NetworkEvent.PredecessorReported(3, List.of(), List.of(connections.get(0), foreign)));
+    assertThat(successor.openFlowCount()).as("flows of its own").isZero();
     assertThat(successor.establishedConnections()).isEmpty();
     assertThat(successor.predecessorConnectionCount()).isEqualTo(1);
-    successor.report(new NetworkEvent.PredecessorReported(3, List.of(), held));
-    assertThat(successor.predecessorConnectionCount()).as("told twice").isEqualTo(1);
+    successor.report(new NetworkEvent.PredecessorReported(3, List.of(), connections));
+    assertThat(successor.predecessorConnectionCount()).as("reported twice").isEqualTo(1);
     successor.report(new NetworkEvent.PredecessorReported(3, List.of(), List.of()));
     assertThat(successor.predecessorConnectionCount()).isZero();
   }
@@ -155,26 +159,26 @@
   }
 
   @Test
-  void failsAFlowOfAClassThatNobodyKnows() {
+  void failsAFlowOfAnUnknownClass() {
     Flow unknown = new Flow(1, "key", "no-such", null, null, 1000, 0, false, false, null);
     assertThat(decider.pick(unknown)).containsExactly(new Decision.Fail(1));
   }
 
   @Test
-  void movesAStandingConnectionWhoseLineStaysUnanswered() {
-    placed(flow(1, 500_000, null));
+  void movesAnEstablishedConnectionWhoseLineStaysUnanswered() {
+    place(flow(1, 500_000, null));
     decider.report(new NetworkEvent.FlowEstablished(1));
     decider.report(new NetworkEvent.RequestRelayed(1L));
     nanos += 1_000_000_000L;
     decider.report(new NetworkEvent.ResponseRelayed(1L));
-    assertThat(only(Decision.Move.class, tickAfter(10_000_000))).isEmpty();
+    assertThat(ofType(Decision.Move.class, tickAfter(10_000_000))).isEmpty();
     decider.report(new NetworkEvent.RequestRelayed(1L));
-    assertThat(only(Decision.Move.class, tickAfter(4_000_000))).isEmpty();
-    assertThat(only(Decision.Move.class, tickAfter(1_000_000))).hasSize(1);
+    assertThat(ofType(Decision.Move.class, tickAfter(4_000_000))).isEmpty();
+    assertThat(ofType(Decision.Move.class, tickAfter(1_000_000))).hasSize(1);
   }
 
   @Test
-  void waitsForTheListThatNamesAnOpenConnectionsTarget() {
+  void resumedConnectionWaitsForAListThatNamesItsTarget() {
     assertThat(decider.pick(flow(1, 40_000_000, "s-9"))).containsExactly(new Decision.Hold(1));
     TargetList.Entry entry =
         new TargetList.Entry(
@@ -187,63 +191,63 @@
             1,
             0);
     decider.report(new NetworkEvent.TargetsListed(new TargetList(2, false, List.of(entry))));
-    assertThat(only(Decision.Forward.class, tickAfter(400_000)))
+    assertThat(ofType(Decision.Forward.class, tickAfter(400_000)))
         .allMatch(f -> f.target().name().equals("s-9"))
         .hasSize(1);
   }
 
   @Test
-  void mapsUnixTimesToTheModulesClock() {
+  void convertsUnixTimesToTheModulesClock() {
     nanos += 5_000_000_000L;
-    assertThat(clock.ofUnixMillis(UNIX_MILLIS + 2_000)).isEqualTo(clock.now() - 3_000_000);
-    assertThat(clock.ofUnixMillis(0)).isZero();
+    assertThat(clock.fromUnixMillis(UNIX_MILLIS + 2_000)).isEqualTo(clock.now() - 3_000_000);
+    assertThat(clock.fromUnixMillis(0)).isZero();
   }
 
-  /** A wall clock that is put forward made a cold target look warm. */
+  /** When the wall clock was set forward, a cold target looked warm. */
   @Test
-  void takesATargetForYoungerRatherThanOlderAfterAStepOfTheWallClock() {
+  void targetLooksYoungerRatherThanOlderAfterAStepOfTheWallClock() {
     nanos += 5_000_000_000L;
     stepMillis = 60_000;
-    assertThat(clock.ofUnixMillis(UNIX_MILLIS + 2_000)).isEqualTo(clock.now() - 3_000_000);
-    // Looked at meanwhile, the clock that was right before is forgotten after two minutes.
+    assertThat(clock.fromUnixMillis(UNIX_MILLIS + 2_000)).isEqualTo(clock.now() - 3_000_000);
+    // With regular samples the offset from before the step is forgotten after two minutes.
     for (int second = 0; second < 130; second++) {
       nanos += 1_000_000_000L;
       clock.now();
     }
-    assertThat(clock.ofUnixMillis(UNIX_MILLIS + 190_000)).isEqualTo(clock.now() - 5_000_000);
+    assertThat(clock.fromUnixMillis(UNIX_MILLIS + 190_000)).isEqualTo(clock.now() - 5_000_000);
     stepMillis = 55_000;
-    assertThat(clock.ofUnixMillis(UNIX_MILLIS + 190_000)).isEqualTo(clock.now());
+    assertThat(clock.fromUnixMillis(UNIX_MILLIS + 190_000)).isEqualTo(clock.now());
   }
 
-  /** Clients that were moved from the signal on had nowhere better to go. */
+  /** Clients that were moved right after the signal gained nothing by it. */
   @Test
-  void aPlannedStopServesOnAndSendsAwayLate() {
-    placed(flow(1, 4_000_000, null));
+  void plannedStopKeepsServingAndMovesClientsLate() {
+    place(flow(1, 4_000_000, null));
     decider.report(new NetworkEvent.FlowEstablished(1));
     decider.pick(flow(2, 4_000_000, "s-9"));
     decider.report(new NetworkEvent.StopRequested(clock.now() + 3_700_000));
     nanos += 300_000_000L;
-    assertThat(only(Decision.Forward.class, placed(flow(3, 500_000, null)))).hasSize(1);
+    assertThat(ofType(Decision.Forward.class, place(flow(3, 500_000, null)))).hasSize(1);
     decider.report(new NetworkEvent.FlowEstablished(3));
     List<Decision> early = tickAfter(2_350_000 - PROBE_WAIT_MICROS);
-    assertThat(only(Decision.Move.class, early)).isEmpty();
-    assertThat(only(Decision.FixedResponse.class, early)).isEmpty();
-    // The one that waits goes first, and is told when to come again.
+    assertThat(ofType(Decision.Move.class, early)).isEmpty();
+    assertThat(ofType(Decision.FixedResponse.class, early)).isEmpty();
+    // The pending flow is refused first, with a hint when to retry.
     assertThat(tickAfter(60_000)).contains(new Decision.FixedResponse(2, 100));
     List<Decision> late = new ArrayList<>();
     for (int i = 0; i < 39; i++) {
       late.addAll(tickAfter(10_000));
     }
-    assertThat(only(Decision.Move.class, late)).hasSize(2);
+    assertThat(ofType(Decision.Move.class, late)).hasSize(2);
     assertThat(decider.openFlowCount()).isZero();
   }
 
-  /** The ledger's promises, whatever comes in whatever order. */
+  /** The facade's guarantees must hold for any events in any order. */
   @Test
-  void neverSendsTwoCopiesNorAnswersTwiceNorActsAfterTheEnd() {
+  void neverForwardsTwiceNorAnswersTwiceNorActsAfterTheEnd() {
     Random random = new Random(7);
-    Set<Long> out = new HashSet<>();
-    Set<Long> up = new HashSet<>();
+    Set<Long> forwarded = new HashSet<>();
+    Set<Long> established = new HashSet<>();
     Set<Long> ended = new HashSet<>();
     Map<Long, Integer> forwards = new HashMap<>();
     long flows = 0;
@@ -251,28 +255,28 @@
       List<Decision> decisions = new ArrayList<>();
       nanos += random.nextInt(20_000_000);
       decisions.addAll(decider.tick(clock.now()));
-      check(decisions, out, up, ended, forwards);
+      check(decisions, forwarded, established, ended, forwards);
       long id = 1 + (flows == 0 ? 0 : random.nextLong(flows));
-      Outcome ending = Outcome.values()[random.nextInt(Outcome.values().length)];
+      Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length)];
       switch (random.nextInt(6)) {
         case 0 -> decisions = decider.pick(flow(++flows, random.nextInt(3_000_000), null));
         case 1 -> {
-          if (out.remove(id)) {
-            up.add(id);
+          if (forwarded.remove(id)) {
+            established.add(id);
           }
           decisions = decider.report(new NetworkEvent.FlowEstablished(id));
         }
         case 2 -> {
-          boolean over = up.remove(id);
-          if (over) {
+          boolean isClosed = established.remove(id);
+          if (isClosed) {
             ended.add(id);
           }
-          out.remove(id);
-          decisions = decider.report(new NetworkEvent.ForwardEnded(id, ending));
+          forwarded.remove(id);
+          decisions = decider.report(new NetworkEvent.ForwardEnded(id, outcome));
         }
         case 3 -> {
           decisions = decider.report(new NetworkEvent.ClientDisconnected(id));
-          up.remove(id);
+          established.remove(id);
           if (id <= flows) {
             ended.add(id);
           }
@@ -280,11 +284,11 @@
         case 4 -> decisions = decider.report(new NetworkEvent.RequestRelayed(id));
         default -> decisions = decider.report(new NetworkEvent.ResponseRelayed(id));
       }
-      check(decisions, out, up, ended, forwards);
+      check(decisions, forwarded, established, ended, forwards);
     }
     nanos += 20_000_000_000L;
-    check(decider.tick(clock.now()), out, up, ended, forwards);
-    assertThat(out).isEmpty();
+    check(decider.tick(clock.now()), forwarded, established, ended, forwards);
+    assertThat(forwarded).isEmpty();
     assertThat(flows).isGreaterThan(1000);
     assertThat(forwards.values()).allMatch(n -> n <= config.settings().limits().maxAttempts());
     assertThat(config.settings().classes().get(0).effect()).isEqualTo(Balancer.Effect.FREE);
@@ -292,24 +296,24 @@
 
   private static void check(
       List<Decision> decisions,
-      Set<Long> out,
-      Set<Long> up,
+      Set<Long> forwarded,
+      Set<Long> established,
       Set<Long> ended,
       Map<Long, Integer> forwards) {
     for (Decision decision : decisions) {
       if (decision instanceof Decision.Forward forward) {
-        assertThat(out.add(forward.flow())).as("a second copy").isTrue();
+        assertThat(forwarded.add(forward.flow())).as("first outstanding forward").isTrue();
         assertThat(ended).doesNotContain(forward.flow());
-        assertThat(up).doesNotContain(forward.flow());
+        assertThat(established).doesNotContain(forward.flow());
         forwards.merge(forward.flow(), 1, Integer::sum);
       } else if (decision instanceof Decision.Cancel cancel) {
-        assertThat(out.remove(cancel.flow())).as("a forward to give up").isTrue();
+        assertThat(forwarded.remove(cancel.flow())).as("outstanding forward to cancel").isTrue();
       } else if (decision instanceof Decision.FixedResponse fixed) {
-        assertThat(out).doesNotContain(fixed.flow());
-        assertThat(up).doesNotContain(fixed.flow());
-        assertThat(ended.add(fixed.flow())).as("a second answer").isTrue();
+        assertThat(forwarded).doesNotContain(fixed.flow());
+        assertThat(established).doesNotContain(fixed.flow());
+        assertThat(ended.add(fixed.flow())).as("first final answer").isTrue();
       } else if (decision instanceof Decision.Move move) {
-        assertThat(up.remove(move.flow())).as("a connection to move").isTrue();
+        assertThat(established.remove(move.flow())).as("established connection to move").isTrue();
         ended.add(move.flow());
       }
     }
--- a/src/test/java/brassbank/lifecycle/LifecycleTest.java
+++ b/src/test/java/brassbank/lifecycle/LifecycleTest.java
@@ -16,7 +16,7 @@
     lifecycle.handle(Event.SERVING, NOW);
   }
 
-  /** The table as the documentation has it, written down a second time. */
+  /** An independent copy of the transition table. */
   @ParameterizedTest
   @CsvSource({
     "STARTING, ACTIVE, DRAINING, STARTING, STARTING, STOPPING",
@@ -25,18 +25,18 @@
     "STANDBY, STANDBY, STANDBY, ACTIVE, STANDBY, STOPPING",
     "STOPPING, STOPPING, STOPPING, STOPPING, STOPPING, STOPPING"
   })
-  void eachEventHasItsOutcomeInEachState(
+  void eachEventLeadsToItsNextStateFromEachState(
       State from, State serving, State standby, State active, State gone, State stop) {
     State[] expected = {serving, standby, active, gone, stop};
     for (Event event : Event.values()) {
-      assertThat(Lifecycle.after(from, event))
+      assertThat(Lifecycle.transition(from, event))
           .as(from + " " + event)
           .isEqualTo(expected[event.ordinal()]);
     }
   }
 
   @Test
-  void aDrainSendsAllAwayInTimeAndThenTurnsAway() {
+  void drainMovesAllClientsInTimeAndThenRefusesNewOnes() {
     serving();
     assertThat(lifecycle.handle(Event.STANDBY, NOW)).isTrue();
     int left = 300;
@@ -45,7 +45,7 @@
       assertThat(lifecycle.refusesClients(now)).as("at " + (now - NOW)).isFalse();
       DrainSchedule.Step step = lifecycle.step(now, left, left);
       left -= step.count();
-      now = step.next();
+      now = step.nextMicros();
     }
     assertThat(now - NOW).isLessThanOrEqualTo(3_100_000);
     lifecycle.step(now, 0, 0);
@@ -54,19 +54,19 @@
   }
 
   @Test
-  void aDrainWithoutClientsIsOverOnceTheFrontHasHeardOfIt() {
+  void drainWithoutClientsEndsOnceTheBalancerHasHadTimeToNotice() {
     serving();
     lifecycle.handle(Event.STANDBY, NOW);
     lifecycle.step(NOW + 300_000, 0, 0);
     assertThat(lifecycle.state()).isEqualTo(State.DRAINING);
     lifecycle.step(NOW + 400_000, 0, 1);
-    assertThat(lifecycle.state()).as("an attempt is out").isEqualTo(State.DRAINING);
+    assertThat(lifecycle.state()).as("an attempt is outstanding").isEqualTo(State.DRAINING);
     lifecycle.step(NOW + 450_000, 0, 0);
     assertThat(lifecycle.state()).isEqualTo(State.STANDBY);
   }
 
   @Test
-  void aSecondCallChangesNothing() {
+  void secondStandbyRequestChangesNothing() {
     serving();
     lifecycle.handle(Event.STANDBY, NOW);
     DrainSchedule first = lifecycle.drainSchedule();
@@ -74,9 +74,9 @@
     assertThat(lifecycle.drainSchedule()).isSameAs(first);
   }
 
-  /** Drain, back, drain: the first drain's steps must not hurry the second. */
+  /** Steps that were scheduled for an abandoned drain must not hurry a later one. */
   @Test
-  void whoIsCalledBackKeepsItsClientsAndDrainsAnewLater() {
+  void reactivatedProxyKeepsItsClientsAndDrainsAfreshLater() {
     serving();
     lifecycle.handle(Event.STANDBY, NOW);
     int first = lifecycle.drainNumber();
@@ -85,15 +85,16 @@
     assertThat(lifecycle.refusesClients(NOW + 4_000_000)).isFalse();
     lifecycle.handle(Event.STANDBY, NOW + 400_000);
     assertThat(lifecycle.drainNumber()).isNotEqualTo(first);
-    assertThat(lifecycle.drainSchedule().untilEnd(NOW + 400_000)).isEqualTo(DrainSchedule.STANDBY);
+    assertThat(lifecycle.drainSchedule().microsUntilEnd(NOW + 400_000))
+        .isEqualTo(DrainSchedule.STANDBY_LIMIT_MICROS);
   }
 
   @Test
-  void aStopInTheMidstOfADrainKeepsTheDrainsTime() {
+  void stopDuringADrainKeepsTheDrainsEnd() {
     serving();
     lifecycle.handle(Event.STANDBY, NOW);
     assertThat(lifecycle.stop(NOW + 2_000_000, KILL + 2_000_000)).isTrue();
-    assertThat(lifecycle.drainSchedule().untilEnd(NOW + 2_000_000)).isEqualTo(1_000_000);
+    assertThat(lifecycle.drainSchedule().microsUntilEnd(NOW + 2_000_000)).isEqualTo(1_000_000);
     lifecycle.step(NOW + 3_000_000, 0, 0);
     assertThat(lifecycle.state()).isEqualTo(State.STOPPING);
     assertThat(lifecycle.stop(NOW + 3_100_000, KILL + 9_000_000)).as("second signal").isFalse();
