--- a/src/main/java/brassbank/decide/Decider.java
+++ b/src/main/java/brassbank/decide/Decider.java
@@ -109,16 +109,16 @@
             false,
             flow.isReconnecting());
     newFlowCount += flow.isRetry() || flow.isReconnecting() ? 0 : 1;
-    FlowEntry entry = new FlowEntry(flow, request, nowMicros + request.left(), settings);
+    FlowEntry entry = new FlowEntry(flow, request, nowMicros + request.timeLeftMicros(), settings);
     flows.add(entry);
     timers.schedule(
-        entry.deadlineMicros + settings.rules().answerSlack(),
+        entry.deadlineMicros + settings.safetyRules().answerSlackMicros(),
         TimerQueue.Kind.ANSWER_DUE,
         flow.id());
     if (flow.resumeTarget() != null) {
       resume(entry);
     } else {
-      module.request(nowMicros, request);
+      module.requestReceived(nowMicros, request);
     }
     if (flows.get(flow.id()) == entry && entry.stage == FlowEntry.Stage.PENDING) {
       decisions.add(new Decision.Hold(flow.id()));
@@ -135,7 +135,7 @@
       FlowEntry entry = flows.getEstablished(load.flow());
       if (entry != null) {
         entry.load = load.load();
-        noteToModule(entry, Balancer.NoteKind.LOAD, load.load());
+        reportMeasurement(entry, Balancer.MeasurementKind.LOAD, load.load());
       }
     } else if (event instanceof NetworkEvent.RequestRelayed request) {
       requestRelayed(flows.getEstablished(request.flow()));
@@ -146,7 +146,7 @@
     } else if (event instanceof NetworkEvent.ClientDisconnected disconnected) {
       clientDisconnected(disconnected.flow());
     } else if (event instanceof NetworkEvent.ProbeCompleted probed) {
-      module.probed(
+      module.probeCompleted(
           nowMicros,
           probed.target(),
           probed.outcome().status,
@@ -158,10 +158,10 @@
           listed.list(),
           listed.list().isSnapshot() ? Balancer.ListKind.FULL : Balancer.ListKind.DELTA);
     } else if (event instanceof NetworkEvent.FetchFailed) {
-      module.servers(nowMicros, Balancer.ListKind.FAILED, List.of());
+      module.updateServers(nowMicros, Balancer.ListKind.FAILED, List.of());
     } else if (event instanceof NetworkEvent.SettingsChanged changed) {
       configure(changed.settings());
-      module.settings(nowMicros, settings);
+      module.updateSettings(nowMicros, settings);
     } else if (event instanceof NetworkEvent.StopRequested stop) {
       startDrain(lifecycle.stop(nowMicros, stop.deadlineMicros()));
     } else if (event instanceof NetworkEvent.StandbyRequested) {
@@ -177,9 +177,9 @@
     } else if (event instanceof NetworkEvent.SuccessorChanged successor) {
       lifecycle.setSuccessorPresent(successor.isPresent());
     } else if (event instanceof NetworkEvent.BudgetShareChanged share) {
-      module.share(
+      module.updateBudgetShare(
           nowMicros,
-          new Balancer.Share(
+          new Balancer.BudgetShare(
               share.share(),
               share.baseShare(),
               share.rank(),
@@ -189,7 +189,7 @@
       lifecycle.handle(Event.SERVING, nowMicros);
     } else if (event instanceof NetworkEvent.SubsetChanged changed) {
       subset = changed.subset();
-      module.own(nowMicros, subset == null ? null : subset.of(targetGroup.peers()));
+      module.assignServers(nowMicros, subset == null ? null : subset.select(targetGroup.peers()));
     }
     return takeDecisions();
   }
@@ -272,9 +272,9 @@
     }
     entry.stage = FlowEntry.Stage.ESTABLISHED;
     if (entry.flow.resumeTarget() != null) {
-      module.resumed(nowMicros, entry.request, entry.target.name());
+      module.connectionResumed(nowMicros, entry.request, entry.target.name());
     } else {
-      module.accepted(
+      module.connectionAccepted(
           nowMicros,
           flow,
           entry.forwardCount - 1,
@@ -316,7 +316,7 @@
       return;
     }
     if (entry.flow.resumeTarget() == null) {
-      module.lapsed(nowMicros, flow);
+      module.requestWithdrawn(nowMicros, flow);
     }
     if (entry.stage == FlowEntry.Stage.FORWARDED) {
       decisions.add(new Decision.Cancel(flow));
@@ -339,7 +339,7 @@
     if (!outcome.status.neverRan) {
       entry.markMayHaveRun();
     }
-    module.outcome(
+    module.attemptEnded(
         nowMicros,
         new Balancer.Outcome(
             entry.flow.id(),
@@ -381,7 +381,7 @@
     boolean shouldRetry =
         outcome == Outcome.CONNECT_FAILED
             && nowMicros + RESUME_RETRY_DELAY_MICROS < entry.deadlineMicros
-            && entry.forwardCount < entry.settings.limits().maxAttempts();
+            && entry.forwardCount < entry.settings.permissions().maxAttempts();
     if (shouldRetry) {
       timers.schedule(
           nowMicros + RESUME_RETRY_DELAY_MICROS, TimerQueue.Kind.REJOIN, entry.flow.id());
@@ -414,18 +414,18 @@
     double millis = (nowMicros - entry.requestAtMicros) / (double) MICROS_PER_MILLI;
     entry.requestAtMicros = 0;
     if (responseDelays.shouldReport(nowMicros, entry.target.name(), millis)) {
-      noteToModule(entry, Balancer.NoteKind.DELAY, millis);
+      reportMeasurement(entry, Balancer.MeasurementKind.DELAY, millis);
     }
   }
 
-  private void noteToModule(FlowEntry entry, Balancer.NoteKind kind, double value) {
-    module.note(
+  private void reportMeasurement(FlowEntry entry, Balancer.MeasurementKind kind, double value) {
+    module.connectionMeasured(
         nowMicros, entry.flow.id(), entry.attemptNumber(), entry.target.name(), kind, value);
   }
 
   private void fire(TimerQueue.Timer timer) {
     if (timer.kind() == TimerQueue.Kind.MODULE) {
-      module.timer(nowMicros, timer.subject());
+      module.timerExpired(nowMicros, timer.subject());
       return;
     }
     if (timer.kind() == TimerQueue.Kind.LEAVE) {
@@ -487,7 +487,7 @@
    */
   private void answerUnserved(FlowEntry entry) {
     if (entry.flow.resumeTarget() == null) {
-      module.giveUp(nowMicros, entry.flow.id());
+      module.answerNow(nowMicros, entry.flow.id());
     }
     if (flows.get(entry.flow.id()) != entry) {
       return;
@@ -507,9 +507,10 @@
    * would reach another proxy; otherwise the hint is 0.
    */
   private long retryAfterMillis() {
-    Balancer.Limits limits = settings.limits();
-    return limits.retryAfter()
-        ? Math.min(lifecycle.retryDelayMicros(nowMicros), limits.maxRetryAfter()) / MICROS_PER_MILLI
+    Balancer.Permissions permissions = settings.permissions();
+    return permissions.retryAfter()
+        ? Math.min(lifecycle.retryDelayMicros(nowMicros), permissions.maxRetryAfterMicros())
+            / MICROS_PER_MILLI
         : 0;
   }
 
@@ -589,9 +590,9 @@
   private void applyList(TargetList list, Balancer.ListKind kind) {
     List<Balancer.ServerEntry> entries = targetGroup.apply(list, kind, responseDelays::forget);
     if (subset != null) {
-      module.own(nowMicros, subset.of(targetGroup.peers()));
+      module.assignServers(nowMicros, subset.select(targetGroup.peers()));
     }
-    module.servers(nowMicros, kind, entries);
+    module.updateServers(nowMicros, kind, entries);
   }
 
   /** Turns the module's actions into decisions, checked against the table of open flows. */
@@ -659,8 +660,8 @@
     }
 
     @Override
-    public void timer(long delay, long token) {
-      timers.schedule(nowMicros + delay, TimerQueue.Kind.MODULE, token);
+    public void startTimer(long delayMicros, long token) {
+      timers.schedule(nowMicros + delayMicros, TimerQueue.Kind.MODULE, token);
     }
 
     @Override
@@ -672,17 +673,17 @@
     }
 
     @Override
-    public void watch(boolean on) {
-      decisions.add(new Decision.Watch(on));
+    public void watchDiscovery(boolean enabled) {
+      decisions.add(new Decision.Watch(enabled));
     }
 
     @Override
-    public void fetch() {
+    public void fetchServers() {
       decisions.add(new Decision.Fetch());
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
       throw new UnsupportedOperationException("the module may not send messages to other proxies");
     }
 
--- a/src/main/java/brassbank/decide/FlowEntry.java
+++ b/src/main/java/brassbank/decide/FlowEntry.java
@@ -61,12 +61,15 @@
    */
   long sendDeadlineMicros() {
     return settings.classes().stream()
-        .filter(c -> c.name().equals(flow.flowClass()) && c.effect() == Balancer.Effect.GUARDED)
+        .filter(
+            c ->
+                c.name().equals(flow.flowClass())
+                    && c.repeatability() == Balancer.Repeatability.GUARDED)
         .mapToLong(
             c ->
                 firstRunSentAtMicros == Long.MAX_VALUE
                     ? deadlineMicros
-                    : firstRunSentAtMicros + c.window())
+                    : firstRunSentAtMicros + c.deduplicationWindowMicros())
         .findAny()
         .orElse(deadlineMicros);
   }
--- a/src/main/java/brassbank/decide/Predecessors.java
+++ b/src/main/java/brassbank/decide/Predecessors.java
@@ -37,7 +37,7 @@
     connections.forEach(connection -> next.put(connection.id(), connection));
     for (EstablishedConnection closed : current.values()) {
       if (!next.containsKey(closed.id())) {
-        module.outcome(
+        module.attemptEnded(
             nowMicros,
             new Balancer.Outcome(
                 moduleFlowId(processId, closed),
@@ -58,7 +58,7 @@
       long id = moduleFlowId(processId, connection);
       EstablishedConnection known = current.put(connection.id(), connection);
       if (known == null) {
-        module.resumed(
+        module.connectionResumed(
             nowMicros,
             new Balancer.Request(
                 id,
@@ -74,8 +74,13 @@
             connection.target());
       }
       if (connection.load() >= 0 && (known == null || known.load() != connection.load())) {
-        module.note(
-            nowMicros, id, 0, connection.target(), Balancer.NoteKind.LOAD, connection.load());
+        module.connectionMeasured(
+            nowMicros,
+            id,
+            0,
+            connection.target(),
+            Balancer.MeasurementKind.LOAD,
+            connection.load());
       }
     }
     if (current.isEmpty()) {
--- a/src/main/java/brassbank/decide/ResponseDelays.java
+++ b/src/main/java/brassbank/decide/ResponseDelays.java
@@ -24,14 +24,14 @@
   private double slowThresholdMillis;
 
   /**
-   * Sets the threshold to a third of the shortest message aim of all classes. Without any aim no
-   * response counts as slow.
+   * Sets the threshold to a third of the shortest message delay goal of all classes. Without any
+   * goal no response counts as slow.
    */
   void configure(Balancer.Settings settings) {
     double shortest = Double.MAX_VALUE;
     for (Balancer.RequestClass type : settings.classes()) {
-      if (type.messageAim() > 0) {
-        shortest = Math.min(shortest, type.messageAim());
+      if (type.messageDelayGoalMicros() > 0) {
+        shortest = Math.min(shortest, type.messageDelayGoalMicros());
       }
     }
     slowThresholdMillis =
--- a/src/main/java/brassbank/discovery/Discovery.java
+++ b/src/main/java/brassbank/discovery/Discovery.java
@@ -6,7 +6,7 @@
 import brassbank.decide.TargetList;
 import brassbank.forward.Dispatcher;
 import brassbank.log.Log;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
 import brassbank.net.Net;
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
@@ -209,8 +209,8 @@
 
     private HttpCall call;
     private HttpCall hedge;
-    private Loop.Timer retryTimer;
-    private Loop.Timer hedgeTimer;
+    private EventLoop.Timer retryTimer;
+    private EventLoop.Timer hedgeTimer;
 
     /** Whether discovery answered the last failed call with an error status. */
     private boolean isRejected;
@@ -232,7 +232,7 @@
         } else {
           retryTimer =
               net.loop()
-                  .after(
+                  .schedule(
                       delayMicros + random.nextLong(DiscoveryTimeouts.MIN_RETRY_DELAY_MICROS),
                       this::startCall);
         }
@@ -243,7 +243,7 @@
       retryTimer = null;
       call = newCall();
       if (isHedged && !isRejected) {
-        hedgeTimer = net.loop().after(DiscoveryTimeouts.HEDGE_MICROS, () -> hedge = newCall());
+        hedgeTimer = net.loop().schedule(DiscoveryTimeouts.HEDGE_MICROS, () -> hedge = newCall());
       }
     }
 
@@ -288,7 +288,7 @@
       long delayMicros = meanRetryDelayMicros / 2 + random.nextLong(meanRetryDelayMicros);
       meanRetryDelayMicros =
           Math.min(DiscoveryTimeouts.MAX_RETRY_DELAY_MICROS, 2 * meanRetryDelayMicros);
-      retryTimer = net.loop().after(delayMicros, this::startCall);
+      retryTimer = net.loop().schedule(delayMicros, this::startCall);
     }
 
     /** Resets the backoff after a success. */
--- a/src/main/java/brassbank/discovery/HttpCall.java
+++ b/src/main/java/brassbank/discovery/HttpCall.java
@@ -1,7 +1,7 @@
 package brassbank.discovery;
 
+import brassbank.net.EventLoop;
 import brassbank.net.LineBuffer;
-import brassbank.net.Loop;
 import brassbank.net.Net;
 import brassbank.net.Network;
 import java.net.InetSocketAddress;
@@ -12,7 +12,7 @@
  * One HTTP call whose answer is delivered line by line as it arrives. It owns its connection
  * attempt. Runs on the event loop.
  */
-final class HttpCall implements Network.Answer {
+final class HttpCall implements Network.ResponseHandler {
   /** Far more than a target list needs, and far less than the available memory. */
   private static final int MAX_LINE_BYTES = 1 << 20;
 
@@ -39,7 +39,7 @@
   private final LineBuffer buffer = new LineBuffer(MAX_LINE_BYTES);
   private Listener listener;
   private Network.Attempt attempt;
-  private Loop.Timer timeout;
+  private EventLoop.Timer timeout;
 
   HttpCall(Net net, String path, Listener listener) {
     this.net = net;
@@ -48,7 +48,7 @@
   }
 
   void start(InetSocketAddress to) {
-    timeout = net.loop().after(DiscoveryTimeouts.ANSWER_MICROS, () -> fail("no answer in time"));
+    timeout = net.loop().schedule(DiscoveryTimeouts.ANSWER_MICROS, () -> fail("no answer in time"));
     attempt = net.get(to, path, DiscoveryTimeouts.CONNECT_MICROS, this);
   }
 
@@ -79,7 +79,7 @@
   }
 
   @Override
-  public void begun(int status) {
+  public void statusReceived(int status) {
     if (listener != null && status == STATUS_OK) {
       restartSilenceTimeout();
       listener.begun(this);
@@ -89,11 +89,12 @@
   /** Restarts the timeout for the next bytes of the answer. */
   private void restartSilenceTimeout() {
     timeout.cancel();
-    timeout = net.loop().after(DiscoveryTimeouts.SILENCE_MICROS, () -> fail("silent for too long"));
+    timeout =
+        net.loop().schedule(DiscoveryTimeouts.SILENCE_MICROS, () -> fail("silent for too long"));
   }
 
   @Override
-  public void content(int status, ByteBuffer bytes, boolean last) {
+  public void contentReceived(int status, ByteBuffer bytes, boolean last) {
     if (listener == null) {
       return;
     }
@@ -111,7 +112,7 @@
         line = buffer.nextLine()) {
       listener.line(this, line);
     }
-    if (buffer.overlong()) {
+    if (buffer.hasOverlongLine()) {
       fail("line too long");
     } else if (last) {
       fail("");
--- a/src/main/java/brassbank/forward/Dispatcher.java
+++ b/src/main/java/brassbank/forward/Dispatcher.java
@@ -13,14 +13,14 @@
 import brassbank.decide.Outcome;
 import brassbank.decide.Target;
 import brassbank.log.Log;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
-import brassbank.relay.Pair;
 import brassbank.relay.Relay;
-import brassbank.relay.Watcher;
+import brassbank.relay.RelayedSession;
+import brassbank.relay.SessionObserver;
+import brassbank.relay.limits.DisconnectDecision;
 import brassbank.relay.limits.Side;
-import brassbank.relay.limits.Verdict;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -59,7 +59,7 @@
   private int flowsAwaitingTarget;
 
   private TargetSource targetSource;
-  private Loop.Timer timer;
+  private EventLoop.Timer timer;
 
   /** When the timer is due, Long.MAX_VALUE if there is none. */
   private long armedForMicros = Long.MAX_VALUE;
@@ -111,7 +111,7 @@
 
   /** Submits a new flow, whose answer is passed to the client. */
   public void submit(Flow flow, Client client) {
-    if (net.full(flowsAwaitingTarget)) {
+    if (net.isAtCapacity(flowsAwaitingTarget)) {
       // Without a descriptor for a target the flow cannot be forwarded, so it is refused while
       // there
       // is still a descriptor to answer with. Each waiting flow counts with the descriptor that it
@@ -193,7 +193,7 @@
     try {
       for (Decision next = pendingDecisions.poll(); next != null; next = pendingDecisions.poll()) {
         Decision decision = next;
-        Loop.guarded(() -> execute(decision));
+        EventLoop.runGuarded(() -> execute(decision));
       }
     } finally {
       isExecuting = false;
@@ -208,7 +208,7 @@
         timer.cancel();
       }
       armedForMicros = due;
-      timer = net.loop().after(due - clock.now(), this::tick);
+      timer = net.loop().schedule(due - clock.now(), this::tick);
     }
   }
 
@@ -239,7 +239,7 @@
       Session session = removeSession(move.flow());
       if (session != null) {
         // The client's flow id becomes free only once its connection has ended.
-        session.pair.farewell(session.client.farewellLine(), session.client::flowEnded);
+        session.relayed.sendFinalLine(session.client.farewellLine(), session.client::flowEnded);
       }
     } else if (decision instanceof Decision.Probe probe) {
       prober.probe(probe.target());
@@ -251,7 +251,7 @@
   }
 
   /** One flow, from its submission to its final answer or to the end of its connection. */
-  private final class Session implements Forward.Listener, Watcher {
+  private final class Session implements Forward.Listener, SessionObserver {
     private final long flow;
     private final String practice;
     private final Client client;
@@ -266,7 +266,7 @@
     private Forward forward;
 
     private String target;
-    private Pair pair;
+    private RelayedSession relayed;
     private boolean isAwaitingTarget;
 
     /** The events for relayed lines, created with the first line and reused for every other. */
@@ -319,9 +319,9 @@
     @Override
     public void established(String line, Link targetLink) {
       forward = null;
-      pair = relay.pair(flow, practice, client.establish(line), targetLink, this);
+      relayed = relay.openSession(flow, practice, client.establish(line), targetLink, this);
       report(new NetworkEvent.FlowEstablished(flow));
-      pair.start();
+      relayed.start();
     }
 
     @Override
@@ -331,7 +331,7 @@
     }
 
     @Override
-    public void asked() {
+    public void requestRelayed() {
       if (requestRelayed == null) {
         requestRelayed = new NetworkEvent.RequestRelayed(flow);
         responseRelayed = new NetworkEvent.ResponseRelayed(requestRelayed.flow());
@@ -340,22 +340,22 @@
     }
 
     @Override
-    public void answered() {
+    public void responseRelayed() {
       report(responseRelayed);
     }
 
     @Override
-    public void bye() {
+    public void byeReceived() {
       closeOutcome = Outcome.SERVED;
     }
 
     @Override
-    public void moving() {
+    public void moveReceived() {
       closeOutcome = Outcome.CANCELLED;
     }
 
     @Override
-    public String gaveUp(Side side, Verdict.Reason reason) {
+    public String slowPeerDisconnected(Side side, DisconnectDecision.Reason reason) {
       if (removeSession(flow) != null) {
         client.flowEnded();
       }
@@ -368,7 +368,7 @@
     }
 
     @Override
-    public void load(String text) {
+    public void loadReported(String text) {
       try {
         report(new NetworkEvent.LoadReported(flow, LoadReport.parseValue(text)));
       } catch (IllegalArgumentException e) {
--- a/src/main/java/brassbank/forward/Forward.java
+++ b/src/main/java/brassbank/forward/Forward.java
@@ -18,7 +18,7 @@
  * target's link until the target accepts the flow, and releases it in {@link #cancel}. Runs on the
  * event loop.
  */
-final class Forward implements Link.Owner, Net.Connected {
+final class Forward implements Link.LineHandler, Net.ConnectHandler {
   private static final Log LOG = Log.of("forward");
 
   /** Receives the result of a forward: one call, or none if the forward is cancelled before. */
@@ -59,7 +59,7 @@
   }
 
   @Override
-  public void up(Link connected) {
+  public void connected(Link connected) {
     link = connected;
     String line = openingLine.get();
     if (line == null) {
@@ -82,7 +82,7 @@
       // This cannot be an answer to the line, which has not been written and never will be.
       LOG.warn("answer-early", flow(flow), target(target.name()));
       finish(Outcome.CONNECT_FAILED);
-    } else if (link.buffer().overlong()) {
+    } else if (link.buffer().hasOverlongLine()) {
       LOG.warn("answer-overlong", flow(flow), target(target.name()));
       finish(Outcome.ERROR);
     } else if (line != null) {
--- a/src/main/java/brassbank/forward/Prober.java
+++ b/src/main/java/brassbank/forward/Prober.java
@@ -6,8 +6,8 @@
 import brassbank.decide.Outcome;
 import brassbank.decide.Target;
 import brassbank.log.Log;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
 import brassbank.net.Network;
 import java.net.InetSocketAddress;
@@ -64,10 +64,10 @@
   }
 
   /** One probe of one target. It owns its connection and releases it in {@link #releaseLink}. */
-  private final class Probe implements Link.Owner, Net.Connected {
+  private final class Probe implements Link.LineHandler, Net.ConnectHandler {
     private final Target target;
     private final long startedAt = net.clock().nanos();
-    private Loop.Timer timeout;
+    private EventLoop.Timer timeout;
     private Network.Attempt connectAttempt;
     private Link link;
     private boolean isSent;
@@ -81,11 +81,11 @@
     }
 
     void start() {
-      timeout = net.loop().after(TIMEOUT_MICROS, this::timedOut);
+      timeout = net.loop().schedule(TIMEOUT_MICROS, this::timedOut);
       Deque<IdleConnection> idle = idleConnections.get(target.address());
       if (idle != null) {
         isReused = true;
-        up(idle.peek().take());
+        connected(idle.peek().take());
       } else {
         connect();
       }
@@ -100,9 +100,9 @@
     }
 
     @Override
-    public void up(Link connected) {
+    public void connected(Link connected) {
       link = connected;
-      link.owner(this);
+      link.handler(this);
       link.send(STATS_REQUEST, () -> isSent = true);
     }
 
@@ -114,7 +114,7 @@
     @Override
     public void received(Link from) {
       String line = link.buffer().nextLine();
-      if (link.buffer().overlong()) {
+      if (link.buffer().hasOverlongLine()) {
         rejectAnswer("line too long");
       } else if (line != null) {
         handleAnswer(line);
@@ -169,7 +169,10 @@
       timeout.cancel();
       if (link == null) {
         connectAttempt.cancel();
-      } else if (usable && link.buffer().held() == 0 && link.isOpen() && !net.full()) {
+      } else if (usable
+          && link.buffer().unreadBytes() == 0
+          && link.isOpen()
+          && !net.isAtCapacity()) {
         // A connection with bytes behind the answer is not reused: they would be taken for the
         // answer to the next probe, and each answer for that to the probe after it.
         new IdleConnection(target.address(), link).park();
@@ -180,10 +183,10 @@
   }
 
   /** An open connection between two probes. */
-  private final class IdleConnection implements Link.Owner {
+  private final class IdleConnection implements Link.LineHandler {
     private final InetSocketAddress address;
     private final Link link;
-    private Loop.Timer expiry;
+    private EventLoop.Timer expiry;
 
     IdleConnection(InetSocketAddress address, Link link) {
       this.address = address;
@@ -191,9 +194,9 @@
     }
 
     void park() {
-      link.owner(this);
+      link.handler(this);
       idleConnections.computeIfAbsent(address, a -> new ArrayDeque<>()).push(this);
-      expiry = net.loop().after(idleMicros, () -> take().close());
+      expiry = net.loop().schedule(idleMicros, () -> take().close());
     }
 
     /** Removes the connection from the idle ones and returns its link to the caller. */
--- a/src/main/java/brassbank/front/ClientFrontend.java
+++ b/src/main/java/brassbank/front/ClientFrontend.java
@@ -5,8 +5,8 @@
 import brassbank.forward.Client;
 import brassbank.forward.Dispatcher;
 import brassbank.log.Log;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -122,7 +122,7 @@
   /** Accepts a client's new connection. */
   public void accept(Link link) {
     Session session = new Session(link);
-    link.owner(session);
+    link.handler(session);
     session.awaitLine();
     if (!isEvictionScheduled) {
       evictSilent();
@@ -137,14 +137,14 @@
   private void evictSilent() {
     long now = net.clock().nanos();
     isEvictionScheduled = false;
-    while (silentSessions.size() > net.silentRoom() && !isEvictionScheduled) {
+    while (silentSessions.size() > net.maxSilentClients() && !isEvictionScheduled) {
       Session oldest = silentSessions.iterator().next();
       if (now - oldest.silentSinceNanos >= TimeUnit.MICROSECONDS.toNanos(MAX_SILENCE_MICROS)) {
         oldest.stopAwaitingLine();
-        oldest.link.drop("BUSY");
+        oldest.link.closeNow("BUSY");
       } else {
         isEvictionScheduled = true;
-        net.loop().after(MAX_SILENCE_MICROS / 2, this::evictSilent);
+        net.loop().schedule(MAX_SILENCE_MICROS / 2, this::evictSilent);
       }
     }
   }
@@ -156,13 +156,13 @@
    */
   private void freeDescriptors() {
     long now = net.clock().nanos();
-    while (net.full() && !silentSessions.isEmpty()) {
+    while (net.isAtCapacity() && !silentSessions.isEmpty()) {
       Session oldest = silentSessions.iterator().next();
       if (now - oldest.silentSinceNanos < TimeUnit.MICROSECONDS.toNanos(EVICTABLE_SILENCE_MICROS)) {
         return;
       }
       oldest.stopAwaitingLine();
-      oldest.link.drop("BUSY");
+      oldest.link.closeNow("BUSY");
     }
   }
 
@@ -174,7 +174,7 @@
     List<Session> idle = new ArrayList<>(silentSessions);
     idle.addAll(greetedSessions);
     for (Session session : idle) {
-      session.link.receive();
+      session.link.readNow();
       if (session.hasNoFlow()) {
         session.close();
       }
@@ -196,14 +196,14 @@
   }
 
   /** One client's connection, until its flow is established or answered. */
-  private final class Session implements Link.Owner, Client {
+  private final class Session implements Link.LineHandler, Client {
     private final Link link;
     private Phase phase = Phase.AWAITING_LINE;
 
     /** How long the connection may have waited before it was accepted. */
     private final long queuedMicros;
 
-    private Loop.Timer lineTimeout;
+    private EventLoop.Timer lineTimeout;
     private long silentSinceNanos;
 
     /** Null once the flow is established: of a session that lasts for hours only the id is kept. */
@@ -220,7 +220,7 @@
     private void awaitLine() {
       silentSessions.add(this);
       silentSinceNanos = net.clock().nanos();
-      lineTimeout = net.loop().after(FIRST_LINE_TIMEOUT_MICROS, () -> reject("no first line"));
+      lineTimeout = net.loop().schedule(FIRST_LINE_TIMEOUT_MICROS, () -> reject("no first line"));
     }
 
     private boolean hasNoFlow() {
@@ -250,7 +250,7 @@
         return;
       }
       String line = link.buffer().nextLine();
-      if (link.buffer().overlong()) {
+      if (link.buffer().hasOverlongLine()) {
         reject("the line is too long");
       } else if (line != null) {
         handleLine(line);
@@ -260,7 +260,7 @@
     /** Handles a line. A client must send one line and wait; further bytes make it invalid. */
     private void handleLine(String line) {
       stopAwaitingLine();
-      if (link.buffer().held() > 0) {
+      if (link.buffer().unreadBytes() > 0) {
         reject("more than one line before the answer");
       } else if (line.equals("PING")) {
         handlePing();
@@ -278,7 +278,7 @@
         greetedSessions.iterator().next().reject("too many connections wait after PING");
       }
       greetedSessions.add(this);
-      lineTimeout = net.loop().after(GREETED_TIMEOUT_MICROS, () -> reject("no line after PING"));
+      lineTimeout = net.loop().schedule(GREETED_TIMEOUT_MICROS, () -> reject("no line after PING"));
       phase = Phase.AWAITING_PONG;
       answerPing();
     }
@@ -294,7 +294,7 @@
       if (dispatcher.admitsClients()) {
         phase = Phase.GREETED;
         link.send("PONG");
-        if (!net.isOpen() && dispatcher.isLeaving()) {
+        if (!net.isAcceptingClients() && dispatcher.isLeaving()) {
           // The next PING must come over a new connection, which another process accepts, since
           // this process will exit.
           close();
@@ -303,7 +303,7 @@
         phase = Phase.GREETED;
         link.send("BUSY");
       } else {
-        net.loop().after(ADMISSION_RECHECK_MICROS, this::answerPing);
+        net.loop().schedule(ADMISSION_RECHECK_MICROS, this::answerPing);
       }
     }
 
@@ -334,7 +334,7 @@
       stopAwaitingLine();
       LOG.info("client-rejected", value("reason", reason));
       withdrawFlow();
-      link.turnAway("ERR " + reason.replaceAll("[^ -~]", "?"));
+      link.reject("ERR " + reason.replaceAll("[^ -~]", "?"));
     }
 
     /** Withdraws the flow if it has no answer yet. */
@@ -381,7 +381,7 @@
     private void answer(String line) {
       phase = Phase.FINISHED;
       flowEnded();
-      link.turnAway(line);
+      link.reject(line);
     }
 
     @Override
--- a/src/main/java/brassbank/proxy/Peers.java
+++ b/src/main/java/brassbank/proxy/Peers.java
@@ -38,7 +38,7 @@
   void changed() {
     if (!due) {
       due = true;
-      net.loop().after(MOMENT, this::tell);
+      net.loop().schedule(MOMENT, this::tell);
     }
   }
 
@@ -64,7 +64,7 @@
   }
 
   private static List<Peer> peers(View view) {
-    return view.live().stream()
+    return view.liveMembers().stream()
         .filter(member -> takesClients(member.activity()))
         .map(member -> new Peer(member.name(), member.zone()))
         .sorted(Comparator.comparing(Peer::name))
--- a/src/test/java/brassbank/config/file/OptionsFileTest.java
+++ b/src/test/java/brassbank/config/file/OptionsFileTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import brassbank.membership.Joining;
+import brassbank.membership.MembershipConfig;
 import brassbank.relay.limits.RelayLimits;
 import brassbank.relay.limits.SideLimits;
 import java.nio.file.Files;
@@ -36,18 +36,18 @@
             .options()
             .orElseThrow()
             .relay();
-    assertThat(relay.turn()).isEqualTo(32 * 1024);
-    assertThat(relay.budget()).isEqualTo(1 << 30);
-    assertThat(relay.practices()).isEqualTo(Map.of("two words", 20L << 20));
+    assertThat(relay.readQuotaBytes()).isEqualTo(32 * 1024);
+    assertThat(relay.budgetBytes()).isEqualTo(1 << 30);
+    assertThat(relay.practiceBudgets()).isEqualTo(Map.of("two words", 20L << 20));
     assertThat(relay.farewellMicros()).isEqualTo(60_000_000);
     assertThat(relay.client())
         .isEqualTo(new SideLimits(64 * 1024, 32 * 1024, 60_000_000, 0, 500_000, 30_000_000));
-    assertThat(relay.target().rate()).isEqualTo(2048);
+    assertThat(relay.target().minBytesPerSecond()).isEqualTo(2048);
   }
 
   @Test
   void takesAFleetAndTellsWhatIsWrongWithOne() {
-    Joining joining =
+    MembershipConfig joining =
         OptionsFile.parse(
                 "x.toml",
                 """
@@ -62,8 +62,8 @@
             .orElseThrow()
             .joining();
     assertThat(joining.seeds()).hasSize(2);
-    assertThat(joining.settings().suspicion()).isEqualTo(3_000_000);
-    assertThat(joining.at(null).advertised().getPort()).isEqualTo(7075);
+    assertThat(joining.settings().minSuspicionMicros()).isEqualTo(3_000_000);
+    assertThat(joining.withDefaultAddress(null).advertised().getPort()).isEqualTo(7075);
     assertThat(OptionsFile.parse("x.toml", "").options().orElseThrow().joining()).isNull();
     assertThat(
             problems(
--- a/src/test/java/brassbank/decide/AcceptedSettingsTest.java
+++ b/src/test/java/brassbank/decide/AcceptedSettingsTest.java
@@ -100,11 +100,11 @@
 
   /** Runs a reload between flows, the arrival of a cold host, and a planned stop. */
   private void exercise(Config first, Config next) {
-    Decider decider = new Decider(first.settings(), 1, first.known(), clock);
+    Decider decider = new Decider(first.settings(), 1, first.knownTargets(), clock);
     flows(decider, 1, first);
     decider.report(new NetworkEvent.SettingsChanged(next.settings()));
     flows(decider, 100, next);
-    TargetList.Entry known = first.known().entries().get(0);
+    TargetList.Entry known = first.knownTargets().entries().get(0);
     TargetList.Entry joining =
         new TargetList.Entry(
             "cold",
--- a/src/test/java/brassbank/decide/DeciderTest.java
+++ b/src/test/java/brassbank/decide/DeciderTest.java
@@ -43,7 +43,7 @@
   @BeforeEach
   void start() throws Exception {
     config = Config.read(Map.of("LB_CONFIG", "example/config.json"));
-    decider = new Decider(config.settings(), 1, config.known(), clock);
+    decider = new Decider(config.settings(), 1, config.knownTargets(), clock);
   }
 
   private static Flow flow(long id, long remainingMicros, String resumeTarget) {
@@ -71,14 +71,14 @@
   void cancelsAForwardBeforeTheFinalAnswerAndAnswersAtTheDeadline() {
     List<Decision> picked = place(flow(1, 500_000, null));
     assertThat(ofType(Decision.Forward.class, picked)).hasSize(1);
-    assertThat(decider.limits().placesTaken()).isEqualTo(1);
+    assertThat(decider.limits().setupsInProgress()).isEqualTo(1);
     assertThat(ofType(Decision.Cancel.class, tickAfter(499_000 - PROBE_WAIT_MICROS))).isEmpty();
     List<Decision> due = tickAfter(1_000);
     Decision.FixedResponse answer = ofType(Decision.FixedResponse.class, due).get(0);
     assertThat(due).containsSubsequence(new Decision.Cancel(1), answer);
     assertThat(answer.retryAfterMillis()).isBetween(1L, 2000L);
     assertThat(decider.openFlowCount()).isZero();
-    assertThat(decider.limits().placesTaken()).isZero();
+    assertThat(decider.limits().setupsInProgress()).isZero();
   }
 
   /** A lower limit of attempts and a removed class apply only to flows after the reload. */
@@ -86,16 +86,16 @@
   void flowKeepsTheSettingsOfItsArrival() {
     place(flow(1, 4_000_000, null));
     Balancer.Settings old = config.settings();
-    Balancer.Limits limits = old.limits();
-    Balancer.Limits fewer =
-        new Balancer.Limits(
-            limits.probes(),
-            limits.peers(),
-            limits.cancel(),
-            limits.secondCopies(),
-            limits.retryAfter(),
+    Balancer.Permissions permissions = old.permissions();
+    Balancer.Permissions fewer =
+        new Balancer.Permissions(
+            permissions.probes(),
+            permissions.peerMessages(),
+            permissions.cancel(),
+            permissions.secondCopies(),
+            permissions.retryAfter(),
             1,
-            limits.maxRetryAfter());
+            permissions.maxRetryAfterMicros());
     decider.report(new NetworkEvent.SettingsChanged(with(old, fewer, old.classes().subList(1, 2))));
     Flow dropped = flow(2, 4_000_000, null);
     assertThat(decider.pick(dropped)).containsExactly(new Decision.Fail(2));
@@ -123,7 +123,7 @@
     decider.report(new NetworkEvent.LoadReported(1, 2_000));
     List<EstablishedConnection> connections = decider.establishedConnections();
     assertThat(connections).hasSize(1);
-    Decider successor = new Decider(config.settings(), 2, config.known(), clock);
+    Decider successor = new Decider(config.settings(), 2, config.knownTargets(), clock);
     EstablishedConnection foreign =
         new EstablishedConnection(9, "key", "no-such", null, null, 0, "s-1", 1);
     successor.report(
@@ -138,24 +138,26 @@
   }
 
   private static Balancer.Settings with(
-      Balancer.Settings old, Balancer.Limits limits, List<Balancer.RequestClass> classes) {
+      Balancer.Settings old,
+      Balancer.Permissions permissions,
+      List<Balancer.RequestClass> classes) {
     return new Balancer.Settings(
         old.rank(),
-        old.nodes(),
+        old.nodeCount(),
         old.zone(),
         old.zones(),
         classes,
         old.tenants(),
-        limits,
-        old.rules(),
+        permissions,
+        old.safetyRules(),
         old.prices(),
         old.reportFields(),
-        old.sizes(),
-        old.asks(),
+        old.sizeMeaning(),
+        old.pullsDiscovery(),
         old.passThrough(),
-        old.overShareWorth(),
-        old.tick(),
-        old.tellsDelay());
+        old.overShareValue(),
+        old.timerResolutionMicros(),
+        old.reportsDelay());
   }
 
   @Test
@@ -290,8 +292,9 @@
     check(decider.tick(clock.now()), forwarded, established, ended, forwards);
     assertThat(forwarded).isEmpty();
     assertThat(flows).isGreaterThan(1000);
-    assertThat(forwards.values()).allMatch(n -> n <= config.settings().limits().maxAttempts());
-    assertThat(config.settings().classes().get(0).effect()).isEqualTo(Balancer.Effect.FREE);
+    assertThat(forwards.values()).allMatch(n -> n <= config.settings().permissions().maxAttempts());
+    assertThat(config.settings().classes().get(0).repeatability())
+        .isEqualTo(Balancer.Repeatability.FREE);
   }
 
   private static void check(
