--- a/src/main/java/brassbank/proxy/Proxy.java
+++ b/src/main/java/brassbank/proxy/Proxy.java
@@ -217,9 +217,8 @@
           if (fleet != null && accepting) {
             fleet.open();
           } else if (fleet != null) {
-            // Another process takes over the membership under the same name, so that this one
-            // leaves
-            // without a leave message.
+            // Another process takes over the membership under the same name, so that this one sends
+            // no leave message.
             fleet.close(false);
           }
           dispatcher.report(new NetworkEvent.SuccessorChanged(!accepting));
--- a/src/test/java/brassbank/ArchitectureTest.java
+++ b/src/test/java/brassbank/ArchitectureTest.java
@@ -17,13 +17,16 @@
 import java.util.List;
 import java.util.Set;
 
-/** What keeps a run replayable, and decisions and network apart, holds for code yet to come too. */
+/**
+ * Checks the rules for dependencies between packages that keep runs reproducible, and decisions
+ * separate from the network.
+ */
 @AnalyzeClasses(
     packages = {"brassbank", "ashspar"},
     importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-  /** Types with a clock or randomness of the system's behind them, or an order by identity. */
-  private static final Set<String> FROM_THE_SYSTEM =
+  /** Types that read the system clock or system randomness, or that order by identity. */
+  private static final Set<String> NONDETERMINISTIC_TYPES =
       Set.of(
           "java.util.concurrent.ThreadLocalRandom",
           "java.security.SecureRandom",
@@ -31,8 +34,8 @@
           "java.util.Timer",
           "java.util.IdentityHashMap");
 
-  /** Methods that ask the system, or whose answer differs from one JVM to the next. */
-  private static final Set<String> ASKS_THE_SYSTEM =
+  /** Methods that read system state, or whose result differs between JVMs. */
+  private static final Set<String> NONDETERMINISTIC_METHODS =
       Set.of(
           "java.lang.System.nanoTime",
           "java.lang.System.currentTimeMillis",
@@ -43,8 +46,11 @@
           "java.util.Collections.shuffle",
           "java.util.random.RandomGenerator.getDefault");
 
-  /** Their iteration order is salted anew in each JVM; without elements there is none. */
-  private static final Set<String> SALTED =
+  /**
+   * Factories of collections whose iteration order differs between JVMs. Without elements there is
+   * no order.
+   */
+  private static final Set<String> RANDOMLY_ORDERED_FACTORIES =
       Set.of(
           "java.util.Set.of",
           "java.util.Set.copyOf",
@@ -52,7 +58,7 @@
           "java.util.Map.ofEntries",
           "java.util.Map.copyOf");
 
-  private static boolean asksTheSystem(JavaAccess<?> access) {
+  private static boolean isNondeterministic(JavaAccess<?> access) {
     AccessTarget target = access.getTarget();
     String owner = target.getOwner().getName();
     String name = owner + "." + target.getName();
@@ -65,26 +71,27 @@
                 || name.equals("java.util.SplittableRandom.<init>")
                 || name.equals("java.util.Date.<init>"));
     boolean now = owner.startsWith("java.time.") && target.getName().equals("now");
-    return FROM_THE_SYSTEM.contains(owner)
-        || ASKS_THE_SYSTEM.contains(name)
+    return NONDETERMINISTIC_TYPES.contains(owner)
+        || NONDETERMINISTIC_METHODS.contains(name)
         || unseeded
         || now
-        || (SALTED.contains(name) && !bare);
+        || (RANDOMLY_ORDERED_FACTORIES.contains(name) && !bare);
   }
 
   @ArchTest
-  static void onlyTheSourcesAskTheSystemForTimeOrChance(JavaClasses program) {
+  static void onlyTheSourcesPackageReadsSystemTimeOrRandomness(JavaClasses program) {
     noClasses()
         .that()
         .resideOutsideOfPackages("brassbank.sources", "brassbank.load")
         .should()
         .accessTargetWhere(
-            describe("it asks the system", (JavaAccess<?> access) -> asksTheSystem(access)))
+            describe("is nondeterministic", (JavaAccess<?> access) -> isNondeterministic(access)))
         .check(program);
   }
 
   @ArchTest
-  static void onlyItsOwnPackageKnowsGrizzlyAndOnlyTheCommandLineKnowsThat(JavaClasses program) {
+  static void onlyTheGrizzlyPackageUsesGrizzlyAndOnlyTheProgramUsesThatPackage(
+      JavaClasses program) {
     noClasses()
         .that()
         .resideOutsideOfPackage("brassbank.grizzly")
@@ -102,22 +109,22 @@
   }
 
   @ArchTest
-  static void theModuleKnowsValuesOnly(JavaClasses program) {
-    onlyKnows("ashspar", "ashspar.limits").check(program);
+  static void theDecisionModuleUsesValuesOnly(JavaClasses program) {
+    dependsOnlyOn("ashspar", "ashspar.limits").check(program);
     isPure("ashspar").check(program);
-    onlyKnows("ashspar.limits").check(program);
+    dependsOnlyOn("ashspar.limits").check(program);
     isPure("ashspar.limits").check(program);
   }
 
   @ArchTest
-  static void theLimitsOnSlowPeersAreValuesAndKnowNoOther(JavaClasses program) {
-    onlyKnows("brassbank.relay.limits").check(program);
+  static void theRelayLimitsUseValuesOnly(JavaClasses program) {
+    dependsOnlyOn("brassbank.relay.limits").check(program);
     isPure("brassbank.relay.limits").check(program);
   }
 
   @ArchTest
-  static void theLoadToolSharesNothingWithTheProgram(JavaClasses program) {
-    onlyKnows("brassbank.load").check(program);
+  static void theLoadToolSharesNoCodeWithTheProgram(JavaClasses program) {
+    dependsOnlyOn("brassbank.load").check(program);
     noClasses()
         .that()
         .resideOutsideOfPackages("brassbank", "brassbank.load")
@@ -128,7 +135,7 @@
   }
 
   @ArchTest
-  static void onlyTheReadersOfOptionsAndScriptsKnowTheTomlLibrary(JavaClasses program) {
+  static void onlyTheReadersOfOptionsAndScriptsUseTheTomlLibrary(JavaClasses program) {
     noClasses()
         .that()
         .doNotHaveFullyQualifiedName("brassbank.config.file.OptionsFile")
@@ -138,23 +145,23 @@
         .dependOnClassesThat()
         .resideInAPackage("org.tomlj..")
         .check(program);
-    onlyKnows("brassbank.config.file", "brassbank.relay.limits", "brassbank.membership")
+    dependsOnlyOn("brassbank.config.file", "brassbank.relay.limits", "brassbank.membership")
         .check(program);
   }
 
   @ArchTest
-  static void routesKnowValuesOnly(JavaClasses program) {
-    onlyKnows("brassbank.route").check(program);
+  static void routesUseValuesOnly(JavaClasses program) {
+    dependsOnlyOn("brassbank.route").check(program);
     isPure("brassbank.route").check(program);
   }
 
   @ArchTest
-  static void theFacadeTouchesNoSocketNoFileAndNoThread(JavaClasses program) {
+  static void theDecisionFacadeUsesNoSocketFileOrThread(JavaClasses program) {
     isPure("brassbank.decide").check(program);
   }
 
-  /** Of the project's own packages it knows these only. */
-  private static ArchRule onlyKnows(String packageName, String... others) {
+  /** The package depends on no package of the project but itself and the others given. */
+  private static ArchRule dependsOnlyOn(String packageName, String... others) {
     List<String> known = new ArrayList<>(List.of(packageName));
     known.addAll(Arrays.asList(others));
     return noClasses()
@@ -163,14 +170,17 @@
         .should()
         .dependOnClassesThat(
             describe(
-                "are the project's, but not of " + known,
+                "belong to the project, but not to " + known,
                 (JavaClass other) ->
                     (other.getPackageName().startsWith("brassbank")
                             || other.getPackageName().startsWith("ashspar"))
                         && !known.contains(other.getPackageName())));
   }
 
-  /** No input or output, no thread; an address is a value, and so is a failure to read one. */
+  /**
+   * The package uses neither I/O nor threads. Addresses and the exception for an unknown host count
+   * as values.
+   */
   private static ArchRule isPure(String packageName) {
     return noClasses()
         .that()
@@ -190,37 +200,40 @@
                         || known.isEquivalentTo(Process.class)));
   }
 
-  /** Two readers of one protocol check each other; one that both share would agree with itself. */
+  /**
+   * Two independent implementations of a protocol verify each other; a shared one would always
+   * agree with itself.
+   */
   @ArchTest
   static void theSimulatedActorsShareNoCodeWithTheProxy(JavaClasses program) {
-    onlyKnows(
+    dependsOnlyOn(
             "brassbank.sim.actor", "brassbank.sim.net", "brassbank.sim.event", "brassbank.sim.time")
         .check(program);
     isPure("brassbank.sim.check").check(program);
   }
 
   @ArchTest
-  static void packagesPointOneWay(JavaClasses program) {
-    onlyKnows("brassbank.cli").check(program);
-    onlyKnows("brassbank.sources").check(program);
-    onlyKnows("brassbank.rehearsal").check(program);
-    onlyKnows("brassbank.log", "brassbank.sources").check(program);
-    onlyKnows("brassbank.net", "brassbank.log", "brassbank.sources").check(program);
-    onlyKnows("brassbank.grizzly", "brassbank.net", "brassbank.log", "brassbank.sources")
+  static void packageDependenciesAreAcyclicAndAsListed(JavaClasses program) {
+    dependsOnlyOn("brassbank.cli").check(program);
+    dependsOnlyOn("brassbank.sources").check(program);
+    dependsOnlyOn("brassbank.rehearsal").check(program);
+    dependsOnlyOn("brassbank.log", "brassbank.sources").check(program);
+    dependsOnlyOn("brassbank.net", "brassbank.log", "brassbank.sources").check(program);
+    dependsOnlyOn("brassbank.grizzly", "brassbank.net", "brassbank.log", "brassbank.sources")
         .check(program);
-    onlyKnows(
+    dependsOnlyOn(
             "brassbank.relay",
             "brassbank.relay.limits",
             "brassbank.net",
             "brassbank.log",
             "brassbank.sources")
         .check(program);
-    onlyKnows("brassbank.lifecycle").check(program);
+    dependsOnlyOn("brassbank.lifecycle").check(program);
     isPure("brassbank.lifecycle").check(program);
-    onlyKnows("brassbank.handover", "brassbank.decide", "brassbank.log", "brassbank.sources")
+    dependsOnlyOn("brassbank.handover", "brassbank.decide", "brassbank.log", "brassbank.sources")
         .check(program);
-    onlyKnows("brassbank.management", "brassbank.net", "brassbank.log").check(program);
-    onlyKnows(
+    dependsOnlyOn("brassbank.management", "brassbank.net", "brassbank.log").check(program);
+    dependsOnlyOn(
             "brassbank.decide",
             "ashspar",
             "ashspar.limits",
@@ -229,10 +242,10 @@
             "brassbank.subsets",
             "brassbank.sources")
         .check(program);
-    onlyKnows(
+    dependsOnlyOn(
             "brassbank.config", "ashspar", "ashspar.wire", "brassbank.decide", "brassbank.sources")
         .check(program);
-    onlyKnows(
+    dependsOnlyOn(
             "brassbank.forward",
             "ashspar",
             "brassbank.decide",
@@ -242,7 +255,7 @@
             "brassbank.log",
             "brassbank.sources")
         .check(program);
-    onlyKnows(
+    dependsOnlyOn(
             "brassbank.front",
             "brassbank.forward",
             "brassbank.decide",
@@ -250,7 +263,7 @@
             "brassbank.log",
             "brassbank.sources")
         .check(program);
-    onlyKnows(
+    dependsOnlyOn(
             "brassbank.discovery",
             "brassbank.forward",
             "brassbank.decide",
@@ -258,18 +271,18 @@
             "brassbank.log",
             "brassbank.sources")
         .check(program);
-    onlyKnows("brassbank.sim.time").check(program);
-    onlyKnows("brassbank.sim.net", "brassbank.sim.time").check(program);
-    onlyKnows("brassbank.sim.event", "brassbank.sim.time").check(program);
-    onlyKnows("brassbank.sim.check", "brassbank.sim.event").check(program);
+    dependsOnlyOn("brassbank.sim.time").check(program);
+    dependsOnlyOn("brassbank.sim.net", "brassbank.sim.time").check(program);
+    dependsOnlyOn("brassbank.sim.event", "brassbank.sim.time").check(program);
+    dependsOnlyOn("brassbank.sim.check", "brassbank.sim.event").check(program);
     slices().matching("brassbank.sim.(*)..").should().beFreeOfCycles().check(program);
     slices().matching("brassbank.(*)..").should().beFreeOfCycles().check(program);
   }
 
-  /** It meets the program as processes only, and is judged by the simulation's rules. */
+  /** The lab runs the program only as processes, and applies the rules of the simulation. */
   @ArchTest
-  static void theLabKnowsTheSimulationAndNothingOfTheProgram(JavaClasses program) {
-    onlyKnows(
+  static void theLabUsesTheSimulationAndNothingOfTheProgram(JavaClasses program) {
+    dependsOnlyOn(
             "brassbank.lab",
             "brassbank.sim",
             "brassbank.sim.actor",
@@ -293,11 +306,11 @@
   }
 
   @ArchTest
-  static void membershipKnowsValuesOnlyAndNothingOfTheProgram(JavaClasses program) {
-    onlyKnows("brassbank.membership").check(program);
+  static void membershipUsesValuesOnlyAndNothingOfTheProgram(JavaClasses program) {
+    dependsOnlyOn("brassbank.membership").check(program);
     isPure("brassbank.membership").check(program);
-    onlyKnows("brassbank.membership.wire", "brassbank.membership").check(program);
-    onlyKnows(
+    dependsOnlyOn("brassbank.membership.wire", "brassbank.membership").check(program);
+    dependsOnlyOn(
             "brassbank.fleet",
             "brassbank.membership",
             "brassbank.membership.wire",
@@ -307,13 +320,14 @@
             "brassbank.log",
             "brassbank.sources")
         .check(program);
-    onlyKnows("brassbank.subsets").check(program);
+    dependsOnlyOn("brassbank.subsets").check(program);
     isPure("brassbank.subsets").check(program);
-    onlyKnows("brassbank.shares").check(program);
+    dependsOnlyOn("brassbank.shares").check(program);
     isPure("brassbank.shares").check(program);
-    onlyKnows("brassbank.shares.wire", "brassbank.shares", "brassbank.membership.wire")
+    dependsOnlyOn("brassbank.shares.wire", "brassbank.shares", "brassbank.membership.wire")
         .check(program);
-    // Whoever is in no fleet loads none of it: only what is handed on is known elsewhere.
+    // A proxy that is in no fleet loads none of these classes: other packages may use only the
+    // plain values.
     noClasses()
         .that()
         .resideOutsideOfPackages(
@@ -325,7 +339,7 @@
         .should()
         .dependOnClassesThat(
             describe(
-                "are membership's, and no mere values",
+                "belong to membership and are not plain values",
                 (JavaClass known) ->
                     known.getPackageName().startsWith("brassbank.membership")
                         && !List.of("MembershipConfig", "Settings", "Update")
@@ -334,12 +348,12 @@
   }
 
   @ArchTest
-  static void aGatewaysLinkPointsDownAndNothingElseLoadsIt(JavaClasses program) {
+  static void gatewayLinkDependsDownwardsAndIsUsedByTheGatewayOnly(JavaClasses program) {
     String link = "brassbank.gateway.link";
-    onlyKnows(link + ".frame").check(program);
-    onlyKnows(link + ".mux", link + ".frame").check(program);
-    onlyKnows(link + ".tls", link + ".frame", "brassbank.sources").check(program);
-    onlyKnows(
+    dependsOnlyOn(link + ".frame").check(program);
+    dependsOnlyOn(link + ".mux", link + ".frame").check(program);
+    dependsOnlyOn(link + ".tls", link + ".frame", "brassbank.sources").check(program);
+    dependsOnlyOn(
             link,
             link + ".frame",
             link + ".mux",
@@ -362,7 +376,7 @@
         .dependOnClassesThat()
         .resideInAnyPackage("javax.net.ssl..", "java.security..")
         .check(program);
-    // Bytes in a buffer are values; what moves them is not.
+    // Byte buffers count as values; channels and streams do not.
     noClasses()
         .that()
         .resideInAnyPackage(link + ".frame", link + ".mux")
--- a/src/test/java/brassbank/ArchiveIT.java
+++ b/src/test/java/brassbank/ArchiveIT.java
@@ -20,23 +20,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** deploy/serve.sh with the class-data archive that the build has made, in a copy of the folder. */
+/**
+ * Starts the program by deploy/serve.sh with the class-data archive that the build has made, in a
+ * copy of the folders.
+ */
 class ArchiveIT {
   private static final String SHARED = "brassbank.net.Net source: shared objects file";
 
-  private Site site;
+  private ProxyFixture fixture;
   private Path root;
   private Path archive;
 
   @BeforeEach
-  void copy() throws Exception {
-    site = new Site();
+  void copyFolders() throws Exception {
+    fixture = new ProxyFixture();
     root = Files.createTempDirectory("brassbank");
     for (String folder : List.of("deploy", "example", "target", "target/lib")) {
       Files.createDirectories(root.resolve(folder));
       try (Stream<Path> files = Files.list(Path.of(folder)).filter(Files::isRegularFile)) {
         for (Path file : files.toList()) {
-          // The runtime knows a jar by its time and size.
+          // The Java runtime identifies a jar by its modification time and size.
           Files.copy(file, root.resolve(file), StandardCopyOption.COPY_ATTRIBUTES);
         }
       }
@@ -45,8 +48,8 @@
   }
 
   @AfterEach
-  void delete() throws Exception {
-    site.close();
+  void deleteCopy() throws Exception {
+    fixture.close();
     try (Stream<Path> files = Files.walk(root).sorted(Comparator.reverseOrder())) {
       for (Path file : files.toList()) {
         Files.delete(file);
@@ -54,51 +57,56 @@
     }
   }
 
-  private String logOfAStart() throws Exception {
+  private String startAndReadLog() throws Exception {
     ProcessBuilder builder = new ProcessBuilder("sh", "deploy/serve.sh").directory(root.toFile());
     builder.environment().put("JAVA_TOOL_OPTIONS", "-Xlog:class+load:stdout");
-    site.config.add(
-        "known", JsonParser.parseString(Site.list(1, true, "SERVING", site.target("s-1"))));
-    site.launch(site.config.toString(), builder);
-    site.admitted();
-    return Files.readString(site.log(), StandardCharsets.ISO_8859_1);
+    fixture.config.add(
+        "known",
+        JsonParser.parseString(
+            ProxyFixture.targetList(1, true, "SERVING", fixture.addTarget("s-1"))));
+    fixture.launch(fixture.config.toString(), builder);
+    fixture.awaitAdmission();
+    return Files.readString(fixture.logFile(), StandardCharsets.ISO_8859_1);
   }
 
-  /** The archive depends on the heap's layout, which the flags decide. */
+  /** An archive fits only one heap layout, which follows from the flags. */
   @ParameterizedTest
   @ValueSource(ints = {32, 96, 192})
   void startsFromTheArchiveWithTheFlagsOfEveryMemoryLimit(int limit) throws Exception {
-    site.config.getAsJsonObject("limits").addProperty("memory_mb", limit);
-    assertThat(logOfAStart())
+    fixture.config.getAsJsonObject("limits").addProperty("memory_mb", limit);
+    assertThat(startAndReadLog())
         .contains(SHARED)
         .doesNotContain("class-data archive", "archive-unused");
   }
 
   /**
-   * Where starting programs is refused, the limit and the archive were lost, or the whole start.
+   * Guards against losing the memory limits and the archive, or failing to start, on a machine
+   * where the script cannot run any program but Java.
    */
   @Test
-  void startsWithItsCapsAndTheArchiveWhereNoOtherProgramIsToBeHad() throws Exception {
+  void startsWithItsLimitsAndTheArchiveWhenNoOtherProgramIsAvailable() throws Exception {
     Path bin = Files.createDirectory(root.resolve("bin"));
     Path java = Path.of(System.getProperty("java.home"), "bin", "java").toRealPath();
     Files.createSymbolicLink(bin.resolve("java"), java);
-    site.config.getAsJsonObject("limits").addProperty("memory_mb", 96);
+    fixture.config.getAsJsonObject("limits").addProperty("memory_mb", 96);
     ProcessBuilder builder = new ProcessBuilder("/bin/sh", "deploy/serve.sh");
     builder.directory(root.toFile());
     builder.environment().put("PATH", bin.toString());
     builder
         .environment()
         .put("JAVA_TOOL_OPTIONS", "-Xlog:class+load:stdout -Xlog:gc+heap+exit*,gc+init*:stdout");
-    site.config.add(
-        "known", JsonParser.parseString(Site.list(1, true, "SERVING", site.target("s-1"))));
-    site.launch(site.config.toString(), builder);
-    site.admitted();
-    assertThat(Files.readString(site.log(), StandardCharsets.ISO_8859_1))
+    fixture.config.add(
+        "known",
+        JsonParser.parseString(
+            ProxyFixture.targetList(1, true, "SERVING", fixture.addTarget("s-1"))));
+    fixture.launch(fixture.config.toString(), builder);
+    fixture.awaitAdmission();
+    assertThat(Files.readString(fixture.logFile(), StandardCharsets.ISO_8859_1))
         .contains(SHARED, "Heap Max Capacity: 32M")
         .doesNotContain("not found", "class-data archive");
   }
 
-  /** What is cut short or overwritten killed the runtime: SIGBUS, SIGSEGV. */
+  /** A truncated or overwritten archive made the Java runtime crash with SIGBUS or SIGSEGV. */
   @ParameterizedTest
   @ValueSource(strings = {"absent", "empty", "truncated", "overwritten", "no sum"})
   void servesWithoutAnArchiveThatIsMissingOrDamaged(String damage) throws Exception {
@@ -117,18 +125,18 @@
         }
       }
     }
-    assertThat(logOfAStart()).doesNotContain(SHARED).contains("no class-data archive");
+    assertThat(startAndReadLog()).doesNotContain(SHARED).contains("no class-data archive");
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"another runtime's", "another jar's"})
-  void servesWithoutAnArchiveThatIsStaleAndMakesANewOne(String stale) throws Exception {
+  void servesWithoutAStaleArchiveAndMakesANewOne(String stale) throws Exception {
     assertThat(archive.toFile().setWritable(true)).isTrue();
     if (stale.equals("another jar's")) {
       touch(root.resolve("target/brassbank.jar"));
     } else {
       byte[] bytes = Files.readAllBytes(archive);
-      // The runtime's version stands in the header.
+      // The header holds the version of the Java runtime.
       String text = new String(bytes, 0, 4096, StandardCharsets.ISO_8859_1);
       int at = text.indexOf(System.getProperty("java.vm.version"));
       assertThat(at).isPositive();
@@ -136,11 +144,11 @@
       Files.write(archive, bytes);
       run("cksum <target/brassbank.jsa >target/brassbank.jsa.sum");
     }
-    assertThat(logOfAStart()).doesNotContain(SHARED).contains("archive-unused");
+    assertThat(startAndReadLog()).doesNotContain(SHARED).contains("archive-unused");
     run("sh deploy/archive.sh");
-    site.close();
-    site = new Site();
-    assertThat(logOfAStart()).contains(SHARED);
+    fixture.close();
+    fixture = new ProxyFixture();
+    assertThat(startAndReadLog()).contains(SHARED);
   }
 
   @Test
--- a/src/test/java/brassbank/IgnoredTest.java
+++ b/src/test/java/brassbank/GitIgnoreTest.java
@@ -7,13 +7,13 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-class IgnoredTest {
+class GitIgnoreTest {
   /**
-   * The pattern {@code target/} also took a package of that name out of the repository: what is
-   * ignored is ignored at the root only.
+   * The unanchored pattern {@code target/} also excluded a package of that name from the
+   * repository.
    */
   @Test
-  void ignoresNothingBelowTheRoot() throws IOException {
+  void everyPatternIsAnchoredAtTheRoot() throws IOException {
     assertThat(Files.readAllLines(Path.of(".gitignore"))).allMatch(line -> line.startsWith("/"));
   }
 }
--- a/src/test/java/brassbank/LateConnectTest.java
+++ b/src/test/java/brassbank/LateConnectTest.java
@@ -12,53 +12,55 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A connect comes up late, after its target has begun to leave. The real program over sockets. */
+/**
+ * A connect is established after its target has started to drain. The real program over sockets.
+ */
 class LateConnectTest {
-  private Site site;
+  private ProxyFixture fixture;
 
   @BeforeEach
   void open() throws Exception {
-    site = new Site();
+    fixture = new ProxyFixture();
   }
 
   @AfterEach
   void close() throws Exception {
-    site.close();
+    fixture.close();
   }
 
   /**
-   * The dial's time-out may be longer than the grace of a drain: a line that goes out once the
-   * connect is up would go to a target that was told to take nothing new.
+   * The connect time-out may exceed the drain grace period. A line sent once the connect is
+   * established would then go to a target that must not receive new flows.
    */
   @ParameterizedTest
   @ValueSource(strings = {"DRAINING", "DELETED"})
-  void nothingIsSentToATargetThatBeganToLeaveDuringTheConnect(String status) throws Exception {
-    site.settings().getAsJsonObject("allowed").addProperty("dial-timeout", 4_000_000);
-    site.settings().getAsJsonObject("allowed").addProperty("probes", false);
-    // Else the flow would be tried elsewhere long before the connect is given up.
-    site.repeats("single_shot", "all", 0);
-    Site.Target stays = site.target("s-2");
-    // A full backlog keeps a connect from coming up, until those before it are taken.
-    try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        Socket one = new Socket(deaf.getInetAddress(), deaf.getLocalPort());
-        Socket two = new Socket(deaf.getInetAddress(), deaf.getLocalPort())) {
-      deaf.setSoTimeout(Peer.LIMIT_MILLIS);
-      Site.Target leaves = site.target("s-1");
-      leaves.port = deaf.getLocalPort();
-      site.start(leaves);
-      HttpExchange watch = site.watch();
-      try (Peer client = site.client("d=4800")) {
-        site.heardAll();
-        Site.tell(watch, Site.list(2, false, status, leaves));
-        assertThat(site.logged("status=" + status)).isNotNull();
-        Site.tell(watch, Site.list(3, false, "SERVING", stays));
-        List<Socket> before = List.of(deaf.accept(), deaf.accept());
-        try (Peer late = new Peer(deaf.accept())) {
-          assertThat(late.line()).as("no line for it").isIn(null, "RESET");
+  void sendsNothingToATargetThatStartedToDrainDuringTheConnect(String status) throws Exception {
+    fixture.settings().getAsJsonObject("allowed").addProperty("dial-timeout", 4_000_000);
+    fixture.settings().getAsJsonObject("allowed").addProperty("probes", false);
+    // Otherwise the flow would be sent to the other target before the connect times out.
+    fixture.configureRepeats("single_shot", "all", 0);
+    ProxyFixture.Target serving = fixture.addTarget("s-2");
+    // A full backlog delays a connect until the earlier connections are accepted.
+    try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        Socket one = new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort());
+        Socket two = new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort())) {
+      unresponsive.setSoTimeout(Peer.LIMIT_MILLIS);
+      ProxyFixture.Target leaving = fixture.addTarget("s-1");
+      leaving.port = unresponsive.getLocalPort();
+      fixture.start(leaving);
+      HttpExchange watch = fixture.nextWatch();
+      try (Peer client = fixture.connectClient("d=4800")) {
+        fixture.awaitInputProcessed();
+        ProxyFixture.sendLine(watch, ProxyFixture.targetList(2, false, status, leaving));
+        assertThat(fixture.awaitLogLine("status=" + status)).isNotNull();
+        ProxyFixture.sendLine(watch, ProxyFixture.targetList(3, false, "SERVING", serving));
+        List<Socket> accepted = List.of(unresponsive.accept(), unresponsive.accept());
+        try (Peer late = new Peer(unresponsive.accept())) {
+          assertThat(late.line()).as("nothing is sent").isIn(null, "RESET");
         }
         assertThat(client.line()).as("served by another").isEqualTo("UP r-1");
-        assertThat(stays.opened()).isNotNull();
-        assertThat(before).hasSize(2);
+        assertThat(serving.nextFlow()).isNotNull();
+        assertThat(accepted).hasSize(2);
       }
       assertThat(one.isConnected() && two.isConnected()).isTrue();
     }
--- a/src/test/java/brassbank/MainTest.java
+++ b/src/test/java/brassbank/MainTest.java
@@ -18,25 +18,25 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The command line of the real program, as a process. */
+/** The command line of the real program, run as a process. */
 class MainTest {
   private record Result(int status, String out, String err) {}
 
-  private Path folder;
+  private Path createFolder;
 
   @BeforeEach
-  void folder() throws IOException {
-    folder = Files.createTempDirectory("brassbank");
+  void createFolder() throws IOException {
+    createFolder = Files.createTempDirectory("brassbank");
   }
 
   @AfterEach
-  void clear() throws IOException {
-    try (var files = Files.list(folder)) {
+  void deleteFolder() throws IOException {
+    try (var files = Files.list(createFolder)) {
       for (Path file : files.toList()) {
         Files.delete(file);
       }
     }
-    Files.delete(folder);
+    Files.delete(createFolder);
   }
 
   private Result run(String config, String input, List<String> options, String... args)
@@ -47,16 +47,16 @@
     command.addAll(options);
     command.addAll(List.of("-cp", System.getProperty("java.class.path"), "brassbank.Main"));
     command.addAll(List.of(args));
-    Path in = Files.writeString(folder.resolve("in"), input);
-    Path out = folder.resolve("out");
-    Path err = folder.resolve("err");
+    Path in = Files.writeString(createFolder.resolve("in"), input);
+    Path out = createFolder.resolve("out");
+    Path err = createFolder.resolve("err");
     ProcessBuilder builder = new ProcessBuilder(command).redirectInput(in.toFile());
     builder.redirectOutput(out.toFile()).redirectError(err.toFile());
     builder.environment().put("LB_CONFIG", config);
     Process process = builder.start();
     if (!process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)) {
       process.destroyForcibly();
-      throw new AssertionError("still runs: " + command);
+      throw new AssertionError("did not end in time: " + command);
     }
     return new Result(process.exitValue(), Files.readString(out), Files.readString(err));
   }
@@ -67,7 +67,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "serve", "drill", "generate-completion"})
-  void explainsEachCommandAndItsStatuses(String command) throws Exception {
+  void printsHelpWithExitStatusesForEachCommand(String command) throws Exception {
     Result result = run((command + " --help").trim().split(" "));
     assertThat(result.status).isZero();
     assertThat(result.err).isEmpty();
@@ -88,51 +88,51 @@
             + " [TEXT, JSON] (case-insensitive) but was 'xml' (see brassbank serve --help)",
         "serve @x| brassbank serve: Unmatched argument at index 1: '@x' (see brassbank serve --help)"
       })
-  void tellsOfAMisuseInOneLine(String args, String line) throws Exception {
+  void reportsAUsageErrorInOneLine(String args, String line) throws Exception {
     Result result = args == null ? run() : run(args.split(" "));
     assertThat(result).isEqualTo(new Result(2, "", line + System.lineSeparator()));
   }
 
-  /** The way past the library must be the same command; {@code --} alone makes it go through. */
+  /** Bypassing picocli must not change a command; the argument {@code --} prevents the bypass. */
   @Test
-  void servesAndDrillsAlikeWithAndWithoutTheLibrary() throws Exception {
+  void serveAndDrillBehaveTheSameWithAndWithoutPicocli() throws Exception {
     for (String batch : List.of("BATCH wall=1 serial=1\nFLUSH\n", "nonsense\n")) {
-      Result quick = run("", batch, List.of(), "drill");
-      assertThat(quick.status).isEqualTo(batch.startsWith("BATCH") ? 0 : 1);
-      assertThat(run("", batch, List.of(), "drill", "--")).isEqualTo(quick);
+      Result direct = run("", batch, List.of(), "drill");
+      assertThat(direct.status).isEqualTo(batch.startsWith("BATCH") ? 0 : 1);
+      assertThat(run("", batch, List.of(), "drill", "--")).isEqualTo(direct);
     }
-    Result quick = run("/nowhere.json", "", List.of(), "serve");
-    assertThat(quick.status).isEqualTo(2);
-    assertThat(run("/nowhere.json", "", List.of(), "serve", "--")).isEqualTo(quick);
+    Result direct = run("/nowhere.json", "", List.of(), "serve");
+    assertThat(direct.status).isEqualTo(2);
+    assertThat(run("/nowhere.json", "", List.of(), "serve", "--")).isEqualTo(direct);
   }
 
-  /** Loading picocli costs a third of the start; see docs/command-line.md. */
+  /** Loading picocli takes a third of the start-up time, see docs/command-line.md. */
   @Test
-  void loadsNoneOfTheLibraryWhereThePlatformStartsIt() throws Exception {
-    try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+  void loadsNothingOfPicocliWhenStartedByThePlatform() throws Exception {
+    try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       String text = Files.readString(Path.of("example/config.json"), StandardCharsets.UTF_8);
-      Path config = folder.resolve("config.json");
-      Files.writeString(config, text.replace(":7000", ":" + busy.getLocalPort()));
-      List<String> loads = List.of("-Xlog:class+load");
-      Result quick = run(config.toString(), "", loads, "serve");
-      Result through = run(config.toString(), "", loads, "serve", "--");
-      assertThat(quick.err)
-          .isEqualTo(through.err)
-          .startsWith("brassbank: cannot serve on /127.0.0.1:" + busy.getLocalPort())
+      Path config = createFolder.resolve("config.json");
+      Files.writeString(config, text.replace(":7000", ":" + occupied.getLocalPort()));
+      List<String> logClassLoading = List.of("-Xlog:class+load");
+      Result direct = run(config.toString(), "", logClassLoading, "serve");
+      Result viaPicocli = run(config.toString(), "", logClassLoading, "serve", "--");
+      assertThat(direct.err)
+          .isEqualTo(viaPicocli.err)
+          .startsWith("brassbank: cannot serve on /127.0.0.1:" + occupied.getLocalPort())
           .hasLineCount(1);
-      assertThat(List.of(quick.status, through.status)).containsOnly(1);
-      assertThat(through.out).contains("picocli.CommandLine ");
-      assertThat(quick.out)
+      assertThat(List.of(direct.status, viaPicocli.status)).containsOnly(1);
+      assertThat(viaPicocli.out).contains("picocli.CommandLine ");
+      assertThat(direct.out)
           .contains("brassbank.proxy.Proxy ")
           .doesNotContain(" picocli.", " org.tomlj.", " org.antlr.", "brassbank.config.file.");
     }
   }
 
   @Test
-  void printsACompletionThatTheShellTakes() throws Exception {
+  void printsACompletionScriptThatTheShellAccepts() throws Exception {
     Result result = run("generate-completion");
     assertThat(result.out).contains("serve", "drill");
-    Path script = Files.writeString(folder.resolve("completion"), result.out);
+    Path script = Files.writeString(createFolder.resolve("completion"), result.out);
     assertThat(new ProcessBuilder("bash", "-n", script.toString()).start().waitFor()).isZero();
   }
 }
--- a/src/test/java/brassbank/Peer.java
+++ b/src/test/java/brassbank/Peer.java
@@ -6,14 +6,14 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** One end of a connection, as a client or a target has it; every wait has a limit. */
+/** One side of a connection, used as a client or a target. Every wait has a time limit. */
 final class Peer implements AutoCloseable {
   static final int LIMIT_MILLIS = 10_000;
 
   final Socket socket;
 
-  /** The first line that came, where the peer is a target's. */
-  String first;
+  /** The first line that was received, if this is the side of a target. */
+  String openingLine;
 
   Peer(Socket socket) throws IOException {
     this.socket = socket;
@@ -21,6 +21,7 @@
     socket.setTcpNoDelay(true);
   }
 
+  /** Connects to the address. */
   static Peer to(InetSocketAddress address) throws IOException {
     Socket socket = new Socket();
     socket.setReceiveBufferSize(32 * 1024);
@@ -33,7 +34,10 @@
     return this;
   }
 
-  /** The next line without its end; null once the stream has ended, "RESET" where it broke. */
+  /**
+   * Returns the next line without its line end, null at the end of the stream, or "RESET" if the
+   * connection is reset.
+   */
   String line() throws IOException {
     StringBuilder line = new StringBuilder();
     InputStream in = socket.getInputStream();
@@ -50,6 +54,7 @@
     return line.toString().replaceAll("\r$", "");
   }
 
+  /** Closes the connection with a reset. */
   void reset() throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
--- a/src/test/java/brassbank/PlannedStopTest.java
+++ b/src/test/java/brassbank/PlannedStopTest.java
@@ -8,30 +8,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What comes between two lines of a planned stop. The real program over sockets. */
+/** Input and events during a planned stop. The real program over sockets. */
 class PlannedStopTest {
-  private Site site;
+  private ProxyFixture fixture;
 
   @BeforeEach
   void open() throws Exception {
-    site = new Site();
+    fixture = new ProxyFixture();
   }
 
   @AfterEach
   void close() throws Exception {
-    site.close();
+    fixture.close();
   }
 
-  /** All classes give up so early that a planned stop is over 1.1 s after the signal. */
-  private void shortDeadlines() {
-    site.settings()
+  /** Shortens the deadlines of all classes, so that a planned stop ends 1.1 s after the signal. */
+  private void setShortDeadlines() {
+    fixture
+        .settings()
         .getAsJsonArray("profiles")
-        .forEach(type -> type.getAsJsonObject().addProperty("give-up", 1_000_000));
+        .forEach(profile -> profile.getAsJsonObject().addProperty("give-up", 1_000_000));
   }
 
   /**
-   * Once the time of a planned stop is up, a flow whose line is out at a target that hangs may have
-   * run: whoever is told BUSY tries again, and the effect is doubled.
+   * At the end of a planned stop, a flow whose line was sent to a hanging target may have taken
+   * effect. A client that receives BUSY repeats the flow, which would double the effect.
    */
   @ParameterizedTest
   @CsvSource({
@@ -40,98 +41,98 @@
     "guarded, cell, ERR",
     "single_shot, all, ERR"
   })
-  void aStopTellsAFlowThatMayHaveRunNoMoreThanItsClassAllows(
-      String effect, String group, String answer) throws Exception {
-    site.repeats(effect, group, 5_000);
-    shortDeadlines();
-    site.settings().getAsJsonObject("allowed").addProperty("send-cap", 1);
-    Site.Target hangs = site.target("s-1");
-    hangs.answer = line -> "";
-    site.start(hangs);
-    try (Peer client = site.client("d=4800")) {
-      assertThat(hangs.opened()).as("its line is out").isNotNull();
-      site.process.destroy();
+  void aStopAnswersAFlowThatMayHaveRunAsItsClassAllows(String effect, String group, String answer)
+      throws Exception {
+    fixture.configureRepeats(effect, group, 5_000);
+    setShortDeadlines();
+    fixture.settings().getAsJsonObject("allowed").addProperty("send-cap", 1);
+    ProxyFixture.Target hanging = fixture.addTarget("s-1");
+    hanging.openResponse = line -> "";
+    fixture.start(hanging);
+    try (Peer client = fixture.connectClient("d=4800")) {
+      assertThat(hanging.nextFlow()).as("the line has been sent").isNotNull();
+      fixture.process.destroy();
       assertThat(client.line()).startsWith(answer);
       assertThat(client.line()).isNull();
     }
-    assertThat(site.process.waitFor()).isZero();
+    assertThat(fixture.process.waitFor()).isZero();
   }
 
-  /** The platform kills by the settings in force, which a reload may have shortened. */
+  /** The time of the SIGKILL follows from the settings in force, which a reload may shorten. */
   @Test
-  void aStopGoesByTheDeadlinesOfTheLastReload() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
-    shortDeadlines();
-    site.reload(site.config.toString());
-    assertThat(site.logged("reloaded")).isNotNull();
-    site.process.destroy();
-    assertThat(site.logged("departure-planned")).containsPattern("to_ms=1[01]\\d\\d$");
-    assertThat(site.process.waitFor()).isZero();
+  void aStopUsesTheDeadlinesOfTheLastReload() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
+    setShortDeadlines();
+    fixture.reload(fixture.config.toString());
+    assertThat(fixture.awaitLogLine("reloaded")).isNotNull();
+    fixture.process.destroy();
+    assertThat(fixture.awaitLogLine("departure-planned")).containsPattern("to_ms=1[01]\\d\\d$");
+    assertThat(fixture.process.waitFor()).isZero();
   }
 
-  /** One that waits and was never sent may be told to try again, whatever its class. */
+  /** A pending flow that was never sent may be repeated, whatever its class. */
   @Test
-  void aStopRefusesAFlowThatWasNeverSent() throws Exception {
-    site.repeats("single_shot", "all", 0);
-    shortDeadlines();
-    Site.Target gone = site.target("s-1");
-    gone.close();
-    site.start(gone);
-    try (Peer client = site.client("d=4800")) {
-      site.process.destroy();
+  void aStopAnswersBusyToAFlowThatWasNeverSent() throws Exception {
+    fixture.configureRepeats("single_shot", "all", 0);
+    setShortDeadlines();
+    ProxyFixture.Target closed = fixture.addTarget("s-1");
+    closed.close();
+    fixture.start(closed);
+    try (Peer client = fixture.connectClient("d=4800")) {
+      fixture.process.destroy();
       assertThat(client.line()).startsWith("BUSY");
     }
   }
 
-  /** What comes on a connection that rests after PONG is served while the proxy can, and moved. */
+  /** A first line on a connection that is idle after PONG is served, and its client is moved. */
   @Test
-  void aLineOnARestingConnectionIsServedWhileTheProxyStops() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
-    try (Peer resting = Peer.to(site.address).send("PING\r\n");
-        Peer standing = site.client("d=4800")) {
-      assertThat(resting.line()).isEqualTo("PONG");
-      assertThat(standing.line()).isEqualTo("UP r-1");
-      site.process.destroy();
-      assertThat(site.logged("stopping")).isNotNull();
-      resting.send("OPEN a1 key-1 c=preview,t=kelvin-stone,d=4800\r\n");
-      assertThat(resting.line()).isEqualTo("UP r-1");
-      assertThat(resting.line()).isEqualTo("MOVE");
-      assertThat(resting.line()).isNull();
-      assertThat(standing.line()).isEqualTo("MOVE");
+  void servesALineOnAnIdleConnectionDuringTheStop() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
+    try (Peer idle = Peer.to(fixture.clientAddress).send("PING\r\n");
+        Peer established = fixture.connectClient("d=4800")) {
+      assertThat(idle.line()).isEqualTo("PONG");
+      assertThat(established.line()).isEqualTo("UP r-1");
+      fixture.process.destroy();
+      assertThat(fixture.awaitLogLine("stopping")).isNotNull();
+      idle.send("OPEN a1 key-1 c=preview,t=kelvin-stone,d=4800\r\n");
+      assertThat(idle.line()).isEqualTo("UP r-1");
+      assertThat(idle.line()).isEqualTo("MOVE");
+      assertThat(idle.line()).isNull();
+      assertThat(established.line()).isEqualTo("MOVE");
     }
-    assertThat(site.process.waitFor()).isZero();
+    assertThat(fixture.process.waitFor()).isZero();
   }
 
-  /** The end of a proxy that holds nobody: who rests sees a proper end, and no reset. */
+  /** Idle clients of a proxy without flows must see a regular end of stream, not a reset. */
   @Test
-  void aRestingConnectionIsEndedProperlyWhenTheProxyEnds() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
-    try (Peer resting = Peer.to(site.address).send("PING\r\n");
-        Peer silent = Peer.to(site.address)) {
-      assertThat(resting.line()).isEqualTo("PONG");
+  void closesIdleConnectionsWithoutAResetWhenTheProxyEnds() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
+    try (Peer idle = Peer.to(fixture.clientAddress).send("PING\r\n");
+        Peer silent = Peer.to(fixture.clientAddress)) {
+      assertThat(idle.line()).isEqualTo("PONG");
       silent.send("OPEN a1 key-1 c=pre");
-      site.process.destroy();
-      assertThat(resting.line()).isNull();
+      fixture.process.destroy();
+      assertThat(idle.line()).isNull();
       assertThat(silent.line()).isNull();
     }
-    assertThat(site.process.waitFor()).isZero();
+    assertThat(fixture.process.waitFor()).isZero();
   }
 
   @Test
   void aSecondSignalChangesNothing() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
-    try (Peer client = site.client("d=4800")) {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
+    try (Peer client = fixture.connectClient("d=4800")) {
       assertThat(client.line()).isEqualTo("UP r-1");
-      site.process.destroy();
-      assertThat(site.logged("stopping")).isNotNull();
-      site.process.destroy();
+      fixture.process.destroy();
+      assertThat(fixture.awaitLogLine("stopping")).isNotNull();
+      fixture.process.destroy();
       assertThat(client.line()).isEqualTo("MOVE");
       assertThat(client.line()).isNull();
     }
-    assertThat(site.process.waitFor()).isZero();
+    assertThat(fixture.process.waitFor()).isZero();
   }
 }
--- a/src/test/java/brassbank/ProxyTest.java
+++ b/src/test/java/brassbank/ProxyTest.java
@@ -24,45 +24,45 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The real program over sockets: clients, targets and discovery speak to it. */
+/** The real program over sockets, with clients, targets and discovery. */
 class ProxyTest {
-  private Site site;
+  private ProxyFixture fixture;
 
   @BeforeEach
   void open() throws Exception {
-    site = new Site();
+    fixture = new ProxyFixture();
   }
 
   @AfterEach
   void close() throws Exception {
-    site.close();
+    fixture.close();
   }
 
   @Test
-  void passesTheFirstLineOnWithWhatRemainsOfItsTime() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
-    try (Peer client = site.client("d=2000,g=team,x=y")) {
+  void forwardsTheFirstLineWithTheRemainingTime() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
+    try (Peer client = fixture.connectClient("d=2000,g=team,x=y")) {
       assertThat(client.line()).isEqualTo("UP r-1");
-      String line = target.opened().first;
+      String line = target.nextFlow().openingLine;
       assertThat(line).matches("OPEN 9b1f key-1 c=preview,t=kelvin-stone,d=\\d+,g=team,x=y");
-      // What the proxy will wait for this target; the client's own time leaves room for another.
+      // The time that the proxy waits for this target, which leaves the client time for another.
       assertThat(Integer.parseInt(line.replaceAll(".*d=(\\d+).*", "$1"))).isBetween(300, 600);
     }
   }
 
   @Test
-  void passesLinesBothWaysUnchangedAndEndsWithTheTarget() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
-    try (Peer client = site.client("d=2000")) {
+  void relaysLinesUnchangedInBothDirectionsAndClosesWithTheTarget() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
+    try (Peer client = fixture.connectClient("d=2000")) {
       assertThat(client.line()).isEqualTo("UP r-1");
-      Peer held = target.opened();
+      Peer targetSide = target.nextFlow();
       client.send("m 1 \u00e9\r\nm 2");
-      assertThat(held.line()).isEqualTo("m 1 \u00e9");
+      assertThat(targetSide.line()).isEqualTo("m 1 \u00e9");
       client.send("\r\n");
-      assertThat(held.line()).isEqualTo("m 2");
-      held.send("LOAD 0.5\r\nLOAD x\r\nr 1\r\nBYE\r\n").close();
+      assertThat(targetSide.line()).isEqualTo("m 2");
+      targetSide.send("LOAD 0.5\r\nLOAD x\r\nr 1\r\nBYE\r\n").close();
       for (String line : List.of("LOAD 0.5", "LOAD x", "r 1", "BYE")) {
         assertThat(client.line()).isEqualTo(line);
       }
@@ -81,33 +81,33 @@
         "UP \r\n",
         "up r-1\r\n"
       })
-  void triesAnotherTargetWhereOneDoesNotServe(String answer) throws Exception {
-    Site.Target bad = site.target("s-1");
-    Site.Target good = site.target("s-2");
-    bad.answer = line -> answer;
-    site.start(bad, good);
+  void triesAnotherTargetWhenOneDoesNotServe(String answer) throws Exception {
+    ProxyFixture.Target failing = fixture.addTarget("s-1");
+    ProxyFixture.Target serving = fixture.addTarget("s-2");
+    failing.openResponse = line -> answer;
+    fixture.start(failing, serving);
     for (int i = 0; i < 6; i++) {
-      try (Peer client = site.client("d=3000")) {
+      try (Peer client = fixture.connectClient("d=3000")) {
         assertThat(client.line()).isEqualTo("UP r-1");
-        assertThat(good.opened()).isNotNull();
+        assertThat(serving.nextFlow()).isNotNull();
       }
     }
   }
 
   @Test
-  void triesAnotherTargetWhereOneRefusesAndAnotherNeverComesUp() throws Exception {
-    Site.Target gone = site.target("s-1");
-    Site.Target good = site.target("s-2");
-    gone.close();
-    // A full backlog keeps a connect from coming up, as a silent machine does.
-    try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        Socket one = new Socket(deaf.getInetAddress(), deaf.getLocalPort());
-        Socket two = new Socket(deaf.getInetAddress(), deaf.getLocalPort())) {
-      Site.Target silent = site.target("s-3");
-      silent.port = deaf.getLocalPort();
-      site.start(gone, good, silent);
+  void triesAnotherTargetWhenConnectsAreRefusedOrTimeOut() throws Exception {
+    ProxyFixture.Target closed = fixture.addTarget("s-1");
+    ProxyFixture.Target serving = fixture.addTarget("s-2");
+    closed.close();
+    // A full backlog delays connects, as a silent machine does.
+    try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        Socket one = new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort());
+        Socket two = new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort())) {
+      ProxyFixture.Target silent = fixture.addTarget("s-3");
+      silent.port = unresponsive.getLocalPort();
+      fixture.start(closed, serving, silent);
       for (int i = 0; i < 6; i++) {
-        try (Peer client = site.client("d=3000")) {
+        try (Peer client = fixture.connectClient("d=3000")) {
           assertThat(client.line()).isEqualTo("UP r-1");
         }
       }
@@ -115,117 +115,117 @@
     }
   }
 
-  /** Such a connect once failed within the call that made it, and its flow waited to the end. */
+  /** Such a connect fails within the call that starts it; its flow once waited for its deadline. */
   @Test
-  void refusesAtOnceWhereNoRouteLeadsToATarget() throws Exception {
-    Site.Target target = site.target("s-1");
+  void refusesAtOnceWhenATargetIsUnreachable() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
     target.host = "127.255.255.255";
-    site.start(target);
+    fixture.start(target);
     long start = System.nanoTime();
-    try (Peer client = site.client("d=4000")) {
+    try (Peer client = fixture.connectClient("d=4000")) {
       assertThat(client.line()).startsWith("BUSY");
       assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isLessThan(2_000);
     }
   }
 
   @Test
-  void refusesInTimeWhatNoTargetAnswers() throws Exception {
-    Site.Target target = site.target("s-1");
-    target.answer = line -> "";
-    site.start(target);
+  void refusesInTimeWhenNoTargetAnswers() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    target.openResponse = line -> "";
+    fixture.start(target);
     long start = System.nanoTime();
-    try (Peer client = site.client("d=1000")) {
+    try (Peer client = fixture.connectClient("d=1000")) {
       assertThat(client.line()).startsWith("BUSY");
       assertThat(client.line()).isNull();
       assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isBetween(900L, 2_000L);
-      // The forward was given up: its target sees the end, and no second copy came.
-      assertThat(target.opened().line()).isNull();
-      assertThat(target.opened).isEmpty();
+      // The forward was abandoned: its target sees the end of stream, and no second copy was sent.
+      assertThat(target.nextFlow().line()).isNull();
+      assertThat(target.flows).isEmpty();
     }
   }
 
   @Test
-  void cancelsTheForwardOfAClientThatLeaves() throws Exception {
-    Site.Target target = site.target("s-1");
-    target.answer = line -> "";
-    site.start(target);
-    Peer client = site.client("d=4000");
-    Peer forward = target.opened();
+  void cancelsTheForwardOfAClientThatDisconnects() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    target.openResponse = line -> "";
+    fixture.start(target);
+    Peer client = fixture.connectClient("d=4000");
+    Peer forward = target.nextFlow();
     client.close();
     assertThat(forward.line()).isNull();
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void endsTheOtherSideTheSameWay(boolean byClient) throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
+  void closesTheOtherSideInTheSameManner(boolean byClient) throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
     for (boolean reset : new boolean[] {false, true}) {
-      // The module rests a target that broke a connection for 2 s: the next flow waits that long.
-      try (Peer client = site.client("d=4500")) {
+      // A target that breaks a connection is ejected for 2 s, for which the next flow waits.
+      try (Peer client = fixture.connectClient("d=4500")) {
         assertThat(client.line()).isEqualTo("UP r-1");
-        Peer held = target.opened();
-        Peer ending = byClient ? client : held;
+        Peer targetSide = target.nextFlow();
+        Peer closing = byClient ? client : targetSide;
         if (reset) {
-          ending.reset();
+          closing.reset();
         } else {
-          ending.socket.shutdownOutput();
+          closing.socket.shutdownOutput();
         }
-        assertThat((byClient ? held : client).line()).isEqualTo(reset ? "RESET" : null);
+        assertThat((byClient ? targetSide : client).line()).isEqualTo(reset ? "RESET" : null);
       }
     }
   }
 
-  /** The last lines of the side that did not end its sending were thrown away. */
+  /** The last lines of the side that had not ended its output were discarded once. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void passesTheLastLinesOnAfterTheOtherSidesEnd(boolean byClient) throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
-    try (Peer client = site.client("d=2000")) {
+  void relaysTheLastLinesAfterTheOtherSideHasEndedItsOutput(boolean byClient) throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
+    try (Peer client = fixture.connectClient("d=2000")) {
       assertThat(client.line()).isEqualTo("UP r-1");
-      Peer held = target.opened();
-      Peer ending = byClient ? client : held;
-      Peer last = byClient ? held : client;
-      ending.send("m 1\r\n").socket.shutdownOutput();
-      assertThat(last.line()).isEqualTo("m 1");
-      assertThat(last.line()).isNull();
-      last.send("m 2\r\nm 3\r\n").close();
-      assertThat(ending.line()).isEqualTo("m 2");
-      assertThat(ending.line()).isEqualTo("m 3");
-      assertThat(ending.line()).isNull();
+      Peer targetSide = target.nextFlow();
+      Peer closing = byClient ? client : targetSide;
+      Peer remaining = byClient ? targetSide : client;
+      closing.send("m 1\r\n").socket.shutdownOutput();
+      assertThat(remaining.line()).isEqualTo("m 1");
+      assertThat(remaining.line()).isNull();
+      remaining.send("m 2\r\nm 3\r\n").close();
+      assertThat(closing.line()).isEqualTo("m 2");
+      assertThat(closing.line()).isEqualTo("m 3");
+      assertThat(closing.line()).isNull();
     }
   }
 
-  /** A client that was reset just before its UP left its target's connection open for good. */
+  /** A client that reset just before its UP once left the target's connection open forever. */
   @Test
-  void endsTheTargetOfAClientThatIsResetAsItsTargetServes() throws Exception {
-    Site.Target target = site.target("s-1");
-    target.answer = line -> "";
-    site.start(target);
+  void closesTheTargetConnectionOfAClientThatResetsAsItIsServed() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    target.openResponse = line -> "";
+    fixture.start(target);
     List<Peer> clients = new ArrayList<>();
     List<Peer> forwards = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      clients.add(site.client("d=4500"));
-      forwards.add(target.opened());
+      clients.add(fixture.connectClient("d=4500"));
+      forwards.add(target.nextFlow());
     }
-    // While the program stands still both ends come in: it then sees them in either order.
-    site.signal("STOP");
+    // Both events arrive while the program is suspended, so that it sees them in either order.
+    fixture.signal("STOP");
     for (int i = 0; i < 12; i++) {
       clients.get(i).reset();
       forwards.get(i).send("UP r-1\r\n");
     }
-    site.signal("CONT");
+    fixture.signal("CONT");
     for (Peer forward : forwards) {
       assertThat(forward.line()).isIn(null, "RESET");
     }
   }
 
   @Test
-  void movesAClientWhoseTargetHasFallenSilent() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
-    try (Peer client = site.client("d=2000")) {
+  void movesAClientWhoseTargetIsSilent() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
+    try (Peer client = fixture.connectClient("d=2000")) {
       assertThat(client.line()).isEqualTo("UP r-1");
       client.send("m 1\r\n");
       long start = System.nanoTime();
@@ -236,28 +236,28 @@
   }
 
   @Test
-  void holdsATargetBackWhoseClientReadsSlowly() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
+  void appliesBackPressureToATargetWhoseClientReadsSlowly() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
     int lines = 200_000;
     String text = "r".repeat(198) + "\r\n";
-    try (Peer client = site.client("d=2000")) {
+    try (Peer client = fixture.connectClient("d=2000")) {
       assertThat(client.line()).isEqualTo("UP r-1");
-      Peer held = target.opened();
+      Peer targetSide = target.nextFlow();
       Thread writer =
           new Thread(
               () -> {
                 try {
                   for (int i = 0; i < lines; i++) {
-                    held.send(text);
+                    targetSide.send(text);
                   }
-                  held.close();
+                  targetSide.close();
                 } catch (java.io.IOException e) {
                   throw new java.io.UncheckedIOException(e);
                 }
               });
       writer.start();
-      // 40 MB are more than buffers and sockets hold: the writer must still be at it.
+      // 40 MB exceed the capacity of buffers and sockets: the writer must still be blocked.
       writer.join(1500);
       assertThat(writer.isAlive()).isTrue();
       long bytes = 0;
@@ -291,69 +291,72 @@
         "PING\r\nPING\r\n",
         "LONG"
       })
-  void turnsBadInputAwayAndServesOn(String line) throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
-    try (Peer bad = Peer.to(site.address)) {
-      bad.send(line.equals("LONG") ? "OPEN 1 k c=preview,x=" + "x".repeat(5000) : line);
-      assertThat(bad.line()).startsWith("ERR");
-      assertThat(bad.line()).isNull();
-    }
-    try (Peer client = site.client("d=2000")) {
+  void rejectsMalformedInputAndContinuesToServe(String line) throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
+    try (Peer malformed = Peer.to(fixture.clientAddress)) {
+      malformed.send(line.equals("LONG") ? "OPEN 1 k c=preview,x=" + "x".repeat(5000) : line);
+      assertThat(malformed.line()).startsWith("ERR");
+      assertThat(malformed.line()).isNull();
+    }
+    try (Peer client = fixture.connectClient("d=2000")) {
       assertThat(client.line()).isEqualTo("UP r-1");
-      assertThat(target.opened().first).startsWith("OPEN 9b1f");
+      assertThat(target.nextFlow().openingLine).startsWith("OPEN 9b1f");
     }
   }
 
-  /** What stayed silent was closed after 10 s, and each byte of a drip could have put that off. */
+  /** A silent connection was closed after 10 s only, and each further byte extended that time. */
   @ParameterizedTest
   @ValueSource(strings = {"", "OPEN 1 k c=pre", "DRIP"})
-  void turnsAwayWhoSendsNoWholeLineInTime(String text) throws Exception {
-    site.start(site.target("s-1"));
+  void rejectsAClientThatSendsNoCompleteLineInTime(String text) throws Exception {
+    fixture.start(fixture.addTarget("s-1"));
     long start = System.nanoTime();
-    try (Peer bad = Peer.to(site.address)) {
-      bad.send(text);
-      while (text.equals("DRIP") && bad.socket.getInputStream().available() == 0) {
-        bad.send("x");
+    try (Peer malformed = Peer.to(fixture.clientAddress)) {
+      malformed.send(text);
+      while (text.equals("DRIP") && malformed.socket.getInputStream().available() == 0) {
+        malformed.send("x");
         Thread.sleep(100);
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isLessThan(3000);
       }
-      assertThat(bad.line()).startsWith("ERR");
+      assertThat(malformed.line()).startsWith("ERR");
       assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isBetween(1000L, 3000L);
     }
   }
 
-  /** A close with bytes unread sent a reset, and a client that was still sending lost its ERR. */
+  /** Closing with unread bytes sent a reset, and a client that was still sending lost its ERR. */
   @Test
-  void readsOnBehindALineThatNeverEnds() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
+  void keepsReadingAfterAnOverlongLineSoThatTheErrorArrives() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
     byte[] chunk = "x".repeat(1 << 16).getBytes(java.nio.charset.StandardCharsets.US_ASCII);
-    try (Peer bad = Peer.to(site.address)) {
+    try (Peer malformed = Peer.to(fixture.clientAddress)) {
       for (int i = 0; i < 960; i++) {
-        bad.socket.getOutputStream().write(chunk);
+        malformed.socket.getOutputStream().write(chunk);
       }
-      assertThat(bad.line()).startsWith("ERR");
-      assertThat(bad.line()).isNull();
+      assertThat(malformed.line()).startsWith("ERR");
+      assertThat(malformed.line()).isNull();
     }
-    try (Peer client = site.client("d=2000")) {
+    try (Peer client = fixture.connectClient("d=2000")) {
       assertThat(client.line()).isEqualTo("UP r-1");
     }
   }
 
-  /** A second flow with an open one's id was sent on; targets answered ERR, and the node paused. */
+  /**
+   * A second flow with the id of an open one was once forwarded. Targets answered ERR, and the
+   * proxy stopped sending flows for a time.
+   */
   @Test
-  void turnsAwayAnIdThatAnotherOpenFlowHolds() throws Exception {
-    Site.Target target = site.target("s-1");
-    target.answer = line -> "";
-    site.start(target);
-    try (Peer client = site.client("9b1f", "d=3000")) {
-      Peer forward = target.opened();
+  void rejectsAnIdThatAnOpenFlowUses() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    target.openResponse = line -> "";
+    fixture.start(target);
+    try (Peer client = fixture.connectClient("9b1f", "d=3000")) {
+      Peer forward = target.nextFlow();
       for (int i = 0; i < 2; i++) {
-        try (Peer bad = site.client("9b1f", "d=3000")) {
-          assertThat(bad.line()).startsWith("ERR");
+        try (Peer malformed = fixture.connectClient("9b1f", "d=3000")) {
+          assertThat(malformed.line()).startsWith("ERR");
         }
-        // While it waits for its answer, and once it stands.
+        // Once while the flow is pending, and once while it is established.
         if (i == 0) {
           forward.send("UP r-1\r\n");
           assertThat(client.line()).isEqualTo("UP r-1");
@@ -361,75 +364,80 @@
       }
       client.send("m 1\r\n");
       assertThat(forward.line()).isEqualTo("m 1");
-      assertThat(target.opened).isEmpty();
+      assertThat(target.flows).isEmpty();
       forward.send("BYE\r\n").close();
       assertThat(client.line()).isEqualTo("BYE");
       assertThat(client.line()).isNull();
     }
-    // The id is free again.
-    target.answer = line -> "UP r-2\r\n";
-    try (Peer client = site.client("9b1f", "d=3000")) {
+    // The id may be used again.
+    target.openResponse = line -> "UP r-2\r\n";
+    try (Peer client = fixture.connectClient("9b1f", "d=3000")) {
       assertThat(client.line()).isEqualTo("UP r-2");
     }
   }
 
-  /** Lines behind the first were kept while it was served, as if the client had waited. */
+  /** Lines after the first were kept until it was answered, as if the client had waited. */
   @Test
-  void takesAFlowBackWhoseClientDoesNotWait() throws Exception {
-    Site.Target target = site.target("s-1");
-    target.answer = line -> "";
-    site.start(target);
-    try (Peer bad = site.client("d=3000")) {
-      Peer forward = target.opened();
-      bad.send("OPEN 2 key-1 c=preview,d=3000\r\n");
-      assertThat(bad.line()).startsWith("ERR");
+  void cancelsAFlowWhoseClientSendsBeforeItsAnswer() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    target.openResponse = line -> "";
+    fixture.start(target);
+    try (Peer malformed = fixture.connectClient("d=3000")) {
+      Peer forward = target.nextFlow();
+      malformed.send("OPEN 2 key-1 c=preview,d=3000\r\n");
+      assertThat(malformed.line()).startsWith("ERR");
       assertThat(forward.line()).isNull();
-      assertThat(target.opened).isEmpty();
+      assertThat(target.flows).isEmpty();
     }
   }
 
-  /** SIGHUP ended the program; LB_DISCOVERY, which cannot change, went before the new file. */
+  /**
+   * SIGHUP ended the program once; later LB_DISCOVERY, which cannot change while the program runs,
+   * overrode the new file.
+   */
   @Test
-  void takesANewConfigurationWhileItServes() throws Exception {
-    Site.Target one = site.target("s-1");
-    Site.Target two = site.target("s-2");
-    site.start(one);
-    HttpExchange watch = site.watch();
-    Site.tell(watch, Site.list(7, true, "SERVING", one));
-    try (Peer client = site.client("d=2000")) {
+  void reloadsItsConfigurationWhileServing() throws Exception {
+    ProxyFixture.Target one = fixture.addTarget("s-1");
+    ProxyFixture.Target two = fixture.addTarget("s-2");
+    fixture.start(one);
+    HttpExchange watch = fixture.nextWatch();
+    ProxyFixture.sendLine(watch, ProxyFixture.targetList(7, true, "SERVING", one));
+    try (Peer client = fixture.connectClient("d=2000")) {
       assertThat(client.line()).isEqualTo("UP r-1");
-      Peer old = one.opened();
-      site.reload("{ half a file");
+      Peer old = one.nextFlow();
+      fixture.reload("{ half a file");
       BlockingQueue<HttpExchange> calls = new LinkedBlockingQueue<>();
-      JsonObject next = site.config.deepCopy();
-      next.addProperty("discovery", site.discovery(calls));
+      JsonObject next = fixture.config.deepCopy();
+      next.addProperty("discovery", fixture.startDiscovery(calls));
       next.getAsJsonObject("settings")
           .getAsJsonArray("profiles")
           .get(0)
           .getAsJsonObject()
           .addProperty("name", "review");
-      while (!Files.readString(site.log()).contains("reload-refused")) {
-        assertThat(site.process.isAlive()).isTrue();
+      while (!Files.readString(fixture.logFile()).contains("reload-refused")) {
+        assertThat(fixture.process.isAlive()).isTrue();
         Thread.sleep(10);
       }
-      site.reload(next.toString());
-      // The whole list and the watch are asked for at once; until one brings it, the old one holds.
-      List<HttpExchange> both = List.of(Site.next(calls), Site.next(calls));
+      fixture.reload(next.toString());
+      // The whole list and a watch are requested together; until one delivers the list, the old one
+      // is in use.
+      List<HttpExchange> both = List.of(ProxyFixture.nextCall(calls), ProxyFixture.nextCall(calls));
       assertThat(both).extracting(c -> c.getRequestURI().getQuery()).contains("follow=1&since=0");
-      try (Peer late = Peer.to(site.address).send("OPEN 9b20 key-1 c=review,d=2000\r\n")) {
+      try (Peer late = Peer.to(fixture.clientAddress).send("OPEN 9b20 key-1 c=review,d=2000\r\n")) {
         assertThat(late.line()).isEqualTo("UP r-1");
-        assertThat(one.opened()).isNotNull();
+        assertThat(one.nextFlow()).isNotNull();
       }
-      // Its versions are its own: an index below the old one is no reason to doubt it.
+      // The new discovery counts its own versions: its index may be below the old one.
       for (HttpExchange call : both) {
-        Site.tell(call, Site.list(3, true, "SERVING", two));
+        ProxyFixture.sendLine(call, ProxyFixture.targetList(3, true, "SERVING", two));
         if (call.getRequestURI().getQuery() == null) {
           call.close();
         }
       }
       long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.LIMIT_MILLIS);
-      while (two.opened.isEmpty()) {
-        try (Peer late = Peer.to(site.address).send("OPEN 9b21 key-1 c=review,d=2000\r\n")) {
+      while (two.flows.isEmpty()) {
+        try (Peer late =
+            Peer.to(fixture.clientAddress).send("OPEN 9b21 key-1 c=review,d=2000\r\n")) {
           assertThat(late.line()).isEqualTo("UP r-1");
         }
         assertThat(System.nanoTime()).isLessThan(end);
@@ -440,108 +448,108 @@
   }
 
   @Test
-  void bringsAnOpenConnectionBackToItsOwnTarget() throws Exception {
-    Site.Target one = site.target("s-1");
-    Site.Target two = site.target("s-2");
-    site.start(one, two);
+  void sendsAReconnectingClientToTheTargetThatItNames() throws Exception {
+    ProxyFixture.Target one = fixture.addTarget("s-1");
+    ProxyFixture.Target two = fixture.addTarget("s-2");
+    fixture.start(one, two);
     for (int i = 0; i < 4; i++) {
-      try (Peer client = site.client("d=2000,at=s-2")) {
+      try (Peer client = fixture.connectClient("d=2000,at=s-2")) {
         assertThat(client.line()).isEqualTo("UP r-1");
-        assertThat(two.opened().first).contains("at=s-2");
+        assertThat(two.nextFlow().openingLine).contains("at=s-2");
       }
     }
-    assertThat(one.opened).isEmpty();
+    assertThat(one.flows).isEmpty();
   }
 
-  /** A bad answer to a probe fails that probe alone; a good one lets its connection be used on. */
+  /** A malformed response fails only its probe; after a valid one the connection is reused. */
   @ParameterizedTest
   @ValueSource(strings = {"PONG x0=many\r\n", "PONG x0=0.1\r\n"})
-  void servesOnWhateverAProbeBrings(String stats) throws Exception {
-    Site.Target target = site.target("s-1");
-    target.stats = stats;
-    site.start(target);
-    try (Peer client = site.client("d=2000")) {
+  void continuesToServeAfterAMalformedProbeResponse(String stats) throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    target.probeResponse = stats;
+    fixture.start(target);
+    try (Peer client = fixture.connectClient("d=2000")) {
       assertThat(client.line()).isEqualTo("UP r-1");
-      // The report of a target that holds a connection is renewed every 2 s.
+      // A target that holds a connection is probed every 2 s.
       Peer first = target.probes.poll(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS);
       Peer next = target.probes.poll(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS);
       assertThat(next).isNotNull();
       assertThat(next == first).isEqualTo(stats.equals("PONG x0=0.1\r\n"));
       client.send("m 1\r\n");
-      assertThat(target.opened().line()).isEqualTo("m 1");
+      assertThat(target.nextFlow().line()).isEqualTo("m 1");
     }
   }
 
   @Test
-  void sendsNothingToATargetThatIsToldToDrain() throws Exception {
-    Site.Target one = site.target("s-1");
-    Site.Target two = site.target("s-2");
-    site.start(one, two);
-    HttpExchange watch = site.watch();
+  void sendsNothingToADrainingTarget() throws Exception {
+    ProxyFixture.Target one = fixture.addTarget("s-1");
+    ProxyFixture.Target two = fixture.addTarget("s-2");
+    fixture.start(one, two);
+    HttpExchange watch = fixture.nextWatch();
     assertThat(watch.getRequestURI().getQuery()).isEqualTo("follow=1&since=1");
-    Site.tell(watch, Site.list(2, false, "DRAINING", one));
-    // A bad line fails the watch: what it would have changed is learnt from the whole list.
-    Site.tell(watch, "no list");
-    HttpExchange whole = site.watch();
+    ProxyFixture.sendLine(watch, ProxyFixture.targetList(2, false, "DRAINING", one));
+    // A malformed line fails the watch: the change that it held is read from the whole list.
+    ProxyFixture.sendLine(watch, "no list");
+    HttpExchange whole = fixture.nextWatch();
     assertThat(whole.getRequestURI().getQuery()).isNull();
-    Site.tell(whole, Site.list(9, true, "SERVING", two));
+    ProxyFixture.sendLine(whole, ProxyFixture.targetList(9, true, "SERVING", two));
     whole.close();
-    watch = site.watch();
+    watch = fixture.nextWatch();
     for (int i = 0; i < 6; i++) {
-      try (Peer client = site.client("d=2000")) {
+      try (Peer client = fixture.connectClient("d=2000")) {
         assertThat(client.line()).isEqualTo("UP r-1");
-        assertThat(two.opened()).isNotNull();
+        assertThat(two.nextFlow()).isNotNull();
       }
     }
-    assertThat(one.opened).isEmpty();
+    assertThat(one.flows).isEmpty();
     assertThat(watch.getRequestURI().getQuery()).isEqualTo("follow=1&since=9");
   }
 
-  /** A front that asked before any target was known was left without an answer for good. */
+  /** A client that sent PING before any target was known was once never answered. */
   @Test
   void admitsClientsOnceATargetIsKnown() throws Exception {
-    Site.Target one = site.target("s-1");
-    site.config.add("known", null);
-    site.launch(site.config.toString());
-    HttpExchange watch = site.watch();
-    try (Peer front = Peer.to(site.address).send("PING\r\n");
-        Peer later = Peer.to(site.address).send("nonsense\r\n")) {
+    ProxyFixture.Target one = fixture.addTarget("s-1");
+    fixture.config.add("known", null);
+    fixture.launch(fixture.config.toString());
+    HttpExchange watch = fixture.nextWatch();
+    try (Peer waiting = Peer.to(fixture.clientAddress).send("PING\r\n");
+        Peer later = Peer.to(fixture.clientAddress).send("nonsense\r\n")) {
       assertThat(later.line()).startsWith("ERR");
-      Site.tell(watch, Site.list(1, true, "SERVING", one));
-      assertThat(front.line()).isEqualTo("PONG");
+      ProxyFixture.sendLine(watch, ProxyFixture.targetList(1, true, "SERVING", one));
+      assertThat(waiting.line()).isEqualTo("PONG");
     }
   }
 
   @Test
-  void renewsAWatchThatIsRefusedSilentOrEnded() throws Exception {
-    Site.Target one = site.target("s-1");
-    site.start(one);
-    HttpExchange refused = site.watch();
+  void renewsAWatchThatIsRefusedSilentOrClosed() throws Exception {
+    ProxyFixture.Target one = fixture.addTarget("s-1");
+    fixture.start(one);
+    HttpExchange refused = fixture.nextWatch();
     refused.sendResponseHeaders(503, -1);
     refused.close();
-    HttpExchange silent = site.watch();
-    Site.tell(silent, Site.list(7, true, "SERVING", one));
+    HttpExchange silent = fixture.nextWatch();
+    ProxyFixture.sendLine(silent, ProxyFixture.targetList(7, true, "SERVING", one));
     long start = System.nanoTime();
-    HttpExchange ended = site.watch();
+    HttpExchange ended = fixture.nextWatch();
     assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isBetween(2000L, 4500L);
     assertThat(ended.getRequestURI().getQuery()).isEqualTo("follow=1&since=7");
-    Site.tell(ended, "");
+    ProxyFixture.sendLine(ended, "");
     ended.close();
-    assertThat(site.watch().getRequestURI().getQuery()).isEqualTo("follow=1&since=7");
+    assertThat(fixture.nextWatch().getRequestURI().getQuery()).isEqualTo("follow=1&since=7");
   }
 
   @Test
-  void sendsItsClientsAwayBeforeItStops() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
+  void movesItsClientsBeforeItStops() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
     List<Peer> clients = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      clients.add(site.client("d=2000"));
+      clients.add(fixture.connectClient("d=2000"));
       assertThat(clients.get(i).line()).isEqualTo("UP r-1");
     }
     long start = System.nanoTime();
-    site.process.destroy();
-    clients.add(site.client("d=2000"));
+    fixture.process.destroy();
+    clients.add(fixture.connectClient("d=2000"));
     assertThat(clients.get(5).line()).isEqualTo("UP r-1");
     List<Long> moved = new ArrayList<>();
     for (Peer client : clients) {
@@ -550,25 +558,25 @@
       assertThat(client.line()).isNull();
       client.close();
     }
-    // Late, with room before a kill at 3.7 s, and not all at once.
+    // Late, well before a SIGKILL at 3.7 s, and not all at once.
     assertThat(moved).allMatch(millis -> millis > 2500 && millis < 3300);
     assertThat(moved.get(5) - moved.get(0)).isGreaterThan(200);
-    assertThat(site.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(fixture.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
     assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isLessThan(3700);
-    assertThat(site.process.exitValue()).isZero();
+    assertThat(fixture.process.exitValue()).isZero();
   }
 
   @Test
-  void answersBusyWhereDescriptorsRunOut() throws Exception {
-    Site.Target target = site.target("s-1");
-    // The operators' door holds 25 of them.
-    site.config.getAsJsonObject("limits").addProperty("sockets", 121);
-    site.start(target);
+  void answersBusyWhenDescriptorsRunOut() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    // The management address takes 25 of them.
+    fixture.config.getAsJsonObject("limits").addProperty("sockets", 121);
+    fixture.start(target);
     List<Peer> clients = new ArrayList<>();
     int served = 0;
     int busy = 0;
     for (int i = 0; i < 60; i++) {
-      Peer client = site.client("d=2000");
+      Peer client = fixture.connectClient("d=2000");
       clients.add(client);
       String answer = client.line();
       served += answer.startsWith("UP") ? 1 : 0;
@@ -579,63 +587,64 @@
     for (Peer client : clients) {
       client.close();
     }
-    // The room that is given back is used again.
+    // Released descriptors are used again.
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.LIMIT_MILLIS);
     String answer = "";
     while (!answer.startsWith("UP") && System.nanoTime() < end) {
-      try (Peer client = site.client("d=2000")) {
+      try (Peer client = fixture.connectClient("d=2000")) {
         answer = client.line();
       }
     }
     assertThat(answer).isEqualTo("UP r-1");
   }
 
-  /** Seen in a flood: silent connections held all descriptors, and BUSY came 1.5 s too late. */
+  /** Silent connections once held all descriptors in a flood, and BUSY was sent 1.5 s too late. */
   @Test
-  void answersInTimeBehindClientsThatSayNothing() throws Exception {
-    site.config.getAsJsonObject("limits").addProperty("sockets", 96);
-    site.start(site.target("s-1"));
+  void answersInTimeDespiteSilentConnections() throws Exception {
+    fixture.config.getAsJsonObject("limits").addProperty("sockets", 96);
+    fixture.start(fixture.addTarget("s-1"));
     List<Peer> silent = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      silent.add(Peer.to(site.address));
+      silent.add(Peer.to(fixture.clientAddress));
     }
-    // As often as the usual clients come: each is served, since the silent ones make room. One that
-    // comes in just behind a crowd of them may be told to come again.
+    // Each client is served, because silent connections are closed in its favour. A client that
+    // arrives right after many of them may be answered BUSY.
     for (int i = 0; i < 5; i++) {
       long start = System.nanoTime();
       String answer = "BUSY";
       while (answer.startsWith("BUSY")) {
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isLessThan(1000);
-        try (Peer client = site.client("d=2800")) {
+        try (Peer client = fixture.connectClient("d=2800")) {
           answer = client.line();
         }
       }
       assertThat(answer).isEqualTo("UP r-1");
-      silent.add(Peer.to(site.address));
+      silent.add(Peer.to(fixture.clientAddress));
     }
     for (Peer peer : silent) {
       peer.close();
     }
   }
 
-  /** Fixed caps summed up to more than a day's memory limit allowed. */
+  /** Fixed limits once added up to more than the memory limit of the machine. */
   @ParameterizedTest
   @ValueSource(ints = {48, 144, 192, 2048})
-  void capsTheRuntimeByTheMemoryThatTheConfigurationStates(int limit) throws Exception {
+  void limitsTheRuntimeToTheConfiguredMemory(int limit) throws Exception {
     Path folder = Files.createTempDirectory("brassbank");
     Path java = Files.writeString(folder.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
     assertThat(java.toFile().setExecutable(true)).isTrue();
-    site.config.getAsJsonObject("limits").addProperty("memory_mb", limit);
-    Path file = Files.writeString(folder.resolve("config.json"), site.config.toString());
+    fixture.config.getAsJsonObject("limits").addProperty("memory_mb", limit);
+    Path file = Files.writeString(folder.resolve("config.json"), fixture.config.toString());
     ProcessBuilder builder = new ProcessBuilder("sh", "deploy/serve.sh", "--config", "own file");
     builder.environment().put("PATH", folder + ":/usr/bin:/bin");
     builder.environment().put("LB_CONFIG", file.toString());
     String line = new String(builder.start().getInputStream().readAllBytes());
     assertThat(line).endsWith("brassbank.jar serve --config own file\n");
     int sum = 0;
-    Matcher cap = Pattern.compile("-(?:Xmx|XX:(?:MaxD|MaxM|Res)\\w+=)(\\d+)m").matcher(line);
-    while (cap.find()) {
-      sum += Integer.parseInt(cap.group(1));
+    Matcher memoryLimit =
+        Pattern.compile("-(?:Xmx|XX:(?:MaxD|MaxM|Res)\\w+=)(\\d+)m").matcher(line);
+    while (memoryLimit.find()) {
+      sum += Integer.parseInt(memoryLimit.group(1));
     }
     assertThat(sum).isBetween(Math.min(limit, 192) / 2, Math.min(limit, 192) - 4);
     for (Path path : List.of(java, file, folder)) {
@@ -645,28 +654,30 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "{", "[]", "{\"settings\":{}}", "{\"settings\":{\"rank\":\"x\"}}"})
-  void saysPlainlyWhatIsWrongWithItsConfiguration(String text) throws Exception {
-    site.launch(text);
-    assertThat(site.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
-    assertThat(site.process.exitValue()).isNotZero();
-    assertThat(Files.readAllLines(site.log())).hasSize(1).allMatch(l -> l.startsWith("brassbank:"));
+  void reportsAnInvalidConfigurationInOneLine(String text) throws Exception {
+    fixture.launch(text);
+    assertThat(fixture.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(fixture.process.exitValue()).isNotZero();
+    assertThat(Files.readAllLines(fixture.logFile()))
+        .hasSize(1)
+        .allMatch(l -> l.startsWith("brassbank:"));
   }
 
-  /** What a target sends must not be able to end the line it is told in. */
+  /** Text that a target sends must not be able to end the log line that holds it. */
   @Test
-  void logsLinesOfJsonWhateverATargetSays() throws Exception {
-    Site.Target target = site.target("s-1");
+  void logsValidJsonWhateverATargetSends() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
     String line = "nonsense \u0001\u001b[31m\" } \u00e9";
-    target.answer = opened -> line + "\r\n";
-    site.form = "json";
-    site.start(target);
-    try (Peer client = site.client("d=2000")) {
+    target.openResponse = opened -> line + "\r\n";
+    fixture.logFormat = "json";
+    fixture.start(target);
+    try (Peer client = fixture.connectClient("d=2000")) {
       assertThat(client.line()).startsWith("BUSY");
     }
-    site.signal("TERM");
-    assertThat(site.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+    fixture.signal("TERM");
+    assertThat(fixture.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
     List<JsonObject> events =
-        Files.readAllLines(site.log()).stream()
+        Files.readAllLines(fixture.logFile()).stream()
             .map(text -> JsonParser.parseString(text).getAsJsonObject())
             .toList();
     assertThat(events)
@@ -680,12 +691,12 @@
   }
 
   @Test
-  void saysPlainlyThatTheLogHasNoSuchForm() throws Exception {
-    site.form = "xml";
-    site.launch(site.config.toString());
-    assertThat(site.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
-    assertThat(site.process.exitValue()).isEqualTo(2);
-    assertThat(Files.readAllLines(site.log()))
+  void reportsAnUnknownLogFormat() throws Exception {
+    fixture.logFormat = "xml";
+    fixture.launch(fixture.config.toString());
+    assertThat(fixture.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(fixture.process.exitValue()).isEqualTo(2);
+    assertThat(Files.readAllLines(fixture.logFile()))
         .containsExactly("brassbank: BRASSBANK_LOG is neither text nor json: 'xml'");
   }
 }
--- a/src/test/java/brassbank/RelayTest.java
+++ b/src/test/java/brassbank/RelayTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What passes through the real program, and what slow peers may do to it. */
+/** Relaying of lines by the real program, and its limits on slow peers. */
 class RelayTest {
-  /** Small enough that a second decides. */
-  private static final String TIGHT =
+  /** Limits that a slow peer exceeds within a second. */
+  private static final String TIGHT_LIMITS =
       """
       [relay.client]
       waiting = "4 KiB"
@@ -39,41 +39,41 @@
       line = "1 s"
       """;
 
-  private Site site;
-  private Site.Target target;
+  private ProxyFixture fixture;
+  private ProxyFixture.Target target;
 
   @BeforeEach
   void open() throws Exception {
-    site = new Site();
-    target = site.target("s-1");
+    fixture = new ProxyFixture();
+    target = fixture.addTarget("s-1");
   }
 
   @AfterEach
   void close() throws Exception {
-    site.close();
+    fixture.close();
   }
 
-  /** A session that stands: its client, and its host's end of it. */
+  /** An established session: its client's side and its host's side. */
   private record Session(Peer client, Peer host) {}
 
-  private Session session(String more) throws Exception {
-    Peer client = site.client(more);
+  private Session openSession(String parameters) throws Exception {
+    Peer client = fixture.connectClient(parameters);
     assertThat(client.line()).isEqualTo("UP r-1");
-    return new Session(client, target.opened());
+    return new Session(client, target.nextFlow());
   }
 
-  private static String numbered(int line) {
+  private static String numberedLine(int line) {
     return String.format("line %07d %s\r\n", line, "x".repeat(80));
   }
 
-  /** Sends numbered lines until the connection ends or so many have gone. */
-  private static Thread pour(Peer from, int lines) {
+  /** Starts a thread that sends numbered lines until all are sent or the connection ends. */
+  private static Thread startWriting(Peer from, int lines) {
     Thread writer =
         new Thread(
             () -> {
               try {
                 for (int i = 0; i < lines; i++) {
-                  from.send(numbered(i));
+                  from.send(numberedLine(i));
                 }
               } catch (IOException e) {
                 // The proxy has ended the connection.
@@ -83,8 +83,14 @@
     return writer;
   }
 
-  /** Reads to the end: whole numbered lines in their order, and how that ended. */
-  private static String rest(Peer peer, String begun) throws IOException {
+  /**
+   * Reads to the end of the connection and checks that the numbered lines are complete and in
+   * order.
+   *
+   * @param begun what was read of the first line before
+   * @return MOVE if that came last, HALF if a partial line came last, and how the connection ended
+   */
+  private static String readToEnd(Peer peer, String begun) throws IOException {
     StringBuilder text = new StringBuilder(begun);
     String end = "END";
     byte[] chunk = new byte[8192];
@@ -97,21 +103,23 @@
       end = "RESET";
     }
     int at = 0;
-    for (int i = 0; text.length() - at >= numbered(i).length(); i++) {
-      assertThat(text.substring(at, at + numbered(i).length())).isEqualTo(numbered(i));
-      at += numbered(i).length();
+    for (int i = 0; text.length() - at >= numberedLine(i).length(); i++) {
+      assertThat(text.substring(at, at + numberedLine(i).length())).isEqualTo(numberedLine(i));
+      at += numberedLine(i).length();
     }
-    String left = text.substring(at).strip();
-    return left.equals("MOVE") || left.isEmpty() ? (left + " " + end).strip() : "HALF " + end;
+    String remainder = text.substring(at).strip();
+    return remainder.equals("MOVE") || remainder.isEmpty()
+        ? (remainder + " " + end).strip()
+        : "HALF " + end;
   }
 
-  private int descriptors() {
-    return Path.of("/proc", String.valueOf(site.process.pid()), "fd").toFile().list().length;
+  private int descriptorCount() {
+    return Path.of("/proc", String.valueOf(fixture.process.pid()), "fd").toFile().list().length;
   }
 
-  /** A session has two; one more may be a probe's, which comes and goes. */
+  /** Waits until all descriptors but one are released, which may be that of a probe. */
   private void awaitDescriptors(int before) throws Exception {
-    await("descriptors are given back", () -> descriptors() <= before + 1);
+    await("descriptors are released", () -> descriptorCount() <= before + 1);
   }
 
   private interface Condition {
@@ -127,19 +135,19 @@
   }
 
   private void awaitLog(String text) throws Exception {
-    await("the log says " + text, () -> Files.readString(site.log()).contains(text));
+    await("the log contains " + text, () -> Files.readString(fixture.logFile()).contains(text));
   }
 
-  /** Ends the program as planned, and waits until its one client is due to be moved. */
-  private void stopUntilMove() throws Exception {
-    site.process.destroy();
+  /** Starts a planned stop and waits until the one client is due to be moved. */
+  private void stopAndAwaitMove() throws Exception {
+    fixture.process.destroy();
     awaitLog("departure-planned");
-    Matcher first = Pattern.compile("from_ms=(\\d+)").matcher(Files.readString(site.log()));
+    Matcher first = Pattern.compile("from_ms=(\\d+)").matcher(Files.readString(fixture.logFile()));
     assertThat(first.find()).isTrue();
     Thread.sleep(Long.parseLong(first.group(1)) + 150);
   }
 
-  private void passesLines(Session session) throws IOException {
+  private void assertRelaysLines(Session session) throws IOException {
     session.client.send("m 1\r\n");
     assertThat(session.host.line()).isEqualTo("m 1");
     session.host.send("r 1\r\n");
@@ -147,34 +155,34 @@
   }
 
   @Test
-  void endsAClientThatReadsOneByteASecondAndKeepsServingTheOthers() throws Exception {
-    site.options = TIGHT.replace("farewell = \"4 s\"", "farewell = \"300 ms\"");
-    site.start(target);
-    Session other = session("d=2000");
-    int before = descriptors();
-    Session slow = session("d=2000");
-    Thread writer = pour(slow.host, 1_000_000);
+  void disconnectsAClientThatReadsOneByteASecondAndServesTheOthers() throws Exception {
+    fixture.optionsText = TIGHT_LIMITS.replace("farewell = \"4 s\"", "farewell = \"300 ms\"");
+    fixture.start(target);
+    Session other = openSession("d=2000");
+    int before = descriptorCount();
+    Session slow = openSession("d=2000");
+    Thread writer = startWriting(slow.host, 1_000_000);
     long start = System.nanoTime();
     StringBuilder read = new StringBuilder();
     while (writer.isAlive()) {
       read.append((char) slow.client.socket.getInputStream().read());
-      passesLines(other);
+      assertRelaysLines(other);
       writer.join(1000);
     }
     awaitDescriptors(before);
     assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).isLessThan(6_000);
-    assertThat(rest(slow.client, read.toString())).endsWith("RESET");
-    // By its rate, or on a busy machine by what waits for it first.
+    assertThat(readToEnd(slow.client, read.toString())).endsWith("RESET");
+    // The reason is the rate, or on a busy machine the bytes queued for the client.
     awaitLog("side=client reason=");
-    passesLines(other);
+    assertRelaysLines(other);
   }
 
   @Test
-  void sendsAClientThatReadsTooSlowlyWholeLinesAndMove() throws Exception {
-    site.options = TIGHT;
-    site.start(target);
-    Session slow = session("d=2000");
-    Thread writer = pour(slow.host, 1_000_000);
+  void sendsAClientThatReadsTooSlowlyCompleteLinesAndMove() throws Exception {
+    fixture.optionsText = TIGHT_LIMITS;
+    fixture.start(target);
+    Session slow = openSession("d=2000");
+    Thread writer = startWriting(slow.host, 1_000_000);
     byte[] some = new byte[100];
     StringBuilder read = new StringBuilder();
     while (writer.isAlive()) {
@@ -182,78 +190,78 @@
       read.append(new String(some, 0, count, StandardCharsets.ISO_8859_1));
       writer.join(50);
     }
-    assertThat(rest(slow.client, read.toString())).isEqualTo("MOVE END");
-    // By its rate, or on a busy machine by what waits for it first.
+    assertThat(readToEnd(slow.client, read.toString())).isEqualTo("MOVE END");
+    // The reason is the rate, or on a busy machine the bytes queued for the client.
     awaitLog("side=client reason=");
   }
 
   @Test
-  void letsAClientLiveThatStopsForThreeSecondsAndGoesOn() throws Exception {
-    site.options = "";
-    site.start(target);
-    Session session = session("d=2000");
+  void keepsAClientThatPausesForThreeSeconds() throws Exception {
+    fixture.optionsText = "";
+    fixture.start(target);
+    Session session = openSession("d=2000");
     int lines = 60_000;
-    Thread writer = pour(session.host, lines);
+    Thread writer = startWriting(session.host, lines);
     Thread.sleep(3000);
     assertThat(writer.isAlive()).isTrue();
     long bytes = 0;
     byte[] chunk = new byte[1 << 16];
-    while (bytes < (long) lines * numbered(0).length()) {
+    while (bytes < (long) lines * numberedLine(0).length()) {
       bytes += session.client.socket.getInputStream().read(chunk);
     }
-    passesLines(session);
+    assertRelaysLines(session);
   }
 
   @Test
-  void movesTheClientOfAHostThatStopsReadingInTheMidstOfALine() throws Exception {
-    site.options = TIGHT;
-    site.start(target);
-    Session session = session("d=2000");
-    pour(session.client, 1_000_000);
+  void movesTheClientOfAHostThatStopsReadingWithinALine() throws Exception {
+    fixture.optionsText = TIGHT_LIMITS;
+    fixture.start(target);
+    Session session = openSession("d=2000");
+    startWriting(session.client, 1_000_000);
     assertThat(session.host.socket.getInputStream().read()).isEqualTo('l');
     assertThat(session.client.line()).isEqualTo("MOVE");
     assertThat(session.client.line()).isIn(null, "RESET");
-    assertThat(rest(session.host, "l")).endsWith("RESET");
+    assertThat(readToEnd(session.host, "l")).endsWith("RESET");
     awaitLog("side=target reason=rate at_once=false");
   }
 
   @Test
-  void endsBothSidesOnceWhereBothAreSlow() throws Exception {
-    site.options = TIGHT.replace("farewell = \"4 s\"", "farewell = \"300 ms\"");
-    site.start(target);
-    Session other = session("d=2000");
-    int before = descriptors();
-    Session slow = session("d=2000");
-    Thread up = pour(slow.client, 1_000_000);
-    Thread down = pour(slow.host, 1_000_000);
+  void disconnectsOnceWhenBothSidesAreSlow() throws Exception {
+    fixture.optionsText = TIGHT_LIMITS.replace("farewell = \"4 s\"", "farewell = \"300 ms\"");
+    fixture.start(target);
+    Session other = openSession("d=2000");
+    int before = descriptorCount();
+    Session slow = openSession("d=2000");
+    Thread up = startWriting(slow.client, 1_000_000);
+    Thread down = startWriting(slow.host, 1_000_000);
     up.join(Peer.LIMIT_MILLIS);
     down.join(Peer.LIMIT_MILLIS);
     awaitDescriptors(before);
-    String log = Files.readString(site.log());
+    String log = Files.readString(fixture.logFile());
     assertThat(log.split("slow-peer flow=", -1)).as(log).hasSize(2);
-    passesLines(other);
+    assertRelaysLines(other);
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void endsWhoeverBeginsALineAndDoesNotEndIt(boolean client) throws Exception {
-    site.options = TIGHT;
-    site.start(target);
-    Session session = session("d=2000");
+  void disconnectsAPeerThatDoesNotFinishItsLine(boolean client) throws Exception {
+    fixture.optionsText = TIGHT_LIMITS;
+    fixture.start(target);
+    Session session = openSession("d=2000");
     (client ? session.client : session.host).send("half a line");
     if (client) {
       assertThat(session.client.line()).isEqualTo("MOVE");
       assertThat(session.client.line()).isNull();
     } else {
-      // MOVE goes between two lines only.
+      // MOVE may be sent only between two lines.
       assertThat(session.client.line()).isEqualTo("RESET");
     }
     awaitLog("side=" + (client ? "client" : "target") + " reason=line");
   }
 
   @Test
-  void endsTheWorstOfAPracticeThatIsOverItsBudgetAndNobodyElse() throws Exception {
-    site.options =
+  void disconnectsOnlyTheSlowestSessionsOfAPracticeThatExceedsItsBudget() throws Exception {
+    fixture.optionsText =
         """
         [relay]
         turn = "4 KiB"
@@ -264,27 +272,27 @@
         client.kernel-buffer = "4 KiB"
         target.waiting = "8 KiB"
         """;
-    site.start(target);
-    Session usual = session("d=2000");
+    fixture.start(target);
+    Session regular = openSession("d=2000");
     List<Session> slow = new ArrayList<>();
     List<Thread> writers = new ArrayList<>();
-    int before = descriptors();
+    int before = descriptorCount();
     for (int i = 0; i < 12; i++) {
-      Session session = session("d=2000");
+      Session session = openSession("d=2000");
       slow.add(session);
-      writers.add(pour(session.host, 5_000));
+      writers.add(startWriting(session.host, 5_000));
     }
     awaitLog("reason=practice-budget at_once=true");
-    // Those that are left fit into the budget.
-    await("the practice is within its budget", () -> descriptors() <= before + 2 * 8 + 1);
-    passesLines(usual);
+    // The remaining sessions fit into the budget.
+    await("the practice is within its budget", () -> descriptorCount() <= before + 2 * 8 + 1);
+    assertRelaysLines(regular);
     int reset = 0;
     for (Session session : slow) {
       session.client.socket.setSoTimeout(300);
       try {
-        reset += rest(session.client, "").endsWith("RESET") ? 1 : 0;
+        reset += readToEnd(session.client, "").endsWith("RESET") ? 1 : 0;
       } catch (java.net.SocketTimeoutException e) {
-        // It goes on.
+        // The session is still open.
       }
     }
     assertThat(reset).isBetween(4, 11);
@@ -295,9 +303,9 @@
   }
 
   @Test
-  void servesOnWhereMemoryAndDescriptorsAreAtTheirLimitsTogether() throws Exception {
-    site.config.getAsJsonObject("limits").addProperty("sockets", 140);
-    site.options =
+  void continuesToServeWithMemoryAndDescriptorsAtTheirLimits() throws Exception {
+    fixture.config.getAsJsonObject("limits").addProperty("sockets", 140);
+    fixture.optionsText =
         """
         [relay]
         turn = "4 KiB"
@@ -307,37 +315,37 @@
         client.kernel-buffer = "4 KiB"
         target.waiting = "8 KiB"
         """;
-    site.start(target);
-    Session usual = session("d=2000");
-    int before = descriptors();
+    fixture.start(target);
+    Session regular = openSession("d=2000");
+    int before = descriptorCount();
     List<Peer> idle = new ArrayList<>();
     List<Thread> writers = new ArrayList<>();
     String answer = "UP r-1";
     for (int i = 0; answer.equals("UP r-1"); i++) {
       assertThat(i).isLessThan(140);
-      Peer client = site.client("d=1000");
+      Peer client = fixture.connectClient("d=1000");
       idle.add(client);
       answer = client.line();
-      passesLines(usual);
+      assertRelaysLines(regular);
       if (answer.equals("UP r-1")) {
-        Session next = new Session(client, target.opened());
+        Session next = new Session(client, target.nextFlow());
         idle.add(next.host);
         if (i < 10) {
-          writers.add(pour(next.host, 5_000));
+          writers.add(startWriting(next.host, 5_000));
         }
       }
     }
     assertThat(answer).startsWith("BUSY");
     awaitLog("budget at_once=true");
-    passesLines(usual);
+    assertRelaysLines(regular);
     idle.forEach(peer -> close(peer.socket));
     for (Thread writer : writers) {
       writer.join(Peer.LIMIT_MILLIS);
     }
     awaitDescriptors(before);
-    passesLines(usual);
-    passesLines(session("d=2000"));
-    assertThat(Files.readString(site.log())).doesNotContain("OutOfMemory", "-failed");
+    assertRelaysLines(regular);
+    assertRelaysLines(openSession("d=2000"));
+    assertThat(Files.readString(fixture.logFile())).doesNotContain("OutOfMemory", "-failed");
   }
 
   private static void close(Socket socket) {
@@ -350,36 +358,36 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void givesAllBackWhereOneSideResetsWhileBytesWait(boolean byClient) throws Exception {
-    site.start(target);
-    Session other = session("d=2000");
-    int before = descriptors();
-    Session session = session("d=2000");
-    Thread down = pour(session.host, 1_000_000);
-    Thread up = pour(session.client, 1_000_000);
+  void releasesEverythingWhenOneSideResetsWithBytesQueued(boolean byClient) throws Exception {
+    fixture.start(target);
+    Session other = openSession("d=2000");
+    int before = descriptorCount();
+    Session session = openSession("d=2000");
+    Thread down = startWriting(session.host, 1_000_000);
+    Thread up = startWriting(session.client, 1_000_000);
     down.join(500);
     (byClient ? session.client : session.host).reset();
     down.join(Peer.LIMIT_MILLIS);
     up.join(Peer.LIMIT_MILLIS);
     awaitDescriptors(before);
-    passesLines(other);
+    assertRelaysLines(other);
   }
 
   @Test
-  void sendsWholeLinesAndMoveToAClientThatReadsAfterSigterm() throws Exception {
-    site.start(target);
-    Session session = session("d=2000");
-    pour(session.host, 1_000_000);
-    stopUntilMove();
-    assertThat(rest(session.client, "")).isEqualTo("MOVE END");
-    assertThat(site.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
-    assertThat(site.process.exitValue()).isZero();
+  void sendsCompleteLinesAndMoveToAClientThatReadsAfterSigterm() throws Exception {
+    fixture.start(target);
+    Session session = openSession("d=2000");
+    startWriting(session.host, 1_000_000);
+    stopAndAwaitMove();
+    assertThat(readToEnd(session.client, "")).isEqualTo("MOVE END");
+    assertThat(fixture.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(fixture.process.exitValue()).isZero();
   }
 
   @Test
-  void passesALineOfFourKibibytesInSingleBytes() throws Exception {
-    site.start(target);
-    Session session = session("d=2000");
+  void relaysALineOfFourKibibytesSentInSingleBytes() throws Exception {
+    fixture.start(target);
+    Session session = openSession("d=2000");
     String line = "é" + "x".repeat(4093);
     for (char c : (line + "\r\n").toCharArray()) {
       session.client.send(String.valueOf(c));
@@ -389,17 +397,17 @@
       session.host.send(String.valueOf(c));
     }
     assertThat(session.client.line()).isEqualTo(line);
-    passesLines(session);
+    assertRelaysLines(session);
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void movesBehindALineThatIsOnItsWayAndNeverWithinIt(boolean lineEnds) throws Exception {
-    site.start(target);
-    Session session = session("d=2000");
+  void sendsMoveAfterAPartialLineHasEndedAndNeverWithinIt(boolean lineEnds) throws Exception {
+    fixture.start(target);
+    Session session = openSession("d=2000");
     session.host.send("r 1\r\nhalf ");
     assertThat(session.client.line()).isEqualTo("r 1");
-    stopUntilMove();
+    stopAndAwaitMove();
     if (lineEnds) {
       session.host.send("a line\r\nand another\r\n");
       assertThat(session.client.line()).isEqualTo("half a line");
@@ -411,27 +419,27 @@
   }
 
   @Test
-  void takesNewLimitsWhileItServesAndKeepsTheOldOnesWhereTheFileIsBad() throws Exception {
-    site.options = "";
-    site.start(target);
-    Session session = session("d=2000");
-    Thread writer = pour(session.host, 1_000_000);
-    site.reloadOptions("[relay]\nbudgt = \"1 MiB\"\nturn = \"0 B\"\n");
+  void reloadsLimitsWhileServingAndKeepsThemIfTheFileIsInvalid() throws Exception {
+    fixture.optionsText = "";
+    fixture.start(target);
+    Session session = openSession("d=2000");
+    Thread writer = startWriting(session.host, 1_000_000);
+    fixture.reloadOptions("[relay]\nbudgt = \"1 MiB\"\nturn = \"0 B\"\n");
     awaitLog(".toml:2: there is no key relay.budgt; did you mean relay.budget?");
     awaitLog(".toml:3: relay.turn must be from");
     assertThat(writer.isAlive()).isTrue();
-    site.reloadOptions(TIGHT);
+    fixture.reloadOptions(TIGHT_LIMITS);
     awaitLog("side=client reason=rate");
     writer.join(Peer.LIMIT_MILLIS);
     assertThat(writer.isAlive()).isFalse();
   }
 
   @Test
-  void tellsAllThatIsWrongWithItsOptionsAndDoesNotStart() throws Exception {
-    site.options = "[relay]\nx = 1\nturn = 3\n";
-    site.launch(site.config.toString());
-    assertThat(site.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
-    assertThat(site.process.exitValue()).isEqualTo(2);
-    assertThat(Files.readString(site.log())).contains(".toml:2: ").contains(".toml:3: ");
+  void reportsAllProblemsOfItsOptionsAndDoesNotStart() throws Exception {
+    fixture.optionsText = "[relay]\nx = 1\nturn = 3\n";
+    fixture.launch(fixture.config.toString());
+    assertThat(fixture.process.waitFor(Peer.LIMIT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(fixture.process.exitValue()).isEqualTo(2);
+    assertThat(Files.readString(fixture.logFile())).contains(".toml:2: ").contains(".toml:3: ");
   }
 }
--- a/src/test/java/brassbank/RepeatWindowTest.java
+++ b/src/test/java/brassbank/RepeatWindowTest.java
@@ -13,58 +13,58 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Repeats at the edge of their window. The real program over sockets. */
+/** Repeats that are sent close to the end of their window. The real program over sockets. */
 class RepeatWindowTest {
-  private Site site;
+  private ProxyFixture fixture;
 
   @BeforeEach
   void open() throws Exception {
-    site = new Site();
+    fixture = new ProxyFixture();
   }
 
   @AfterEach
   void close() throws Exception {
-    site.close();
+    fixture.close();
   }
 
   /**
-   * A repeat that is decided within its window, whose connect comes up after it: the target has
-   * forgotten the first by then, so that the line must not be sent.
+   * A repeat is decided within its window, but its connect is established after the window. The
+   * target has forgotten the first attempt by then, so that the line must not be sent.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aRepeatWhoseConnectOutlastsItsWindowIsNotSent(boolean guarded) throws Exception {
-    site.repeats(guarded ? "guarded" : "free", "all", 600);
-    site.settings().getAsJsonObject("allowed").addProperty("dial-timeout", 4_000_000);
-    site.settings().getAsJsonObject("allowed").addProperty("probes", false);
-    Site.Target first = site.target("s-1");
+  void doesNotSendARepeatWhoseConnectOutlastsItsWindow(boolean guarded) throws Exception {
+    fixture.configureRepeats(guarded ? "guarded" : "free", "all", 600);
+    fixture.settings().getAsJsonObject("allowed").addProperty("dial-timeout", 4_000_000);
+    fixture.settings().getAsJsonObject("allowed").addProperty("probes", false);
+    ProxyFixture.Target first = fixture.addTarget("s-1");
     CountDownLatch listed = new CountDownLatch(1);
-    first.answer =
+    first.openResponse =
         line -> {
-          Site.await(listed);
+          ProxyFixture.await(listed);
           return "ERR\r\n";
         };
-    site.start(first);
-    HttpExchange watch = site.watch();
-    try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        Socket one = new Socket(deaf.getInetAddress(), deaf.getLocalPort());
-        Socket two = new Socket(deaf.getInetAddress(), deaf.getLocalPort());
-        Peer client = site.client("d=4800")) {
-      Site.Target late = site.target("s-2");
-      late.port = deaf.getLocalPort();
+    fixture.start(first);
+    HttpExchange watch = fixture.nextWatch();
+    try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        Socket one = new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort());
+        Socket two = new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort());
+        Peer client = fixture.connectClient("d=4800")) {
+      ProxyFixture.Target late = fixture.addTarget("s-2");
+      late.port = unresponsive.getLocalPort();
       long sent = System.nanoTime();
-      Site.tell(watch, Site.list(2, false, "SERVING", late));
-      assertThat(site.logged("target-changed target=s-2")).isNotNull();
+      ProxyFixture.sendLine(watch, ProxyFixture.targetList(2, false, "SERVING", late));
+      assertThat(fixture.awaitLogLine("target-changed target=s-2")).isNotNull();
       listed.countDown();
-      deaf.setSoTimeout(Peer.LIMIT_MILLIS);
+      unresponsive.setSoTimeout(Peer.LIMIT_MILLIS);
       if (guarded) {
-        assertThat(client.line()).as("answered once its window is over").startsWith("BUSY");
-        assertThat(Site.millisSince(sent)).isLessThan(3_000);
+        assertThat(client.line()).as("answered after the end of the window").startsWith("BUSY");
+        assertThat(ProxyFixture.millisSince(sent)).isLessThan(3_000);
       } else {
-        // The same without a window: the connect comes up late, and the line is sent.
-        List<Socket> taken = List.of(deaf.accept(), deaf.accept());
-        assertThat(new Peer(deaf.accept()).line()).startsWith("OPEN ");
-        assertThat(taken).hasSize(2);
+        // Without a window the line is sent, although the connect is established late.
+        List<Socket> accepted = List.of(unresponsive.accept(), unresponsive.accept());
+        assertThat(new Peer(unresponsive.accept()).line()).startsWith("OPEN ");
+        assertThat(accepted).hasSize(2);
       }
       assertThat(one.isConnected() && two.isConnected()).isTrue();
     }
--- a/src/test/java/brassbank/SharedListener.java
+++ b/src/test/java/brassbank/SharedListener.java
@@ -11,51 +11,54 @@
 import java.nio.file.Path;
 
 /**
- * A listening socket that child processes inherit as descriptor 0, as the platform's do. Java hands
- * on pipes and files only: the socket is put in the place of a pipe.
+ * A listening socket that child processes inherit as descriptor 0, as on the platform. Java passes
+ * only pipes and files to child processes, so that the socket takes the place of a pipe.
  */
 final class SharedListener implements AutoCloseable {
-  private final ServerSocketChannel socket = ServerSocketChannel.open();
-  private final Path folder = Files.createTempDirectory("brassbank");
+  private final ServerSocketChannel listener = ServerSocketChannel.open();
+  private final Path handoverFolder = Files.createTempDirectory("brassbank");
 
   SharedListener(InetSocketAddress address) throws IOException {
-    socket.bind(address, 200);
+    listener.bind(address, 200);
   }
 
-  void inheritedBy(ProcessBuilder builder) {
+  /** Configures the process to inherit the socket and to share the handover folder. */
+  void passTo(ProcessBuilder builder) {
     builder.environment().put("LB_LISTEN_FD", "0");
-    builder.environment().put("TMPDIR", folder.toString());
+    builder.environment().put("TMPDIR", handoverFolder.toString());
     try {
-      Method number = socket.getClass().getMethod("getFDVal");
-      number.setAccessible(true);
+      Method socketDescriptor = listener.getClass().getMethod("getFDVal");
+      socketDescriptor.setAccessible(true);
       Constructor<?> pipe =
           Class.forName("java.lang.ProcessBuilder$RedirectPipeImpl").getDeclaredConstructor();
       pipe.setAccessible(true);
       ProcessBuilder.Redirect redirect = (ProcessBuilder.Redirect) pipe.newInstance();
-      Method descriptor = redirect.getClass().getDeclaredMethod("getFd");
-      descriptor.setAccessible(true);
-      Field value = FileDescriptor.class.getDeclaredField("fd");
-      value.setAccessible(true);
-      value.setInt(descriptor.invoke(redirect), (int) number.invoke(socket));
+      Method pipeDescriptor = redirect.getClass().getDeclaredMethod("getFd");
+      pipeDescriptor.setAccessible(true);
+      Field descriptorNumber = FileDescriptor.class.getDeclaredField("fd");
+      descriptorNumber.setAccessible(true);
+      descriptorNumber.setInt(
+          pipeDescriptor.invoke(redirect), (int) socketDescriptor.invoke(listener));
       builder.redirectInput(redirect);
     } catch (ReflectiveOperationException e) {
-      throw new IllegalStateException("this runtime hands no socket on", e);
+      throw new IllegalStateException(
+          "this Java runtime cannot pass a socket to a child process", e);
     }
   }
 
-  /** The folder that the processes share. */
-  Path folder() {
-    return folder;
+  /** Returns the folder that the processes share. */
+  Path handoverFolder() {
+    return handoverFolder;
   }
 
   @Override
   public void close() throws IOException {
-    socket.close();
-    try (var files = Files.list(folder)) {
+    listener.close();
+    try (var files = Files.list(handoverFolder)) {
       for (Path file : files.toList()) {
         Files.delete(file);
       }
     }
-    Files.delete(folder);
+    Files.delete(handoverFolder);
   }
 }
--- a/src/test/java/brassbank/SimStand.java
+++ b/src/test/java/brassbank/SimulatedTestBed.java
@@ -27,9 +27,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The same proxy on the simulated network: each wait lets virtual time go by. */
-final class SimStand implements Stand {
-  private static final long LIMIT = 10 * Agenda.SECOND;
+/** A test bed that runs the proxy on the simulated network. Each wait advances virtual time. */
+final class SimulatedTestBed implements TestBed {
+  private static final long TIMEOUT_MICROS = 10 * Agenda.SECOND;
 
   private final Agenda agenda = new Agenda();
   private final Fabric fabric =
@@ -39,13 +39,13 @@
           new Fabric.Latency(30, 60, 700, 1_300, 0.2),
           new Fabric.Buffers(64 * 1024, 64 * 1024, 100_000_000));
   private final Map<String, Host> hosts = new LinkedHashMap<>();
-  private final Program clients = program("clients", 9);
-  private final Program node = program("n0", 1);
+  private final Program clientProgram = program("clients", 9);
+  private final Program proxyProgram = program("n0", 1);
   private final JsonObject config;
   private Proxy proxy;
-  private int count;
+  private int clientCount;
 
-  SimStand() throws IOException {
+  SimulatedTestBed() throws IOException {
     config =
         JsonParser.parseString(Files.readString(Path.of("example/config.json"))).getAsJsonObject();
     config.addProperty("listen", "10.0.0.1:7070");
@@ -64,35 +64,35 @@
     }
   }
 
-  /** Takes all that comes at a port. */
-  private static Port listen(Program program, int number, Consumer<Endpoint> taker) {
+  /** Listens at a port and passes each connection to the handler. */
+  private static Port listen(Program program, int number, Consumer<Endpoint> handler) {
     Port[] port = new Port[1];
     try {
-      port[0] = program.listen(number, 50, () -> taker.accept(port[0].accept()));
+      port[0] = program.listen(number, 50, () -> handler.accept(port[0].accept()));
       return port[0];
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** An end whose bytes are read only when a line is asked for, as a blocking program does. */
-  private final class Wire implements End {
+  /** A connection that is read only when a line is requested, as by a blocking program. */
+  private final class EndpointConnection implements Connection {
     private final Endpoint endpoint;
-    private final StringBuilder read = new StringBuilder();
+    private final StringBuilder buffered = new StringBuilder();
     private String end;
 
-    Wire(Endpoint endpoint) {
+    EndpointConnection(Endpoint endpoint) {
       this.endpoint = endpoint;
     }
 
     @Override
-    public End send(String text) throws IOException {
+    public Connection send(String text) throws IOException {
       byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
-      long until = agenda.now() + LIMIT;
+      long until = agenda.now() + TIMEOUT_MICROS;
       for (int from = 0; from < bytes.length; ) {
         from += endpoint.write(bytes, from, bytes.length - from);
         if (from < bytes.length && !agenda.step(until)) {
-          throw new IOException("nobody reads");
+          throw new IOException("the peer does not read");
         }
       }
       return this;
@@ -100,35 +100,35 @@
 
     @Override
     public String line() throws IOException {
-      long until = agenda.now() + LIMIT;
-      while (read.indexOf("\n") < 0 && end == null) {
-        pull();
-        if (read.indexOf("\n") < 0 && end == null && !agenda.step(until)) {
-          throw new IOException("no line came");
+      long until = agenda.now() + TIMEOUT_MICROS;
+      while (buffered.indexOf("\n") < 0 && end == null) {
+        readAvailable();
+        if (buffered.indexOf("\n") < 0 && end == null && !agenda.step(until)) {
+          throw new IOException("no line was received in time");
         }
       }
-      int at = read.indexOf("\n");
+      int at = buffered.indexOf("\n");
       if (at < 0) {
         return end;
       }
-      String line = read.substring(0, at).replaceAll("\r$", "");
-      read.delete(0, at + 1);
+      String line = buffered.substring(0, at).replaceAll("\r$", "");
+      buffered.delete(0, at + 1);
       return line;
     }
 
-    private void pull() {
+    private void readAvailable() {
       byte[] bytes = new byte[4_096];
       try {
         int count = endpoint.read(bytes, 0, bytes.length);
         end = count < 0 ? "END" : null;
-        read.append(new String(bytes, 0, Math.max(0, count), StandardCharsets.ISO_8859_1));
+        buffered.append(new String(bytes, 0, Math.max(0, count), StandardCharsets.ISO_8859_1));
       } catch (IOException e) {
         end = "RESET";
       }
     }
 
     @Override
-    public void finish() throws IOException {
+    public void shutdownOutput() throws IOException {
       endpoint.shutdownOutput();
     }
 
@@ -143,12 +143,15 @@
     }
   }
 
-  /** A target as the real stand's: probes are answered, a first line gets the answer set. */
+  /**
+   * A target that behaves as one of {@link ProcessTestBed}: it answers probes, and a first line
+   * with the line that the test has set.
+   */
   private final class Host {
     private final Program program;
-    private final Deque<End> opened = new ArrayDeque<>();
+    private final Deque<Connection> flows = new ArrayDeque<>();
     private final Port port;
-    private String answer = "UP r-1";
+    private String openResponse = "UP r-1";
 
     Host(String name, int number) {
       program = program(name, number);
@@ -156,34 +159,34 @@
     }
 
     private void accept(Endpoint endpoint) {
-      Wire wire = new Wire(endpoint);
+      EndpointConnection connection = new EndpointConnection(endpoint);
       endpoint.handler(
           () -> {
-            wire.pull();
-            while (wire.read.indexOf("\n") >= 0 && !opened.contains(wire)) {
-              first(wire);
+            connection.readAvailable();
+            while (connection.buffered.indexOf("\n") >= 0 && !flows.contains(connection)) {
+              answerLine(connection);
             }
-            if (wire.end != null) {
+            if (connection.end != null) {
               endpoint.close();
             }
           });
     }
 
-    private void first(Wire wire) {
+    private void answerLine(EndpointConnection connection) {
       try {
-        if (wire.line().startsWith("OPEN")) {
-          wire.endpoint.reading(false);
-          wire.send(answer.isEmpty() ? "" : answer + "\r\n");
-          opened.add(wire);
+        if (connection.line().startsWith("OPEN")) {
+          connection.endpoint.reading(false);
+          connection.send(openResponse.isEmpty() ? "" : openResponse + "\r\n");
+          flows.add(connection);
         } else {
-          wire.send("PONG x0=0.1,x1=0,throughput=2,errors_per_s=0\r\n");
+          connection.send("PONG x0=0.1,x1=0,throughput=2,errors_per_s=0\r\n");
         }
       } catch (IOException e) {
-        wire.end = "RESET";
+        connection.end = "RESET";
       }
     }
 
-    private String entry() {
+    private String listEntry() {
       return "{\"name\":\""
           + program.name()
           + "\",\"address\":\""
@@ -192,10 +195,10 @@
     }
   }
 
-  private String list(long index, String... names) {
+  private String targetList(long index, String... names) {
     List<String> entries = new ArrayList<>();
     for (String name : names) {
-      entries.add(hosts.get(name).entry());
+      entries.add(hosts.get(name).listEntry());
     }
     return "{\"index\":"
         + index
@@ -204,27 +207,27 @@
         + "]}";
   }
 
-  /** Answers every call with the list; a watch then stays open. */
-  private void discovery(Program program, String list) {
+  /** Starts a discovery server that answers every call with the list and keeps watches open. */
+  private void startDiscovery(Program program, String list) {
     listen(
         program,
         8500,
         endpoint -> {
-          Wire wire = new Wire(endpoint);
+          EndpointConnection connection = new EndpointConnection(endpoint);
           endpoint.handler(
               () -> {
-                wire.pull();
-                if (wire.end != null) {
+                connection.readAvailable();
+                if (connection.end != null) {
                   endpoint.close();
                 }
-                if (wire.read.indexOf("\r\n\r\n") < 0) {
+                if (connection.buffered.indexOf("\r\n\r\n") < 0) {
                   return;
                 }
-                boolean watch = wire.read.indexOf("follow=1") >= 0;
-                wire.read.setLength(0);
+                boolean watch = connection.buffered.indexOf("follow=1") >= 0;
+                connection.buffered.setLength(0);
                 try {
                   String chunk = Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n";
-                  wire.send(
+                  connection.send(
                       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                           + chunk
                           + (watch ? "" : "0\r\n\r\n"));
@@ -236,29 +239,30 @@
   }
 
   @Override
-  public void answer(String target, String line) {
-    hosts.get(target).answer = line;
+  public void setOpenResponse(String target, String line) {
+    hosts.get(target).openResponse = line;
   }
 
   @Override
   public void start(String... known) throws Exception {
-    config.add("known", JsonParser.parseString(list(1, known)));
-    discovery(program("discovery", 5), list(2, known));
-    SimNetwork network = new SimNetwork(node, new SimClock(agenda, 0, 1_000), held -> {});
+    config.add("known", JsonParser.parseString(targetList(1, known)));
+    startDiscovery(program("discovery", 5), targetList(2, known));
+    SimNetwork network =
+        new SimNetwork(proxyProgram, new SimClock(agenda, 0, 1_000), descriptors -> {});
     proxy = new Proxy(Config.of(config.toString()), network);
     proxy.start();
     agenda.step(Agenda.MILLI);
   }
 
   @Override
-  public End client() throws Exception {
-    Wire[] wire = new Wire[1];
-    clients.connect(
-        new InetSocketAddress(node.machine().address(), 7070),
+  public Connection connectClient() throws Exception {
+    EndpointConnection[] connection = new EndpointConnection[1];
+    clientProgram.connect(
+        new InetSocketAddress(proxyProgram.machine().address(), 7070),
         new Program.Connected() {
           @Override
           public void up(Endpoint endpoint) {
-            wire[0] = new Wire(endpoint);
+            connection[0] = new EndpointConnection(endpoint);
           }
 
           @Override
@@ -266,45 +270,46 @@
             throw new IllegalStateException(cause);
           }
         });
-    long until = agenda.now() + LIMIT;
-    while (wire[0] == null && agenda.step(until)) {
-      // It is on its way.
+    long until = agenda.now() + TIMEOUT_MICROS;
+    while (connection[0] == null && agenda.step(until)) {
+      // The connection is being set up.
     }
-    return wire[0].send("OPEN c" + count++ + " key-1 c=preview,t=kelvin-stone,d=4000\r\n");
+    return connection[0].send(
+        "OPEN c" + clientCount++ + " key-1 c=preview,t=kelvin-stone,d=4000\r\n");
   }
 
   @Override
-  public End opened(String target) throws Exception {
+  public Connection nextFlow(String target) throws Exception {
     Host host = hosts.get(target);
-    long until = agenda.now() + LIMIT;
-    while (host.opened.isEmpty() && agenda.step(until)) {
-      // It is on its way.
+    long until = agenda.now() + TIMEOUT_MICROS;
+    while (host.flows.isEmpty() && agenda.step(until)) {
+      // The connection is being set up.
     }
-    return host.opened.remove();
+    return host.flows.remove();
   }
 
   @Override
-  public void gone(String target) {
+  public void closeListener(String target) {
     hosts.get(target).port.close();
   }
 
   @Override
-  public void move(String... listed) throws Exception {
-    discovery(program("discovery-2", 6), list(3, listed));
+  public void moveDiscovery(String... listed) throws Exception {
+    startDiscovery(program("discovery-2", 6), targetList(3, listed));
     config.addProperty("discovery", "10.0.0.6:8500");
     proxy.reload(Config.of(config.toString()));
   }
 
   @Override
   public void terminate() {
-    proxy.drain(node::exit);
+    proxy.drain(proxyProgram::exit);
   }
 
   @Override
-  public long millis() {
+  public long elapsedMillis() {
     return agenda.now() / Agenda.MILLI;
   }
 
   @Override
-  public void end() {}
+  public void close() {}
 }
--- a/src/test/java/brassbank/StartTest.java
+++ b/src/test/java/brassbank/StartTest.java
@@ -11,59 +11,62 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A start with an old list, whatever discovery does. The real program over sockets. */
+/**
+ * Starts from the configured target list while discovery is unavailable. The real program over
+ * sockets.
+ */
 class StartTest {
-  /** Operators ask for nine in ten within this. */
-  private static final long READY_MILLIS = 10_000;
+  /** The operators require nine of ten starts within this time. */
+  private static final long START_LIMIT_MILLIS = 10_000;
 
-  private Site site;
+  private ProxyFixture fixture;
 
   @BeforeEach
   void open() throws Exception {
-    site = new Site();
+    fixture = new ProxyFixture();
   }
 
   @AfterEach
   void close() throws Exception {
-    site.close();
+    fixture.close();
   }
 
-  private void servesFromItsOldList() throws Exception {
-    Site.Target target = site.target("s-1");
-    long from = System.nanoTime();
-    site.start(target);
-    assertThat(Site.millisSince(from)).isLessThan(READY_MILLIS);
-    try (Peer client = site.client("d=2000")) {
+  private void assertServesFromItsConfiguredList() throws Exception {
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    long start = System.nanoTime();
+    fixture.start(target);
+    assertThat(ProxyFixture.millisSince(start)).isLessThan(START_LIMIT_MILLIS);
+    try (Peer client = fixture.connectClient("d=2000")) {
       assertThat(client.line()).isEqualTo("UP r-1");
     }
   }
 
   @Test
-  void isReadyThoughDiscoveryIsDown() throws Exception {
-    site.discoveryDown();
-    servesFromItsOldList();
+  void startsWhileDiscoveryIsDown() throws Exception {
+    fixture.stopDiscovery();
+    assertServesFromItsConfiguredList();
   }
 
   @Test
-  void isReadyThoughDiscoveryTakesNoCall() throws Exception {
-    try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      List<Socket> before = new ArrayList<>();
+  void startsWhileDiscoveryAcceptsNoConnection() throws Exception {
+    try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      List<Socket> backlog = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
-        before.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
+        backlog.add(new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort()));
       }
-      site.config.addProperty("discovery", "127.0.0.1:" + deaf.getLocalPort());
-      servesFromItsOldList();
-      assertThat(before).hasSize(2);
+      fixture.config.addProperty("discovery", "127.0.0.1:" + unresponsive.getLocalPort());
+      assertServesFromItsConfiguredList();
+      assertThat(backlog).hasSize(2);
     }
   }
 
-  /** SIGTERM before its first client: it ends as planned, and at once. */
+  /** A proxy that receives SIGTERM before its first client stops as planned. */
   @Test
   void aStopBeforeTheFirstClientEndsAsPlanned() throws Exception {
-    Site.Target target = site.target("s-1");
-    site.start(target);
-    site.process.destroy();
-    assertThat(site.process.waitFor()).isZero();
-    assertThat(site.logged("stopped")).isNotNull();
+    ProxyFixture.Target target = fixture.addTarget("s-1");
+    fixture.start(target);
+    fixture.process.destroy();
+    assertThat(fixture.process.waitFor()).isZero();
+    assertThat(fixture.awaitLogLine("stopped")).isNotNull();
   }
 }
--- a/src/test/java/brassbank/UpgradeTest.java
+++ b/src/test/java/brassbank/UpgradeTest.java
@@ -11,20 +11,20 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The real program as several processes on one listening socket, which the test holds. */
+/** Several processes of the real program share one listening socket, which the test owns. */
 class UpgradeTest {
   private final List<Peer> peers = new ArrayList<>();
   private final List<Process> started = new ArrayList<>();
-  private Site site;
-  private Site.Target target;
+  private ProxyFixture fixture;
+  private ProxyFixture.Target target;
 
   @BeforeEach
   void open() throws Exception {
-    site = new Site();
-    site.shared = new SharedListener(site.address);
-    target = site.target("s-1");
-    site.start(target);
-    Site.tell(site.watch(), Site.list(2, true, "SERVING", target));
+    fixture = new ProxyFixture();
+    fixture.sharedListener = new SharedListener(fixture.clientAddress);
+    target = fixture.addTarget("s-1");
+    fixture.start(target);
+    ProxyFixture.sendLine(fixture.nextWatch(), ProxyFixture.targetList(2, true, "SERVING", target));
   }
 
   @AfterEach
@@ -35,121 +35,132 @@
     for (Process process : started) {
       process.destroyForcibly().waitFor();
     }
-    site.close();
-    site.shared.close();
+    fixture.close();
+    fixture.sharedListener.close();
   }
 
-  private Peer kept(Peer peer) {
+  private Peer closedAfterTest(Peer peer) {
     peers.add(peer);
     return peer;
   }
 
-  private Peer served() throws IOException {
-    Peer client = kept(site.client("d=4000"));
+  private Peer connectServedClient() throws IOException {
+    Peer client = closedAfterTest(fixture.connectClient("d=4000"));
     assertThat(client.line()).isEqualTo("UP r-1");
     return client;
   }
 
-  /** Starts a successor, which is told the list, and waits for its yes; returns the one before. */
-  private Process upgraded() throws Exception {
-    Process first = site.beside();
-    started.add(first);
-    Site.tell(site.watch(), Site.list(2, true, "SERVING", target));
-    site.serving();
-    return first;
+  /**
+   * Starts a successor, sends it the target list and waits until it accepts clients.
+   *
+   * @return the predecessor
+   */
+  private Process upgrade() throws Exception {
+    Process predecessor = fixture.startSuccessor();
+    started.add(predecessor);
+    ProxyFixture.sendLine(fixture.nextWatch(), ProxyFixture.targetList(2, true, "SERVING", target));
+    fixture.awaitServing();
+    return predecessor;
   }
 
   private static void terminate(Process process) throws Exception {
     new ProcessBuilder("sh", "-c", "kill -TERM " + process.pid()).start().waitFor();
   }
 
-  private static boolean ended(Process process) throws Exception {
+  private static boolean endsInTime(Process process) throws Exception {
     return process.waitFor(4, TimeUnit.SECONDS);
   }
 
   @Test
-  void theSuccessorTakesNewClientsAndTheOldOneCarriesItsOwnOnUntilItMovesThem() throws Exception {
-    Peer old = served();
-    Peer oldTarget = target.opened();
-    Peer unread = kept(Peer.to(site.address));
-    Peer front = kept(Peer.to(site.address)).send("PING\r\n");
-    assertThat(front.line()).isEqualTo("PONG");
-    Process first = upgraded();
-    Peer next = served();
-    Peer nextTarget = target.opened();
-    old.send("m 1\r\n");
+  void theSuccessorAcceptsNewClientsWhileThePredecessorServesItsOwnUntilItMovesThem()
+      throws Exception {
+    Peer oldClient = connectServedClient();
+    Peer oldTarget = target.nextFlow();
+    Peer unread = closedAfterTest(Peer.to(fixture.clientAddress));
+    Peer idle = closedAfterTest(Peer.to(fixture.clientAddress)).send("PING\r\n");
+    assertThat(idle.line()).isEqualTo("PONG");
+    Process predecessor = upgrade();
+    Peer newClient = connectServedClient();
+    Peer newTarget = target.nextFlow();
+    oldClient.send("m 1\r\n");
     assertThat(oldTarget.line()).isEqualTo("m 1");
 
-    terminate(first);
+    terminate(predecessor);
     unread.send("OPEN 1a key-1 c=preview,t=kelvin-stone,d=4000\r\n");
-    assertThat(unread.line()).as("accepted by the old one, and not yet read").isEqualTo("UP r-1");
-    assertThat(front.send("PING\r\n").line()).as("the proxy is up").isEqualTo("PONG");
-    assertThat(front.line()).as("and asked over a new connection").isNull();
-    for (Peer moved : List.of(old, unread)) {
+    assertThat(unread.line())
+        .as("accepted by the predecessor and not read yet")
+        .isEqualTo("UP r-1");
+    assertThat(idle.send("PING\r\n").line()).as("the proxy answers").isEqualTo("PONG");
+    assertThat(idle.line()).as("and closes, so that the client uses a new connection").isNull();
+    for (Peer moved : List.of(oldClient, unread)) {
       assertThat(moved.line()).isEqualTo("MOVE");
       assertThat(moved.line()).isNull();
     }
-    assertThat(ended(first)).isTrue();
-    assertThat(first.exitValue()).isZero();
-    next.send("m 2\r\n");
-    assertThat(nextTarget.line()).as("its own go on").isEqualTo("m 2");
-    served();
+    assertThat(endsInTime(predecessor)).isTrue();
+    assertThat(predecessor.exitValue()).isZero();
+    newClient.send("m 2\r\n");
+    assertThat(newTarget.line())
+        .as("the clients of the successor are not affected")
+        .isEqualTo("m 2");
+    connectServedClient();
   }
 
   @Test
-  void aProxyOnStandbyStaysSoAndAnIdOfTheOldOnesIsNoNewFlows() throws Exception {
-    Peer standing = kept(site.client("feed", "d=4000"));
-    assertThat(standing.line()).isEqualTo("UP r-1");
-    Process first = upgraded();
-    assertThat(site.client("feed", "d=4000").line()).startsWith("ERR");
-    site.call("PUT /standby");
-    site.beside();
-    started.add(first);
-    Site.tell(site.watch(), Site.list(2, true, "SERVING", target));
-    for (int i = 0; !site.standsBy(); i++) {
-      assertThat(i).as("looks at the second successor").isLessThan(500);
+  void standbyOutlastsAnUpgradeAndIdsOfThePredecessorAreRejected() throws Exception {
+    Peer established = closedAfterTest(fixture.connectClient("feed", "d=4000"));
+    assertThat(established.line()).isEqualTo("UP r-1");
+    Process predecessor = upgrade();
+    assertThat(fixture.connectClient("feed", "d=4000").line()).startsWith("ERR");
+    fixture.managementCall("PUT /standby");
+    fixture.startSuccessor();
+    started.add(predecessor);
+    ProxyFixture.sendLine(fixture.nextWatch(), ProxyFixture.targetList(2, true, "SERVING", target));
+    for (int i = 0; !fixture.isOnStandby(); i++) {
+      assertThat(i).as("polls of the second successor").isLessThan(500);
       Thread.sleep(10);
     }
-    assertThat(site.call("GET /status")).startsWith("HTTP/1.1 503");
-    assertThat(site.call("PUT /active")).startsWith("HTTP/1.1 200");
-    served();
+    assertThat(fixture.managementCall("GET /status")).startsWith("HTTP/1.1 503");
+    assertThat(fixture.managementCall("PUT /active")).startsWith("HTTP/1.1 200");
+    connectServedClient();
   }
 
   @Test
-  void aSuccessorThatDiesLeavesTheDoorToTheOldOne() throws Exception {
-    Process first = upgraded();
-    site.process.destroyForcibly().waitFor();
-    served();
-    // The next one is numbered anew, and nothing stale misleads it.
-    site.beside();
-    Site.tell(site.watch(), Site.list(2, true, "SERVING", target));
-    site.serving();
-    terminate(first);
-    assertThat(ended(first)).isTrue();
-    served();
+  void thePredecessorAcceptsAgainWhenItsSuccessorIsKilled() throws Exception {
+    Process predecessor = upgrade();
+    fixture.process.destroyForcibly().waitFor();
+    connectServedClient();
+    // The next process takes a new number and is not misled by what the killed one has left.
+    fixture.startSuccessor();
+    ProxyFixture.sendLine(fixture.nextWatch(), ProxyFixture.targetList(2, true, "SERVING", target));
+    fixture.awaitServing();
+    terminate(predecessor);
+    assertThat(endsInTime(predecessor)).isTrue();
+    connectServedClient();
   }
 
   @Test
-  void aSuccessorSaysNothingAndTakesNothingBeforeItKnowsTheList() throws Exception {
-    started.add(site.beside());
-    site.watch();
+  void aSuccessorAcceptsNothingBeforeItHasTheList() throws Exception {
+    started.add(fixture.startSuccessor());
+    fixture.nextWatch();
     for (int i = 0; i < 20; i++) {
-      served();
+      connectServedClient();
     }
     Thread.sleep(500);
-    assertThat(site.call("GET /status")).startsWith("HTTP/1.1 503");
-    assertThat(Files.readString(site.log())).contains("numbered").doesNotContain("ACCEPTING");
+    assertThat(fixture.managementCall("GET /status")).startsWith("HTTP/1.1 503");
+    assertThat(Files.readString(fixture.logFile()))
+        .contains("numbered")
+        .doesNotContain("ACCEPTING");
   }
 
   @Test
-  void severalUpgradesInARowLoseNoConnectionAtTheDoor() throws Exception {
+  void consecutiveUpgradesLoseNoConnection() throws Exception {
     for (int i = 0; i < 3; i++) {
       Thread opener =
           new Thread(
               () -> {
                 try {
                   for (int n = 0; n < 100; n++) {
-                    try (Peer client = site.client("d=4000")) {
+                    try (Peer client = fixture.connectClient("d=4000")) {
                       assertThat(client.line()).matches("UP r-1|BUSY.*");
                     }
                   }
@@ -160,20 +171,20 @@
       List<Throwable> failures = new ArrayList<>();
       opener.setUncaughtExceptionHandler((thread, failure) -> failures.add(failure));
       opener.start();
-      Process first = upgraded();
+      Process predecessor = upgrade();
       opener.join();
-      terminate(first);
+      terminate(predecessor);
       assertThat(failures).isEmpty();
-      assertThat(ended(first)).isTrue();
+      assertThat(endsInTime(predecessor)).isTrue();
     }
-    // The log of the last one goes on: its descriptors are what they were.
-    assertThat(Files.readString(site.log())).contains("handover phase=ACCEPTING");
+    // The last process still writes its log: its descriptors are intact.
+    assertThat(Files.readString(fixture.logFile())).contains("handover phase=ACCEPTING");
   }
 
   @Test
   void aListenerThatCannotBeInheritedEndsTheStart() throws Exception {
     for (String descriptor : List.of("3", "x", "0")) {
-      Site alone = new Site();
+      ProxyFixture alone = new ProxyFixture();
       try {
         ProcessBuilder builder =
             new ProcessBuilder(
@@ -186,7 +197,7 @@
         alone.launch(alone.config.toString(), builder);
         assertThat(alone.process.waitFor(10, TimeUnit.SECONDS)).isTrue();
         assertThat(alone.process.exitValue()).isEqualTo(2);
-        assertThat(Files.readAllLines(alone.log()))
+        assertThat(Files.readAllLines(alone.logFile()))
             .singleElement()
             .asString()
             .contains("LB_LISTEN_FD");
