--- a/src/main/java/brassbank/fleet/BudgetSharing.java
+++ b/src/main/java/brassbank/fleet/BudgetSharing.java
@@ -17,36 +17,42 @@
 import java.util.function.LongSupplier;
 
 /**
- * This program among those that share the fleet's budgets. It takes nothing from membership but
- * addresses. For the loop's thread.
+ * Runs the lease protocol for this process. It uses only the addresses of the membership's view.
+ * All methods must be called on the event loop's thread.
  */
 final class BudgetSharing {
-  private final LeaseParticipant seats;
+  private final LeaseParticipant leases;
   private final LeaseCodec codec;
-  private final LongSupplier taken;
-  private final Consumer<BudgetShare> told;
+  private final LongSupplier clientsAccepted;
+  private final Consumer<BudgetShare> shareListener;
   private final LeaseOutbox outbox;
-  private BudgetShare last;
-  private Consumer<String> leaving;
+  private BudgetShare lastShare;
+  private Consumer<String> permitCallback;
 
   /**
-   * @param base the part of the budgets that goes by the file's numbers
-   * @param process by chance, new with each start
-   * @param send a datagram to an address
+   * Creates the protocol state, without a lease.
+   *
+   * @param baseShare the fraction of the budgets that is divided evenly by the number of ranks
+   * @param process identifies this process start: a random number
+   * @param send sends a datagram to an address
    */
   BudgetSharing(
-      ShareParticipant sharer,
-      double base,
+      ShareParticipant participant,
+      double baseShare,
       String fleet,
       long process,
       long now,
       BiConsumer<InetSocketAddress, byte[]> send) {
-    seats =
+    leases =
         new LeaseParticipant(
-            LeaseSettings.withBaseShare(base), sharer.rank(), sharer.rankCount(), process, now);
+            LeaseSettings.withBaseShare(baseShare),
+            participant.rank(),
+            participant.rankCount(),
+            process,
+            now);
     codec = new LeaseCodec(fleet);
-    taken = sharer.clientsAccepted();
-    told = sharer.shareListener();
+    clientsAccepted = participant.clientsAccepted();
+    shareListener = participant.shareListener();
     outbox = (to, message) -> send.accept(to, codec.encode(message));
   }
 
@@ -60,59 +66,61 @@
     return others;
   }
 
-  void beat(long now, boolean wants, View view) {
-    seats.recordClients(now, taken.getAsLong());
-    seats.tick(now, wants && !view.displaced(), others(view), outbox);
-    tell(now);
-    leave(now, view);
+  void tick(long now, boolean wantsLease, View view) {
+    leases.recordClients(now, clientsAccepted.getAsLong());
+    leases.tick(now, wantsLease && !view.displaced(), others(view), outbox);
+    notifyShareChange(now);
+    pollDrainPermit(now, view);
   }
 
-  void heard(long now, InetSocketAddress from, byte[] bytes, View view)
+  void receive(long now, InetSocketAddress from, byte[] bytes, View view)
       throws InvalidDatagramException {
-    seats.receive(now, from, codec.decode(bytes), outbox);
-    tell(now);
-    leave(now, view);
+    leases.receive(now, from, codec.decode(bytes), outbox);
+    notifyShareChange(now);
+    pollDrainPermit(now, view);
   }
 
   /**
-   * Asks the fleet whether this process may leave.
+   * Requests the permit to drain.
    *
-   * @param then hears null where it may, and else in one line why not, within a second
+   * @param callback receives null if the permit is granted, otherwise the reason in one line,
+   *     within a second
    */
-  void askToLeave(long now, View view, Consumer<String> then) {
-    if (leaving != null) {
-      then.accept("put off: asked already");
+  void requestDrainPermit(long now, View view, Consumer<String> callback) {
+    if (permitCallback != null) {
+      callback.accept("put off: asked already");
       return;
     }
-    leaving = then;
-    answer(seats.requestDrainPermit(now, others(view), outbox), view);
+    permitCallback = callback;
+    completePermitRequest(leases.requestDrainPermit(now, others(view), outbox), view);
   }
 
-  private void leave(long now, View view) {
-    if (leaving != null) {
-      answer(seats.pollDrainPermit(now, others(view), outbox), view);
+  private void pollDrainPermit(long now, View view) {
+    if (permitCallback != null) {
+      completePermitRequest(leases.pollDrainPermit(now, others(view), outbox), view);
     }
   }
 
-  private void answer(DrainPermit known, View view) {
-    if (known.status() != DrainPermit.Status.PENDING) {
-      Consumer<String> then = leaving;
-      leaving = null;
-      then.accept(text(known, view));
+  private void completePermitRequest(DrainPermit permit, View view) {
+    if (permit.status() != DrainPermit.Status.PENDING) {
+      Consumer<String> callback = permitCallback;
+      permitCallback = null;
+      callback.accept(refusal(permit, view));
     }
   }
 
-  private String text(DrainPermit known, View view) {
-    return switch (known.status()) {
-      case OTHER_DRAINS -> "put off: " + name(known.otherRank(), view) + " leaves";
+  /** Returns the reason in one line; null if the permit is granted. */
+  private String refusal(DrainPermit permit, View view) {
+    return switch (permit.status()) {
+      case OTHER_DRAINS -> "put off: " + memberName(permit.otherRank(), view) + " leaves";
       case TOO_FEW_LEASES -> "put off: too few others could carry its clients";
       case NO_MAJORITY -> "put off: no majority of the fleet answers";
       default -> null;
     };
   }
 
-  private String name(int rank, View view) {
-    InetSocketAddress address = seats.addressOfRank(rank);
+  private String memberName(int rank, View view) {
+    InetSocketAddress address = leases.addressOfRank(rank);
     for (Member member : view.members()) {
       if (member.address().equals(address)) {
         return member.name();
@@ -122,28 +130,28 @@
   }
 
   void close(long now, View view) {
-    if (leaving != null) {
-      leaving.accept("put off: it ends");
-      leaving = null;
+    if (permitCallback != null) {
+      permitCallback.accept("put off: it ends");
+      permitCallback = null;
     }
-    seats.close(now, others(view), outbox);
-    tell(now);
+    leases.close(now, others(view), outbox);
+    notifyShareChange(now);
   }
 
-  private void tell(long now) {
-    BudgetShare part = seats.share(now);
-    if (!part.equals(last)) {
-      last = part;
-      told.accept(part);
+  private void notifyShareChange(long now) {
+    BudgetShare share = leases.share(now);
+    if (!share.equals(lastShare)) {
+      lastShare = share;
+      shareListener.accept(share);
     }
   }
 
-  /** What may be spent now. */
-  BudgetShare part(long now) {
-    return seats.share(now);
+  /** Returns the share that may be spent now. */
+  BudgetShare share(long now) {
+    return leases.share(now);
   }
 
-  LeaseParticipant seats() {
-    return seats;
+  LeaseParticipant leases() {
+    return leases;
   }
 }
--- a/src/main/java/brassbank/fleet/DatagramCounters.java
+++ b/src/main/java/brassbank/fleet/DatagramCounters.java
@@ -4,7 +4,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Datagrams of a member since its start. */
+/** Counters of a member's datagrams since its start. */
 public final class DatagramCounters {
   long sent;
   long sentBytes;
@@ -28,7 +28,7 @@
     return receivedBytes;
   }
 
-  /** Those that were dropped unread, by the reason. */
+  /** Returns the number of dropped datagrams by reason. */
   public Map<DropReason, Long> dropped() {
     return java.util.Collections.unmodifiableMap(dropped);
   }
--- a/src/main/java/brassbank/fleet/Fleet.java
+++ b/src/main/java/brassbank/fleet/Fleet.java
@@ -25,170 +25,184 @@
 import java.util.random.RandomGenerator;
 
 /**
- * This program in its fleet. Everything is for the loop's thread. Nobody waits for it: a fleet that
- * cannot be met is a fleet of one.
+ * This process in its fleet. All methods must be called on the event loop's thread. No other
+ * component waits for the fleet: a process that reaches no other member is a fleet of one.
  */
 public final class Fleet {
   private static final long NANOS_PER_MICRO = 1_000;
 
-  /** An address that is in use, by a predecessor that has not gone yet, is asked for again. */
-  private static final long OPEN_AGAIN = 100_000;
+  /**
+   * Interval of attempts to bind an address that is in use, such as by a predecessor that has not
+   * stopped yet.
+   */
+  private static final long OPEN_RETRY_MICROS = 100_000;
 
-  /** Births of one millisecond differ by chance. */
-  private static final int BIRTH_SHIFT = 12;
+  /** Random low-order bits of the start time, which distinguish starts within one millisecond. */
+  private static final int START_TIME_RANDOM_BITS = 12;
 
   private final Net net;
-  private final MembershipConfig joining;
+  private final MembershipConfig config;
   private final String name;
   private final String zone;
-  private final RandomGenerator chance;
+  private final RandomGenerator random;
   private final Supplier<Activity> activity;
   private final Codec codec;
-  private final FleetLog journal = new FleetLog();
-  private final DatagramCounters traffic = new DatagramCounters();
+  private final FleetLog fleetLog = new FleetLog();
+  private final DatagramCounters datagramCounters = new DatagramCounters();
   private final List<Consumer<ViewChange>> listeners = new ArrayList<>();
-  private final Outbox outbox = new Out();
+  private final Outbox outbox = new FleetOutbox();
 
-  /** Null where budgets go by the file's numbers. */
-  private final ShareParticipant sharer;
+  /** Null if the budgets are divided evenly by the configured fleet size. */
+  private final ShareParticipant shareParticipant;
 
-  private BudgetSharing sharing;
+  private BudgetSharing budgetSharing;
   private Network.Datagrams socket;
   private Membership membership;
   private EventLoop.Timer timer;
-  private boolean wanted;
-  private boolean told;
+  private boolean openRequested;
+  private boolean openFailureLogged;
 
   /**
-   * @param joining with both addresses
+   * Creates a fleet that {@link #open} joins.
+   *
+   * @param config with both addresses set
    * @param name unique in the fleet
-   * @param activity what this program does, asked on each beat
-   * @param sharer how it shares the fleet's budgets, or null where the file's numbers hold
+   * @param activity returns what this process does; called on each tick
+   * @param shareParticipant how this process takes part in the division of budgets; null if it does
+   *     not
    */
   public Fleet(
       Net net,
-      MembershipConfig joining,
+      MembershipConfig config,
       String name,
       String zone,
-      RandomGenerator chance,
+      RandomGenerator random,
       Supplier<Activity> activity,
-      ShareParticipant sharer) {
+      ShareParticipant shareParticipant) {
     this.net = net;
-    this.joining = joining;
+    this.config = config;
     this.name = name;
     this.zone = zone;
-    this.chance = chance;
+    this.random = random;
     this.activity = activity;
-    this.sharer = sharer;
-    codec = new Codec(joining.fleet());
+    this.shareParticipant = shareParticipant;
+    codec = new Codec(config.fleet());
   }
 
   private long now() {
     return net.clock().nanos() / NANOS_PER_MICRO;
   }
 
-  /** Joins, as soon as the address is free; the second call does nothing. */
+  /** Joins the fleet as soon as the address is free; a second call has no effect. */
   public void open() {
-    if (!wanted) {
-      wanted = true;
+    if (!openRequested) {
+      openRequested = true;
       tryToOpen();
     }
   }
 
   private void tryToOpen() {
-    if (!wanted) {
+    if (!openRequested) {
       return;
     }
     try {
-      socket = net.datagrams(joining.listen(), this::heard);
+      socket = net.datagrams(config.listen(), this::receive);
     } catch (IOException e) {
-      if (!told) {
-        journal.cannotOpen(joining.listen(), String.valueOf(e.getMessage()));
-        told = true;
+      if (!openFailureLogged) {
+        fleetLog.openFailed(config.listen(), String.valueOf(e.getMessage()));
+        openFailureLogged = true;
       }
-      timer = net.loop().schedule(OPEN_AGAIN, this::tryToOpen);
+      timer = net.loop().schedule(OPEN_RETRY_MICROS, this::tryToOpen);
       return;
     }
-    told = false;
-    long birth = Math.max(0, net.clock().unixMillis()) << BIRTH_SHIFT;
+    openFailureLogged = false;
+    long startTime = Math.max(0, net.clock().unixMillis()) << START_TIME_RANDOM_BITS;
     Update self =
         new Update(
             name,
-            joining.advertised(),
+            config.advertised(),
             zone,
-            new Incarnation(birth + chance.nextInt(1 << BIRTH_SHIFT), 0),
+            new Incarnation(startTime + random.nextInt(1 << START_TIME_RANDOM_BITS), 0),
             State.ALIVE,
             activity.get(),
             0,
             "");
-    membership = new Membership(joining.settings(), self, joining.seeds(), chance, now());
-    journal.opened(joining.advertised(), joining.fleet());
-    if (sharer != null) {
-      sharing =
+    membership = new Membership(config.settings(), self, config.seeds(), random, now());
+    fleetLog.opened(config.advertised(), config.fleet());
+    if (shareParticipant != null) {
+      budgetSharing =
           new BudgetSharing(
-              sharer, joining.baseShare(), joining.fleet(), chance.nextLong(), now(), this::send);
+              shareParticipant,
+              config.baseShare(),
+              config.fleet(),
+              random.nextLong(),
+              now(),
+              this::send);
     }
-    beat();
+    tick();
   }
 
   /**
-   * Gives the address back: with a goodbye where the program ends, without where another follows.
+   * Closes the socket.
+   *
+   * @param announceLeave whether to announce that this member leaves, as when the process stops
+   *     without a successor
    */
-  public void close(boolean goodbye) {
-    wanted = false;
+  public void close(boolean announceLeave) {
+    openRequested = false;
     if (timer != null) {
       timer.cancel();
     }
     if (membership != null) {
-      if (sharing != null) {
-        sharing.close(now(), membership.view());
-        sharing = null;
+      if (budgetSharing != null) {
+        budgetSharing.close(now(), membership.view());
+        budgetSharing = null;
       }
-      if (goodbye) {
+      if (announceLeave) {
         membership.leave(now(), outbox);
       }
-      journal.closed(goodbye);
+      fleetLog.closed(announceLeave);
       socket.close();
       membership = null;
       socket = null;
     }
   }
 
-  private void beat() {
+  private void tick() {
     long now = now();
     membership.setActivity(now, activity.get(), outbox);
     membership.tick(now, outbox);
-    if (sharing != null) {
-      sharing.beat(now, activity.get() == Activity.ACTIVE, membership.view());
+    if (budgetSharing != null) {
+      budgetSharing.tick(now, activity.get() == Activity.ACTIVE, membership.view());
     }
-    timer = net.loop().schedule(membership.nextTickAtMicros() - now(), this::beat);
+    timer = net.loop().schedule(membership.nextTickAtMicros() - now(), this::tick);
   }
 
-  private void heard(InetSocketAddress from, byte[] bytes) {
+  private void receive(InetSocketAddress from, byte[] bytes) {
     if (membership == null) {
       return;
     }
-    traffic.received++;
-    traffic.receivedBytes += bytes.length;
+    datagramCounters.received++;
+    datagramCounters.receivedBytes += bytes.length;
     try {
-      if (sharing != null && LeaseCodec.hasMagic(bytes)) {
-        sharing.heard(now(), from, bytes, membership.view());
+      if (budgetSharing != null && LeaseCodec.hasMagic(bytes)) {
+        budgetSharing.receive(now(), from, bytes, membership.view());
       } else {
         membership.receive(now(), from, codec.decode(bytes), outbox);
       }
     } catch (InvalidDatagramException e) {
-      traffic.dropped.merge(e.reason(), 1L, Long::sum);
-      journal.refused(now(), e.reason(), e.getMessage(), from);
+      datagramCounters.dropped.merge(e.reason(), 1L, Long::sum);
+      fleetLog.datagramDropped(now(), e.reason(), e.getMessage(), from);
     }
   }
 
   private void send(InetSocketAddress to, byte[] bytes) {
-    traffic.sent++;
-    traffic.sentBytes += bytes.length;
+    datagramCounters.sent++;
+    datagramCounters.sentBytes += bytes.length;
     socket.send(to, bytes);
   }
 
-  private final class Out implements Outbox {
+  private final class FleetOutbox implements Outbox {
     @Override
     public void send(InetSocketAddress to, Message message) {
       Fleet.this.send(to, codec.encode(message));
@@ -196,11 +210,11 @@
 
     @Override
     public void viewChanged(ViewChange change) {
-      journal.changed(now(), change);
+      fleetLog.memberChanged(now(), change);
       if (change.before() == null && change.after() == null) {
         View view = membership.view();
         if (view.settled()) {
-          journal.settled(view.version(), view.liveMembers().size());
+          fleetLog.settled(view.version(), view.liveMembers().size());
         }
       }
       for (Consumer<ViewChange> listener : listeners) {
@@ -210,52 +224,53 @@
 
     @Override
     public void nameTaken(InetSocketAddress by, boolean yields) {
-      journal.nameTaken(name, by, yields);
+      fleetLog.nameTaken(name, by, yields);
     }
   }
 
-  /** Whether the fleet is asked before this program leaves by its operators' call. */
+  /** Returns whether a drain on an operator's command needs the fleet's permit. */
   public boolean requiresDrainPermit() {
-    return sharing != null;
+    return budgetSharing != null;
   }
 
   /**
-   * Asks the fleet whether this program may leave by its operators' call.
+   * Requests the permit to drain on an operator's command.
    *
-   * @param then hears null where it may, and else in one line why not, within a second
+   * @param callback receives null if the permit is granted, otherwise the reason in one line,
+   *     within a second
    */
-  public void requestDrainPermit(Consumer<String> then) {
-    sharing.askToLeave(now(), membership.view(), then);
+  public void requestDrainPermit(Consumer<String> callback) {
+    budgetSharing.requestDrainPermit(now(), membership.view(), callback);
   }
 
-  /** Has each change told, in order. */
+  /** Adds a listener that is called for each change of the view, in order. */
   public void addListener(Consumer<ViewChange> listener) {
     listeners.add(listener);
   }
 
-  /** Other addresses to look for others at, from here on. */
+  /** Replaces the addresses of possible members. */
   public void setSeeds(List<InetSocketAddress> seeds) {
     if (membership != null) {
       membership.setSeeds(seeds);
     }
   }
 
-  /** The view and its figures, for operators; in ASCII. */
+  /** Returns the view and the counters as JSON for operators, in ASCII. */
   public String statusJson() {
-    return StatusJson.render(now(), name, membership, sharing, traffic);
+    return StatusJson.render(now(), name, membership, budgetSharing, datagramCounters);
   }
 
-  /** Null while this program is no member. */
+  /** Returns the current view; null while this process is not a member. */
   public View view() {
     return membership == null ? null : membership.view();
   }
 
-  /** Null while this program is no member. */
+  /** Returns the protocol state; null while this process is not a member. */
   public Membership membership() {
     return membership;
   }
 
-  public DatagramCounters traffic() {
-    return traffic;
+  public DatagramCounters datagramCounters() {
+    return datagramCounters;
   }
 }
--- a/src/main/java/brassbank/fleet/FleetLog.java
+++ b/src/main/java/brassbank/fleet/FleetLog.java
@@ -9,59 +9,62 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 
-/** What a member logs: each change, damped in a storm, and what it drops, at a bounded pace. */
+/**
+ * Logs the changes that a member sees and the datagrams that it drops, both with a rate limit.
+ * Changes and datagrams beyond the limit are counted.
+ */
 final class FleetLog {
   private static final Log LOG = Log.of("fleet");
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
 
-  /** Lines for changes in a second; what is more is counted. */
-  private static final int MOST_LINES = 20;
+  /** Log entries for changes per second; further changes are counted and reported in one entry. */
+  private static final int MAX_CHANGES_PER_SECOND = 20;
 
-  private static final long WARN_EVERY = 10 * SECOND;
+  private static final long WARNING_INTERVAL_MICROS = 10 * SECOND_MICROS;
 
-  private long second;
-  private int lines;
-  private long left;
-  private long warnedAt = Long.MIN_VALUE / 2;
-  private long refused;
+  private long currentSecond;
+  private int changesInSecond;
+  private long unloggedChanges;
+  private long warnedAtMicros = Long.MIN_VALUE / 2;
+  private long droppedSinceWarning;
 
-  void changed(long now, ViewChange change) {
+  void memberChanged(long now, ViewChange change) {
     if (change.before() == null && change.after() == null) {
       return;
     }
-    if (now / SECOND != second) {
-      second = now / SECOND;
-      lines = 0;
+    if (now / SECOND_MICROS != currentSecond) {
+      currentSecond = now / SECOND_MICROS;
+      changesInSecond = 0;
     }
-    if (++lines > MOST_LINES) {
-      left++;
+    if (++changesInSecond > MAX_CHANGES_PER_SECOND) {
+      unloggedChanges++;
       return;
     }
-    tellLeft();
-    Member one = change.after() == null ? change.before() : change.after();
+    logUnloggedChanges();
+    Member member = change.after() == null ? change.before() : change.after();
     LOG.info(
         "member-changed",
-        value("member", one.name()),
-        value("from", change.before() == null ? "unknown" : text(change.before().state())),
-        value("to", change.after() == null ? "forgotten" : text(one.state())),
-        value("activity", text(one.activity())),
-        value("incarnation", one.incarnation()),
+        value("member", member.name()),
+        value("from", change.before() == null ? "unknown" : lowerCase(change.before().state())),
+        value("to", change.after() == null ? "forgotten" : lowerCase(member.state())),
+        value("activity", lowerCase(member.activity())),
+        value("incarnation", member.incarnation()),
         value("version", change.version()));
   }
 
-  private void tellLeft() {
-    if (left > 0) {
-      LOG.info("members-changed", value("count", left));
-      left = 0;
+  private void logUnloggedChanges() {
+    if (unloggedChanges > 0) {
+      LOG.info("members-changed", value("count", unloggedChanges));
+      unloggedChanges = 0;
     }
   }
 
-  private static String text(Enum<?> value) {
+  private static String lowerCase(Enum<?> value) {
     return value.name().toLowerCase(Locale.ROOT);
   }
 
   void settled(long version, int live) {
-    tellLeft();
+    logUnloggedChanges();
     LOG.info("fleet-settled", value("live", live), value("version", version));
   }
 
@@ -73,17 +76,17 @@
         value("outcome", yields ? "gives way" : "takes it over"));
   }
 
-  void refused(long now, DropReason why, String what, InetSocketAddress from) {
-    refused++;
-    if (now - warnedAt >= WARN_EVERY) {
-      warnedAt = now;
+  void datagramDropped(long now, DropReason reason, String detail, InetSocketAddress from) {
+    droppedSinceWarning++;
+    if (now - warnedAtMicros >= WARNING_INTERVAL_MICROS) {
+      warnedAtMicros = now;
       LOG.warn(
           "datagram-dropped",
-          value("reason", text(why)),
-          value("what", what),
+          value("reason", lowerCase(reason)),
+          value("what", detail),
           value("from", from),
-          value("count", refused));
-      refused = 0;
+          value("count", droppedSinceWarning));
+      droppedSinceWarning = 0;
     }
   }
 
@@ -91,11 +94,11 @@
     LOG.info("fleet-open", value("fleet", fleet), value("address", address));
   }
 
-  void cannotOpen(InetSocketAddress address, String why) {
-    LOG.warn("fleet-closed", value("address", address), value("reason", why));
+  void openFailed(InetSocketAddress address, String reason) {
+    LOG.warn("fleet-closed", value("address", address), value("reason", reason));
   }
 
-  void closed(boolean goodbye) {
-    LOG.info("fleet-left", value("goodbye", goodbye));
+  void closed(boolean leaveAnnounced) {
+    LOG.info("fleet-left", value("goodbye", leaveAnnounced));
   }
 }
--- a/src/main/java/brassbank/fleet/ShareParticipant.java
+++ b/src/main/java/brassbank/fleet/ShareParticipant.java
@@ -5,12 +5,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Who shares the fleet's budgets.
+ * How this process takes part in the division of the fleet's budgets.
  *
- * @param rank its own, below {@code of}
- * @param of how many ranks there are
- * @param taken how many clients have come so far
- * @param told hears on the loop's thread of each change of what it may spend
+ * @param rank its own rank, below {@code rankCount}
+ * @param rankCount the number of ranks
+ * @param clientsAccepted returns the number of clients accepted so far
+ * @param shareListener called on the event loop's thread with each change of the share
  */
 public record ShareParticipant(
     int rank, int rankCount, LongSupplier clientsAccepted, Consumer<BudgetShare> shareListener) {}
--- a/src/main/java/brassbank/fleet/StatusJson.java
+++ b/src/main/java/brassbank/fleet/StatusJson.java
@@ -11,9 +11,9 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 
-/** A view as operators get it; docs/management.md has the fields. */
+/** Renders the state of the fleet as JSON for operators; docs/management.md has the fields. */
 final class StatusJson {
-  private static final double MICROS = 1e6;
+  private static final double MICROS_PER_SECOND = 1e6;
   private static final double MICROS_PER_MILLI = 1e3;
 
   private StatusJson() {}
@@ -23,7 +23,7 @@
       String name,
       Membership membership,
       BudgetSharing sharing,
-      DatagramCounters traffic) {
+      DatagramCounters datagrams) {
     JsonObject json = new JsonObject();
     json.addProperty("self", name);
     json.addProperty("member", membership != null);
@@ -38,14 +38,16 @@
     view.members().forEach(member -> members.add(member(now, member)));
     json.add("members", members);
     if (sharing != null) {
-      json.add("share", share(now, sharing.part(now), sharing.seats()));
+      json.add("share", share(now, sharing.share(now), sharing.leases()));
     }
     JsonObject figures = new JsonObject();
-    figures.addProperty("sent", traffic.sent());
-    figures.addProperty("sent_bytes", traffic.sentBytes());
-    figures.addProperty("received", traffic.received());
-    figures.addProperty("received_bytes", traffic.receivedBytes());
-    traffic.dropped().forEach((why, count) -> figures.addProperty("dropped_" + lower(why), count));
+    figures.addProperty("sent", datagrams.sent());
+    figures.addProperty("sent_bytes", datagrams.sentBytes());
+    figures.addProperty("received", datagrams.received());
+    figures.addProperty("received_bytes", datagrams.receivedBytes());
+    datagrams
+        .dropped()
+        .forEach((reason, count) -> figures.addProperty("dropped_" + lowerCase(reason), count));
     Counters counters = membership.counters();
     figures.addProperty("round_trip_ms", membership.smoothedRoundTripMicros() / MICROS_PER_MILLI);
     figures.addProperty("health", membership.localHealth());
@@ -65,38 +67,38 @@
     return json.toString();
   }
 
-  private static JsonObject share(long now, BudgetShare part, LeaseParticipant seats) {
+  private static JsonObject share(long now, BudgetShare share, LeaseParticipant leases) {
     JsonObject json = new JsonObject();
-    json.addProperty("part", part.fraction());
-    json.addProperty("base", part.baseFraction());
-    json.addProperty("seated", part.hasLease());
-    json.addProperty("turn", part.index());
-    json.addProperty("of", part.participants());
-    json.addProperty("weight", seats.weight(now));
-    json.addProperty("rank_taken", seats.rankConflicts());
-    json.addProperty("other_size", seats.rankCountMismatches());
+    json.addProperty("part", share.fraction());
+    json.addProperty("base", share.baseFraction());
+    json.addProperty("seated", share.hasLease());
+    json.addProperty("turn", share.index());
+    json.addProperty("of", share.participants());
+    json.addProperty("weight", leases.weight(now));
+    json.addProperty("rank_taken", leases.rankConflicts());
+    json.addProperty("other_size", leases.rankCountMismatches());
     return json;
   }
 
   private static JsonObject member(long now, Member member) {
     JsonObject json = new JsonObject();
     json.addProperty("name", member.name());
-    json.addProperty("address", text(member.address()));
+    json.addProperty("address", formatAddress(member.address()));
     json.addProperty("zone", member.zone());
-    json.addProperty("state", lower(member.state()));
-    json.addProperty("activity", lower(member.activity()));
+    json.addProperty("state", lowerCase(member.state()));
+    json.addProperty("activity", lowerCase(member.activity()));
     json.addProperty("birth", member.incarnation().startTime());
     json.addProperty("raised", member.incarnation().revision());
-    json.addProperty("for_s", Math.max(0, now - member.changedAtMicros()) / MICROS);
+    json.addProperty("for_s", Math.max(0, now - member.changedAtMicros()) / MICROS_PER_SECOND);
     return json;
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String formatAddress(InetSocketAddress address) {
     String host = address.getAddress().getHostAddress();
     return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
   }
 
-  private static String lower(Enum<?> value) {
+  private static String lowerCase(Enum<?> value) {
     return value.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/src/main/java/brassbank/fleet/package-info.java
+++ b/src/main/java/brassbank/fleet/package-info.java
@@ -1,5 +1,6 @@
 /**
- * This program as a member of its fleet: the pure {@link brassbank.membership.Membership} on the
- * one loop, with a socket for datagrams. Nothing here is loaded where no fleet is configured.
+ * This process as a member of its fleet: drives the pure {@link brassbank.membership.Membership}
+ * and the lease protocol on the event loop, over one datagram socket. No class of this package is
+ * loaded if no fleet is configured.
  */
 package brassbank.fleet;
--- a/src/main/java/brassbank/membership/Activity.java
+++ b/src/main/java/brassbank/membership/Activity.java
@@ -1,6 +1,6 @@
 package brassbank.membership;
 
-/** What a member does, as it says itself. */
+/** The lifecycle phase that a member announces of itself. */
 public enum Activity {
   STARTING,
   ACTIVE,
--- a/src/main/java/brassbank/membership/Counters.java
+++ b/src/main/java/brassbank/membership/Counters.java
@@ -1,6 +1,6 @@
 package brassbank.membership;
 
-/** What a member has counted since its start. */
+/** Protocol counters of a member since its start. */
 public final class Counters {
   long probes;
   long failedProbes;
@@ -15,62 +15,62 @@
   long rejectedMembers;
   long unansweredRequests;
 
-  /** Pings sent to find out whether another is there. */
+  /** Returns the number of probes sent. */
   public long probes() {
     return probes;
   }
 
-  /** Of them those without an answer, neither direct nor by others. */
+  /** Returns the number of probes without an ack, neither direct nor indirect. */
   public long failedProbes() {
     return failedProbes;
   }
 
-  /** Answers that came when they were no longer waited for. */
+  /** Returns the number of acks that arrived after their probe had ended. */
   public long lateAcks() {
     return lateAcks;
   }
 
-  /** Suspicions that began here, by own evidence or by others'. */
+  /** Returns the number of suspicions started, by failed probes or by gossip. */
   public long suspicions() {
     return suspicions;
   }
 
-  /** Times that this member had to contradict what was said of it. */
+  /** Returns how often this member refuted an update about itself. */
   public long refutations() {
     return refutations;
   }
 
-  /** Suspicions that ended with a death here. */
+  /** Returns the number of suspected members that were declared dead. */
   public long declaredDead() {
     return declaredDead;
   }
 
-  /** Whole views asked for. */
+  /** Returns the number of requests for a whole view. */
   public long viewRequests() {
     return viewRequests;
   }
 
-  /** Whole views sent. */
+  /** Returns the number of whole views sent. */
   public long viewsSent() {
     return viewsSent;
   }
 
-  /** Datagrams of a member whose newer incarnation is known. */
+  /** Returns the number of datagrams from a member of which a newer incarnation is known. */
   public long staleDatagrams() {
     return staleDatagrams;
   }
 
-  /** Datagrams that came from this member itself. */
+  /** Returns the number of datagrams that this member received from itself. */
   public long ownDatagrams() {
     return ownDatagrams;
   }
 
-  /** Members that there was no room for. */
+  /** Returns the number of members rejected because the table was full. */
   public long rejectedMembers() {
     return rejectedMembers;
   }
 
-  /** Questions left without an answer, since too many came at once. */
+  /** Returns the number of requests left unanswered by the rate limits. */
   public long unansweredRequests() {
     return unansweredRequests;
   }
--- a/src/main/java/brassbank/membership/Incarnation.java
+++ b/src/main/java/brassbank/membership/Incarnation.java
@@ -1,26 +1,27 @@
 package brassbank.membership;
 
 /**
- * How new what is told of a member is: the life of its process, and how often it has raised its
- * voice in it. Only the member itself makes new ones.
+ * Orders the updates about a member. Only the member itself creates new incarnations.
  *
- * @param birth tells one process of a name from the next; a later one has the greater, whatever the
- *     machine's clock says (see {@link Membership})
- * @param raised once for each refutation and each change of what the member does
+ * @param startTime distinguishes successive processes of the same name. A later process has the
+ *     greater value, even if the machine's clock was set back (see {@link Membership})
+ * @param revision increases with each refutation and each change of the member's activity
  */
 public record Incarnation(long startTime, int revision) implements Comparable<Incarnation> {
-  /** Neither part may come near its end, so that a member can always go beyond what it hears. */
+  /** Upper bound, far below overflow, so that a member can always exceed a value it receives. */
   public static final long MAX_START_TIME = 1L << 60;
 
+  /** Upper bound, for the same reason as {@link #MAX_START_TIME}. */
   public static final int MAX_REVISION = 1 << 30;
 
   public Incarnation {
     if (startTime < 0 || startTime > MAX_START_TIME || revision < 0 || revision > MAX_REVISION) {
-      throw new IllegalArgumentException("no incarnation: " + startTime + "." + revision);
+      throw new IllegalArgumentException(
+          "incarnation out of bounds: " + startTime + "." + revision);
     }
   }
 
-  /** The next one of the same life. */
+  /** Returns the next incarnation of the same process. */
   Incarnation next() {
     return new Incarnation(startTime, revision + 1);
   }
--- a/src/main/java/brassbank/membership/Member.java
+++ b/src/main/java/brassbank/membership/Member.java
@@ -3,11 +3,11 @@
 import java.net.InetSocketAddress;
 
 /**
- * A member as one view has it.
+ * A member in one {@link View}.
  *
- * @param address where it takes datagrams
- * @param since when its state or what it does last changed here, in microseconds of the caller's
- *     clock
+ * @param address the address on which the member receives datagrams
+ * @param changedAtMicros when the state or the activity last changed in this process, in
+ *     microseconds of the caller's clock
  */
 public record Member(
     String name,
--- a/src/main/java/brassbank/membership/Membership.java
+++ b/src/main/java/brassbank/membership/Membership.java
@@ -10,244 +10,272 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member: what it knows of the others, whom it asks, and what it believes. It is told the time
- * with each call, in microseconds of any clock that does not go back, by one thread.
+ * The SWIM protocol state machine of one member: its table of members, the probes it has sent, and
+ * the updates it disseminates. The caller passes the current time with each call, in microseconds
+ * of a clock that does not go back. Not thread-safe: all calls must come from one thread.
  *
- * <p>Time limits run on <em>lived</em> time, which leaves out what the process has slept through: a
- * member that was stopped has heard nobody, and must not take that for the others' silence.
+ * <p>Timeouts are measured in <em>active</em> time, which excludes the time that the process was
+ * suspended. A process that was suspended has received nothing, and must not mistake that for the
+ * silence of the other members.
  */
 public final class Membership {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
 
-  /** A longer time without a beat was not lived. */
-  private static final long LONGEST_STEP = 5 * Settings.TICK_MICROS / 2;
+  /** A longer interval between two calls means that the process was suspended. */
+  private static final long MAX_STEP_MICROS = 5 * Settings.TICK_MICROS / 2;
 
-  /** Others that are asked to ping for one, and that hear of news in one beat (both papers: 3). */
+  /** Relays per indirect probe, and receivers of gossip per tick; both papers use 3. */
   private static final int FANOUT = 3;
 
-  /** While there is more news than goes into one datagram, so many more hear of it. */
-  private static final int MORE_LISTENERS = 5;
+  /** Additional receivers per tick while the queued updates exceed one datagram. */
+  private static final int MAX_EXTRA_FANOUT = 5;
 
-  private static final int NEWS_IN_ONE = 20;
+  private static final int UPDATES_PER_DATAGRAM = 20;
 
-  /** One of the dead is asked each so many beats whether it is back behind a cut. */
-  private static final int REACH_BEATS = 10;
+  /** Interval of pings to dead members, which detect that a network partition has healed. */
+  private static final int RECONNECT_INTERVAL_TICKS = 10;
 
-  /** Whoever is dead for less, in seconds, is asked by a newcomer that hears of it. */
-  private static final int NEWLY_DEAD = 120;
+  /** A joining member pings a member that was declared dead less than this ago. */
+  private static final int RECENTLY_DEAD_SECONDS = 120;
 
-  /** Whoever is said to be not there is told so, so many in a beat at most. */
-  private static final int TOLD_AT_ONCE = 10;
+  /** Limit on the pings that report a suspicion or a death to the member concerned. */
+  private static final int MAX_NOTIFICATIONS_PER_TICK = 10;
 
-  /** Late answers still tell how long the way is. */
-  private static final long LATE_FOR = 4 * SECOND;
+  /** Acks that arrive after the probe has failed still count as round-trip samples this long. */
+  private static final long LATE_ACK_WINDOW_MICROS = 4 * SECOND_MICROS;
 
-  /** Answers to others, and bytes of whole views, in a second. */
-  private static final int MOST_ANSWERS = 1_000;
+  private static final int MAX_ANSWERS_PER_SECOND = 1_000;
 
-  private static final int MOST_VIEW_BYTES = 128 * 1024;
+  private static final int MAX_VIEW_BYTES_PER_SECOND = 128 * 1024;
 
-  /** Looks for others, by addresses of the file: at first within, and later within. */
-  private static final long FIRST_LOOK = SECOND / 4;
+  /** Upper bound of the first delay between attempts to contact the seeds. */
+  private static final long INITIAL_JOIN_BACKOFF_MICROS = SECOND_MICROS / 4;
 
-  private static final long LAST_LOOK = 10 * SECOND;
+  /** Upper bound of the delay after repeated doubling. */
+  private static final long MAX_JOIN_BACKOFF_MICROS = 10 * SECOND_MICROS;
 
-  /** Looks at each address before a lone member's view may count as settled. */
-  private static final int LOOKS = 3;
+  /** Attempts to contact the seeds before the view of a lone member may count as settled. */
+  private static final int MIN_JOIN_ATTEMPTS = 3;
 
-  /** Names may be fought for so often in such a time; then this process gives way. */
-  private static final int MOST_TAKEN = 2;
+  /**
+   * Conflicts over the name within {@link #NAME_CONFLICT_WINDOW_MICROS} after which this process
+   * yields it.
+   */
+  private static final int MAX_NAME_CONFLICTS = 2;
 
-  private static final long TAKEN_WITHIN = 30 * SECOND;
-  private static final long GIVEN_WAY = 60 * SECOND;
+  private static final long NAME_CONFLICT_WINDOW_MICROS = 30 * SECOND_MICROS;
 
-  private static final int MOST_LAST_KNOWN = 32;
+  /**
+   * Minimum delay before a displaced process asks for its name again; jitter doubles it at most.
+   */
+  private static final long NAME_RETRY_MICROS = 60 * SECOND_MICROS;
 
-  /** A goodbye goes to so many, since no more can be done for it. */
-  private static final int GOODBYES = 8;
+  private static final int MAX_LAST_KNOWN_ADDRESSES = 32;
+
+  /**
+   * Receivers of the leave message. It is sent once, by a process that stops, so that it goes to
+   * more members than gossip does.
+   */
+  private static final int LEAVE_FANOUT = 8;
 
   private final Settings settings;
-  private final Comparator<Incarnation> order;
-  private final RandomGenerator chance;
-  private final Entry self;
-  private final Roster roster;
-  private final News news = new News();
-  private final RoundTrip roundTrip = new RoundTrip();
+  private final Comparator<Incarnation> incarnationOrder;
+  private final RandomGenerator random;
+  private final MemberEntry self;
+  private final MemberTable table;
+  private final UpdateQueue updateQueue = new UpdateQueue();
+  private final RoundTripEstimator roundTripEstimator = new RoundTripEstimator();
   private final Counters counters = new Counters();
-  private final Allowance answers;
-  private final Allowance viewBytes;
-  private final Allowance pulls;
+  private final TokenBucket answerLimit;
+  private final TokenBucket viewByteLimit;
+  private final TokenBucket pullLimit;
 
   private final Map<Integer, Probe> probes = new LinkedHashMap<>();
-  private final Map<Integer, Relayed> relayed = new LinkedHashMap<>();
-  private final List<Entry> toBeTold = new ArrayList<>();
+  private final Map<Integer, RelayedPing> relayedPings = new LinkedHashMap<>();
+  private final List<MemberEntry> pendingNotifications = new ArrayList<>();
 
-  /** Whom to probe, in this order; SWIM's round robin, shuffled anew each time. */
-  private final List<String> round = new ArrayList<>();
+  /** Members to probe next, last first: SWIM's round robin, shuffled anew for each pass. */
+  private final List<String> probeOrder = new ArrayList<>();
 
   private List<InetSocketAddress> seeds;
-  private int looks;
-  private long nextLook;
+  private int joinAttempts;
+  private long nextJoinAttemptAt;
 
+  /** The latest time that the caller has passed. */
   private long now;
-  private long lived;
-  private long nextBeat;
-  private long beats;
-  private long nextProbe;
+
+  /** Active time: the time passed, less the time that the process was suspended. */
+  private long activeMicros;
+
+  private long nextTick;
+  private long tickCount;
+  private long nextProbeAt;
   private int sequence;
-  private int health;
+  private int localHealth;
   private long version = 1;
-  private long changedAt;
+  private long changedAtActive;
   private boolean settled;
   private View view;
   private boolean left;
 
+  /** Whether another process owns this member's name. */
   private boolean displaced;
+
+  /** Addresses of members that were live when this process yielded its name. */
   private final List<InetSocketAddress> lastKnown = new ArrayList<>();
-  private int taken;
-  private long takenAt;
-  private long askAgainAt;
+
+  private int nameConflicts;
+  private long nameConflictAt;
+  private long nameRetryAt;
 
   /**
-   * @param self this member: alive, with the birth that its machine's clock gives
-   * @param seeds addresses where others may be; its own among them does no harm
-   * @param now the time, as with all calls
+   * Creates the member and queues its own entry for dissemination.
+   *
+   * @param self this member: alive, with the start time read from the machine's clock
+   * @param seeds addresses of possible members; the member's own address is ignored
+   * @param random decides probe order, receivers of gossip and jitter
+   * @param now the current time, in microseconds
    */
   public Membership(
       Settings settings,
       Update self,
       List<InetSocketAddress> seeds,
-      RandomGenerator chance,
+      RandomGenerator random,
       long now) {
-    this(settings, self, seeds, chance, now, Incarnation::compareTo);
+    this(settings, self, seeds, random, now, Incarnation::compareTo);
   }
 
-  /** As above, with another order of incarnations, as a test plants it. */
+  /** Creates a member with another order of incarnations, as a test plants it. */
   Membership(
       Settings settings,
       Update self,
       List<InetSocketAddress> seeds,
-      RandomGenerator chance,
+      RandomGenerator random,
       long now,
-      Comparator<Incarnation> order) {
-    this.order = order;
+      Comparator<Incarnation> incarnationOrder) {
+    this.incarnationOrder = incarnationOrder;
     this.settings = settings;
-    this.chance = chance;
-    this.self = new Entry(self, now);
+    this.random = random;
+    this.self = new MemberEntry(self, now);
     this.seeds = List.copyOf(seeds);
     this.now = now;
-    roster = new Roster(this.self);
-    answers = new Allowance(MOST_ANSWERS, now);
-    viewBytes = new Allowance(MOST_VIEW_BYTES, now);
-    pulls = new Allowance(2, now);
-    sequence = chance.nextInt(1, 1 << 20);
-    nextBeat = now;
-    changedAt = 0;
-    news.of(this.self);
+    table = new MemberTable(this.self);
+    answerLimit = new TokenBucket(MAX_ANSWERS_PER_SECOND, now);
+    viewByteLimit = new TokenBucket(MAX_VIEW_BYTES_PER_SECOND, now);
+    pullLimit = new TokenBucket(2, now);
+    sequence = random.nextInt(1, 1 << 20);
+    nextTick = now;
+    changedAtActive = 0;
+    updateQueue.enqueue(this.self);
   }
 
-  // ------------------------------------------------------------------ time
-
-  /** When {@link #tick} is next wanted, of the caller's clock. */
+  /** Returns the time at which {@link #tick} should be called next, in microseconds. */
   public long nextTickAtMicros() {
-    return nextBeat;
+    return nextTick;
   }
 
-  private void passed(long time) {
+  private void advanceTime(long time) {
     long step = Math.max(0, time - now);
-    lived += Math.min(step, LONGEST_STEP);
-    if (step > LONGEST_STEP) {
-      // It has slept: what it thinks of others is to be doubted before them (Lifeguard).
-      ill(1);
+    activeMicros += Math.min(step, MAX_STEP_MICROS);
+    if (step > MAX_STEP_MICROS) {
+      // The process was suspended. Lifeguard: doubt the own health before that of the others.
+      adjustLocalHealth(1);
     }
     now = Math.max(now, time);
   }
 
   /**
-   * Does what time brings; to be called at {@link #nextTickAtMicros}, and late where that cannot
-   * be.
+   * Runs all periodic work: probes, time-outs, gossip and the search for seeds. The caller calls it
+   * at {@link #nextTickAtMicros}, or as soon afterwards as it can; an earlier call does nothing.
    */
   public void tick(long time, Outbox out) {
-    passed(time);
-    if (left || now < nextBeat) {
+    advanceTime(time);
+    if (left || now < nextTick) {
       return;
     }
-    nextBeat = now + Settings.TICK_MICROS;
-    beats++;
+    nextTick = now + Settings.TICK_MICROS;
+    tickCount++;
     if (displaced) {
-      askWhetherNameIsFree(out);
+      retryName(out);
     } else {
-      endSuspicions(out);
+      expireSuspicions(out);
       endProbes(out);
-      endRelayed(out);
-      if (lived >= nextProbe) {
-        nextProbe =
-            lived
-                + settings.probeIntervalTicks() * Settings.TICK_MICROS * (1 + Math.min(health, 1))
+      expireRelayedPings(out);
+      if (activeMicros >= nextProbeAt) {
+        nextProbeAt =
+            activeMicros
+                + settings.probeIntervalTicks()
+                    * Settings.TICK_MICROS
+                    * (1 + Math.min(localHealth, 1))
                 - Settings.TICK_MICROS / 2;
         probe(out);
       }
-      if (beats % REACH_BEATS == 0) {
-        reach(out);
-        forget(out);
+      if (tickCount % RECONNECT_INTERVAL_TICKS == 0) {
+        pingDeadMember(out);
+        expireTombstones(out);
       }
-      lookForOthers(out);
-      tellOfThem(out);
-      tellNews(out);
+      contactSeeds(out);
+      notifyAccused(out);
+      gossip(out);
     }
-    settle(out);
+    updateSettled(out);
   }
 
-  private void settle(Outbox out) {
-    boolean calm =
+  private void updateSettled(Outbox out) {
+    boolean stable =
         !displaced
-            && !roster.suspects()
-            && lived - changedAt >= settings.settleMicros()
-            && (!roster.live().isEmpty() || looks >= LOOKS || seeds.isEmpty());
-    if (calm != settled) {
-      settled = calm;
+            && !table.hasSuspects()
+            && activeMicros - changedAtActive >= settings.settleMicros()
+            && (!table.live().isEmpty() || joinAttempts >= MIN_JOIN_ATTEMPTS || seeds.isEmpty());
+    if (stable != settled) {
+      settled = stable;
       version++;
       view = null;
       out.viewChanged(new ViewChange(version, null, null));
     }
   }
 
-  // ---------------------------------------------------------------- probing
-
   private void probe(Outbox out) {
-    Entry target = nextTarget();
+    MemberEntry target = nextTarget();
     if (target == null) {
       return;
     }
     counters.probes++;
-    long direct = Math.max(settings.minProbeTimeoutMicros(), roundTrip.most()) * (1 + health);
-    direct = Math.min(direct, SECOND);
+    long timeout =
+        Math.max(settings.minProbeTimeoutMicros(), roundTripEstimator.timeoutMicros())
+            * (1 + localHealth);
+    timeout = Math.min(timeout, SECOND_MICROS);
     Probe probe =
         new Probe(
-            next(), target.name, target.incarnation, lived, lived + direct, lived + 3 * direct);
+            nextSequence(),
+            target.name,
+            target.incarnation,
+            activeMicros,
+            activeMicros + timeout,
+            activeMicros + 3 * timeout);
     probes.put(probe.sequence, probe);
     out.send(target.address, message(Kind.PING, probe.sequence, target.name, target));
   }
 
-  private Entry nextTarget() {
+  private MemberEntry nextTarget() {
     for (int i = 0; i < 2; i++) {
-      while (!round.isEmpty()) {
-        Entry entry = roster.get(round.remove(round.size() - 1));
+      while (!probeOrder.isEmpty()) {
+        MemberEntry entry = table.get(probeOrder.remove(probeOrder.size() - 1));
         if (entry != null && entry.state.isLive()) {
           return entry;
         }
       }
-      for (Entry entry : roster.live()) {
-        round.add(entry.name);
-        int other = chance.nextInt(round.size());
-        round.set(round.size() - 1, round.get(other));
-        round.set(other, entry.name);
+      for (MemberEntry entry : table.live()) {
+        probeOrder.add(entry.name);
+        int other = random.nextInt(probeOrder.size());
+        probeOrder.set(probeOrder.size() - 1, probeOrder.get(other));
+        probeOrder.set(other, entry.name);
       }
     }
     return null;
   }
 
-  private int next() {
+  private int nextSequence() {
     sequence = sequence == Integer.MAX_VALUE ? 1 : sequence + 1;
     return sequence;
   }
@@ -258,162 +286,176 @@
         .values()
         .removeIf(
             probe -> {
-              if (!probe.over && !probe.asked && lived >= probe.askAt) {
-                askOthers(probe, out);
+              if (!probe.ended && !probe.indirectSent && activeMicros >= probe.indirectAtMicros) {
+                sendIndirectProbes(probe, out);
               }
-              if (!probe.over && lived >= probe.endAt) {
-                probe.over = true;
+              if (!probe.ended && activeMicros >= probe.deadlineMicros) {
+                probe.ended = true;
                 failed.add(probe);
               }
-              return lived - probe.sentAt > LATE_FOR;
+              return activeMicros - probe.sentAtMicros > LATE_ACK_WINDOW_MICROS;
             });
     for (Probe probe : failed) {
       counters.failedProbes++;
-      // Those who were asked say nothing either: then it may be this member that hears nothing.
-      ill(probe.silent > 0 || !probe.asked ? 1 : 0);
-      Entry target = roster.get(probe.target);
+      // A missing nack of a relay suggests that this member receives nothing (Lifeguard).
+      adjustLocalHealth(probe.missingNacks > 0 || !probe.indirectSent ? 1 : 0);
+      MemberEntry target = table.get(probe.target);
       if (target != null && target.incarnation.compareTo(probe.incarnation) <= 0) {
-        doubt(target, self.name, true, out);
+        handleSuspicion(target, self.name, true, out);
       }
     }
   }
 
-  private void askOthers(Probe probe, Outbox out) {
-    probe.asked = true;
-    Entry target = roster.get(probe.target);
+  private void sendIndirectProbes(Probe probe, Outbox out) {
+    probe.indirectSent = true;
+    MemberEntry target = table.get(probe.target);
     if (target == null) {
       return;
     }
-    List<Entry> asked = roster.some(FANOUT, target, chance);
-    probe.silent = asked.size();
-    for (Entry one : asked) {
-      out.send(one.address, message(Kind.PING_REQ, probe.sequence, probe.target, target));
+    List<MemberEntry> relays = table.randomLive(FANOUT, target, random);
+    probe.missingNacks = relays.size();
+    for (MemberEntry relay : relays) {
+      out.send(relay.address, message(Kind.PING_REQ, probe.sequence, probe.target, target));
     }
   }
 
-  private void endRelayed(Outbox out) {
-    relayed
+  private void expireRelayedPings(Outbox out) {
+    relayedPings
         .entrySet()
         .removeIf(
             entry -> {
-              Relayed one = entry.getValue();
-              if (lived < one.nackAt()) {
+              RelayedPing ping = entry.getValue();
+              if (activeMicros < ping.nackAtMicros()) {
                 return false;
               }
-              out.send(one.asker(), message(Kind.NACK, one.askersSequence(), "", null));
+              out.send(ping.requester(), message(Kind.NACK, ping.requesterSequence(), "", null));
               return true;
             });
   }
 
-  private void ill(int by) {
-    health = Math.max(0, Math.min(settings.maxLocalHealth(), health + by));
+  private void adjustLocalHealth(int delta) {
+    localHealth = Math.max(0, Math.min(settings.maxLocalHealth(), localHealth + delta));
   }
 
-  // -------------------------------------------------- those who are not there
-
-  /** A cut that has healed is noticed by asking those behind it. */
-  private void reach(Outbox out) {
-    List<Entry> dead = new ArrayList<>();
-    for (Entry entry : roster.gone()) {
+  /**
+   * Pings a random dead member. When a network partition has healed, the members on its other side
+   * answer, and both sides merge again.
+   */
+  private void pingDeadMember(Outbox out) {
+    List<MemberEntry> dead = new ArrayList<>();
+    for (MemberEntry entry : table.tombstones()) {
       if (entry.state == State.DEAD) {
         dead.add(entry);
       }
     }
     if (!dead.isEmpty()) {
-      Entry one = dead.get(chance.nextInt(dead.size()));
-      out.send(one.address, message(Kind.PING, next(), one.name, one));
+      MemberEntry target = dead.get(random.nextInt(dead.size()));
+      out.send(target.address, message(Kind.PING, nextSequence(), target.name, target));
     }
   }
 
-  private void forget(Outbox out) {
-    for (Entry entry : roster.forget(now, settings.tombstoneRetentionMicros())) {
-      news.forget(entry);
-      changed(entry.member(), null, out);
+  private void expireTombstones(Outbox out) {
+    for (MemberEntry entry : table.expireTombstones(now, settings.tombstoneRetentionMicros())) {
+      updateQueue.remove(entry);
+      recordChange(entry.toMember(), null, out);
     }
   }
 
-  /** Full jitter: any time up to the limit, which doubles with each look. */
-  private void lookForOthers(Outbox out) {
-    if (seeds.isEmpty() || lived < nextLook) {
+  /**
+   * Requests the view of seeds that are not among the live members. The delay between two attempts
+   * has full jitter: it is uniform up to a limit that doubles with each attempt.
+   */
+  private void contactSeeds(Outbox out) {
+    if (seeds.isEmpty() || activeMicros < nextJoinAttemptAt) {
       return;
     }
     List<InetSocketAddress> missing = new ArrayList<>(seeds);
     missing.remove(self.address);
-    roster.live().forEach(entry -> missing.remove(entry.address));
-    long limit = Math.min(LAST_LOOK, FIRST_LOOK << Math.min(looks, 8));
-    nextLook = lived + 1 + chance.nextLong(limit);
-    looks++;
-    if (roster.live().isEmpty()) {
-      missing.forEach(address -> out.send(address, message(Kind.PULL, next(), "", null)));
+    table.live().forEach(entry -> missing.remove(entry.address));
+    long limit =
+        Math.min(MAX_JOIN_BACKOFF_MICROS, INITIAL_JOIN_BACKOFF_MICROS << Math.min(joinAttempts, 8));
+    nextJoinAttemptAt = activeMicros + 1 + random.nextLong(limit);
+    joinAttempts++;
+    if (table.live().isEmpty()) {
+      missing.forEach(address -> out.send(address, message(Kind.PULL, nextSequence(), "", null)));
     } else if (!missing.isEmpty()) {
-      InetSocketAddress address = missing.get(chance.nextInt(missing.size()));
-      out.send(address, message(Kind.PULL, next(), "", null));
+      InetSocketAddress address = missing.get(random.nextInt(missing.size()));
+      out.send(address, message(Kind.PULL, nextSequence(), "", null));
     }
   }
 
-  // ------------------------------------------------------------------- news
-
-  private void tellNews(Outbox out) {
-    if (news.isEmpty()) {
+  private void gossip(Outbox out) {
+    if (updateQueue.isEmpty()) {
       return;
     }
-    int listeners = FANOUT + Math.min(MORE_LISTENERS, news.size() / NEWS_IN_ONE);
-    for (Entry one : roster.some(listeners, null, chance)) {
-      if (!news.isEmpty()) {
-        out.send(one.address, message(Kind.GOSSIP, 0, "", one));
+    int receivers = FANOUT + Math.min(MAX_EXTRA_FANOUT, updateQueue.size() / UPDATES_PER_DATAGRAM);
+    for (MemberEntry receiver : table.randomLive(receivers, null, random)) {
+      if (!updateQueue.isEmpty()) {
+        out.send(receiver.address, message(Kind.GOSSIP, 0, "", receiver));
       }
     }
   }
 
-  private void tellOfThem(Outbox out) {
-    for (int i = 0; i < TOLD_AT_ONCE && !toBeTold.isEmpty(); i++) {
-      Entry one = toBeTold.remove(chance.nextInt(toBeTold.size()));
-      one.toBeTold = false;
-      if (one.hearsay != null) {
-        // Its time to contradict begins when it is told, however many are to be told first.
-        if (one.state == State.ALIVE && one.incarnation.equals(one.hearsayOf)) {
-          suspect(one, one.hearsay, out);
+  /**
+   * Pings members that are suspected or declared dead, with that update, so that they refute it.
+   */
+  private void notifyAccused(Outbox out) {
+    for (int i = 0; i < MAX_NOTIFICATIONS_PER_TICK && !pendingNotifications.isEmpty(); i++) {
+      MemberEntry accused =
+          pendingNotifications.remove(random.nextInt(pendingNotifications.size()));
+      accused.notificationQueued = false;
+      if (accused.deferredAccuser != null) {
+        // The suspicion time-out starts with the notification, however long the queue was.
+        if (accused.state == State.ALIVE
+            && accused.incarnation.equals(accused.deferredIncarnation)) {
+          suspect(accused, accused.deferredAccuser, out);
         }
-        one.hearsay = null;
+        accused.deferredAccuser = null;
       }
-      if (one.state != State.LEFT && !one.by.isEmpty()) {
-        out.send(one.address, message(Kind.PING, next(), one.name, one));
+      if (accused.state != State.LEFT && !accused.reportedBy.isEmpty()) {
+        out.send(accused.address, message(Kind.PING, nextSequence(), accused.name, accused));
       }
     }
   }
 
-  private void tell(Entry entry) {
-    if (!entry.toBeTold) {
-      entry.toBeTold = true;
-      toBeTold.add(entry);
+  private void queueNotification(MemberEntry entry) {
+    if (!entry.notificationQueued) {
+      entry.notificationQueued = true;
+      pendingNotifications.add(entry);
     }
   }
 
-  /** A message with what the receiver must know, and then as much news as it has room for. */
-  private Message message(Kind kind, int number, String target, Entry receiver) {
+  /**
+   * Builds a message. If the receiver is not believed to be alive, its own entry goes first; queued
+   * updates fill the rest of the datagram.
+   */
+  private Message message(Kind kind, int number, String target, MemberEntry receiver) {
     List<Update> updates = new ArrayList<>();
-    Update sender = self.update(now);
-    int room = Message.MAX_BYTES - Message.FIXED_BYTES - sender.sizeBytes() - 1 - target.length();
+    Update sender = self.toUpdate(now);
+    int freeBytes =
+        Message.MAX_BYTES - Message.FIXED_BYTES - sender.sizeBytes() - 1 - target.length();
     if (receiver != null && receiver.state != State.ALIVE) {
-      // Lifeguard's buddy system: the suspect hears of it first.
-      Update buddy = receiver.update(now);
+      // Lifeguard's buddy system: the suspect is the first to receive the suspicion.
+      Update buddy = receiver.toUpdate(now);
       updates.add(buddy);
-      room -= buddy.sizeBytes();
+      freeBytes -= buddy.sizeBytes();
     }
-    news.take(room, tellings(), now, updates);
-    return new Message(kind, number, sender, roster.digest(), target, updates);
+    updateQueue.drainInto(freeBytes, retransmitLimit(), now, updates);
+    return new Message(kind, number, sender, table.digest(), target, updates);
   }
 
-  private int tellings() {
-    return settings.retransmitMultiplier()
-        * (int) Math.ceil(Math.log10(roster.live().size() + 2.0));
+  /** Returns how often each update is sent: proportional to the logarithm of the fleet's size. */
+  private int retransmitLimit() {
+    return settings.retransmitMultiplier() * (int) Math.ceil(Math.log10(table.live().size() + 2.0));
   }
 
-  // -------------------------------------------------------------- receiving
-
-  /** Takes a datagram's content; {@code from} is where an answer goes. */
+  /**
+   * Handles a received message.
+   *
+   * @param from the address of the sender, to which answers go
+   */
   public void receive(long time, InetSocketAddress from, Message message, Outbox out) {
-    passed(time);
+    advanceTime(time);
     if (left) {
       return;
     }
@@ -424,21 +466,21 @@
       return;
     }
     if (sender.name().equals(self.name)) {
-      aboutSelf(sender, out);
+      mergeSelf(sender, out);
       return;
     }
     message.updates().forEach(update -> merge(update, message.kind(), sender.name(), out));
     if (displaced) {
       return;
     }
-    Entry entry = roster.get(sender.name());
-    if (entry != null && order.compare(sender.incarnation(), entry.incarnation) < 0) {
+    MemberEntry entry = table.get(sender.name());
+    if (entry != null && incarnationOrder.compare(sender.incarnation(), entry.incarnation) < 0) {
       counters.staleDatagrams++;
-      answerOld(from, entry, out);
+      answerStale(from, entry, out);
       return;
     }
     merge(sender, message.kind(), sender.name(), out);
-    entry = roster.get(sender.name());
+    entry = table.get(sender.name());
     if (entry == null) {
       return;
     }
@@ -448,55 +490,59 @@
           answer(from, Kind.ACK, message.sequence(), entry, out);
         }
       }
-      case ACK -> acked(message, out);
-      case PING_REQ -> relay(from, message, out);
+      case ACK -> handleAck(message, out);
+      case PING_REQ -> relayPing(from, message, out);
       case NACK -> {
         Probe probe = probes.get(message.sequence());
-        if (probe != null && probe.silent > 0) {
-          probe.silent--;
+        if (probe != null && probe.missingNacks > 0) {
+          probe.missingNacks--;
         }
       }
       case PULL -> sendView(from, message, entry, out);
       default -> {
         if (entry.state != State.ALIVE) {
-          tell(entry);
+          queueNotification(entry);
         }
       }
     }
-    compare(message, entry, out);
+    compareDigests(message, entry, out);
   }
 
-  private void answer(InetSocketAddress to, Kind kind, int number, Entry receiver, Outbox out) {
-    if (answers.spend(1, now)) {
+  private void answer(
+      InetSocketAddress to, Kind kind, int number, MemberEntry receiver, Outbox out) {
+    if (answerLimit.tryConsume(1, now)) {
       out.send(to, message(kind, number, "", receiver));
     } else {
       counters.unansweredRequests++;
     }
   }
 
-  /** A process that was put back in time, or that has lost its name, must hear of it. */
-  private void answerOld(InetSocketAddress from, Entry entry, Outbox out) {
-    if (answers.spend(1, now)) {
+  /**
+   * Sends the known newer incarnation to a member that uses an older one: its clock was set back,
+   * or another process has taken its name.
+   */
+  private void answerStale(InetSocketAddress from, MemberEntry entry, Outbox out) {
+    if (answerLimit.tryConsume(1, now)) {
       Message message =
           new Message(
-              Kind.GOSSIP, 0, self.update(now), roster.digest(), "", List.of(entry.update(now)));
+              Kind.GOSSIP, 0, self.toUpdate(now), table.digest(), "", List.of(entry.toUpdate(now)));
       out.send(from, message);
     }
   }
 
-  private void acked(Message message, Outbox out) {
-    Relayed one = relayed.remove(message.sequence());
-    if (one != null) {
-      if (one.target().equals(message.sender().name()) && answers.spend(1, now)) {
-        Message passed =
+  private void handleAck(Message message, Outbox out) {
+    RelayedPing ping = relayedPings.remove(message.sequence());
+    if (ping != null) {
+      if (ping.target().equals(message.sender().name()) && answerLimit.tryConsume(1, now)) {
+        Message forwarded =
             new Message(
                 Kind.ACK,
-                one.askersSequence(),
-                self.update(now),
-                roster.digest(),
-                one.target(),
+                ping.requesterSequence(),
+                self.toUpdate(now),
+                table.digest(),
+                ping.target(),
                 List.of(message.sender()));
-        out.send(one.asker(), passed);
+        out.send(ping.requester(), forwarded);
       }
       return;
     }
@@ -509,440 +555,492 @@
       return;
     }
     if (direct) {
-      roundTrip.took(lived - probe.sentAt);
+      roundTripEstimator.addSample(activeMicros - probe.sentAtMicros);
       probes.remove(probe.sequence);
     }
-    if (probe.over) {
+    if (probe.ended) {
       counters.lateAcks++;
     } else {
-      probe.over = true;
-      ill(-1);
+      probe.ended = true;
+      adjustLocalHealth(-1);
     }
   }
 
-  private void relay(InetSocketAddress from, Message message, Outbox out) {
-    Entry target = roster.get(message.target());
-    if (target == null || target == self || !answers.spend(1, now)) {
+  private void relayPing(InetSocketAddress from, Message message, Outbox out) {
+    MemberEntry target = table.get(message.target());
+    if (target == null || target == self || !answerLimit.tryConsume(1, now)) {
       return;
     }
-    int number = next();
-    long wait = Math.max(settings.minProbeTimeoutMicros(), roundTrip.most());
-    relayed.put(
-        number, new Relayed(from, message.sequence(), target.name, lived + Math.min(SECOND, wait)));
+    int number = nextSequence();
+    long timeout = Math.max(settings.minProbeTimeoutMicros(), roundTripEstimator.timeoutMicros());
+    relayedPings.put(
+        number,
+        new RelayedPing(
+            from,
+            message.sequence(),
+            target.name,
+            activeMicros + Math.min(SECOND_MICROS, timeout)));
     out.send(target.address, message(Kind.PING, number, target.name, target));
   }
 
-  // ------------------------------------------------------------ whole views
-
-  /** Where two views differ although nothing is under way, one asks for the other's. */
-  private void compare(Message message, Entry sender, Outbox out) {
-    boolean calm = news.isEmpty() && lived - changedAt >= SECOND / 2;
+  /**
+   * Anti-entropy: requests the sender's view when the digests differ although no update is being
+   * disseminated.
+   */
+  private void compareDigests(Message message, MemberEntry sender, Outbox out) {
+    boolean idle = updateQueue.isEmpty() && activeMicros - changedAtActive >= SECOND_MICROS / 2;
     if (message.kind() != Kind.PULL
-        && message.digest() != roster.digest()
+        && message.digest() != table.digest()
         && sender.state.isLive()
-        && (calm || roster.live().size() < 2)
-        && pulls.spend(1, now)) {
+        && (idle || table.live().size() < 2)
+        && pullLimit.tryConsume(1, now)) {
       counters.viewRequests++;
-      out.send(sender.address, message(Kind.PULL, next(), "", sender));
+      out.send(sender.address, message(Kind.PULL, nextSequence(), "", sender));
     }
   }
 
-  private void sendView(InetSocketAddress to, Message message, Entry asker, Outbox out) {
-    if (message.digest() == roster.digest()) {
-      answer(to, Kind.GOSSIP, 0, asker, out);
+  /**
+   * Sends the whole view in as many datagrams as it needs, and then requests the requester's view
+   * in exchange (push-pull), unless this request already was the second half of an exchange.
+   */
+  private void sendView(InetSocketAddress to, Message message, MemberEntry requester, Outbox out) {
+    if (message.digest() == table.digest()) {
+      answer(to, Kind.GOSSIP, 0, requester, out);
       return;
     }
-    int room = Message.MAX_BYTES - Message.FIXED_BYTES - self.update(now).sizeBytes() - 1;
+    int capacity = Message.MAX_BYTES - Message.FIXED_BYTES - self.toUpdate(now).sizeBytes() - 1;
     long bytes = 0;
     List<List<Update>> parts = new ArrayList<>();
-    int left = 0;
-    for (Entry entry : roster.all()) {
-      Update update = entry.update(now);
+    int freeBytes = 0;
+    for (MemberEntry entry : table.all()) {
+      Update update = entry.toUpdate(now);
       if (entry == self) {
         continue;
       }
       if (parts.isEmpty()
-          || left < update.sizeBytes()
+          || freeBytes < update.sizeBytes()
           || parts.get(parts.size() - 1).size() == Message.MAX_UPDATES) {
         parts.add(new ArrayList<>());
-        left = room;
+        freeBytes = capacity;
       }
       parts.get(parts.size() - 1).add(update);
-      left -= update.sizeBytes();
+      freeBytes -= update.sizeBytes();
       bytes += update.sizeBytes();
     }
-    if (!viewBytes.spend(bytes, now)) {
+    if (!viewByteLimit.tryConsume(bytes, now)) {
       counters.unansweredRequests++;
-      answer(to, Kind.GOSSIP, 0, asker, out);
+      answer(to, Kind.GOSSIP, 0, requester, out);
       return;
     }
     counters.viewsSent++;
     for (List<Update> part : parts) {
-      out.send(to, new Message(Kind.VIEW, 0, self.update(now), roster.digest(), "", part));
+      out.send(to, new Message(Kind.VIEW, 0, self.toUpdate(now), table.digest(), "", part));
     }
     if (message.sequence() != 0) {
-      out.send(to, message(Kind.PULL, 0, "", asker));
+      out.send(to, message(Kind.PULL, 0, "", requester));
     }
   }
 
-  // ---------------------------------------------------------------- merging
-
-  private void merge(Update update, Kind kind, String teller, Outbox out) {
+  /**
+   * Merges an update into the table. A newer incarnation wins; of equal incarnations the later
+   * state in the order of {@link State} wins.
+   */
+  private void merge(Update update, Kind kind, String reporter, Outbox out) {
     if (update.name().equals(self.name)) {
-      aboutSelf(update, out);
+      mergeSelf(update, out);
       return;
     }
     if (displaced) {
       return;
     }
-    Entry entry = roster.get(update.name());
+    MemberEntry entry = table.get(update.name());
     if (entry == null) {
-      meet(update, out);
+      addMember(update, out);
       return;
     }
-    int newer = order.compare(update.incarnation(), entry.incarnation);
+    int newer = incarnationOrder.compare(update.incarnation(), entry.incarnation);
     if (update.state() == State.SUSPECT && (newer < 0 || (newer == 0 && !entry.state.isLive()))) {
-      correct(teller, entry, out);
+      sendCorrection(reporter, entry, out);
     }
     if (newer > 0) {
-      newer(entry, update, kind, teller, out);
+      mergeNewer(entry, update, kind, reporter, out);
     } else if (newer == 0) {
       switch (update.state()) {
-        case SUSPECT -> doubt(entry, update.reportedBy(), kind != Kind.VIEW, out);
-        case DEAD -> dead(entry, update, kind, teller, out);
+        case SUSPECT -> handleSuspicion(entry, update.reportedBy(), kind != Kind.VIEW, out);
+        case DEAD -> mergeDead(entry, update, kind, reporter, out);
         case LEFT -> {
           if (entry.state != State.LEFT) {
-            set(entry, update, State.LEFT, out);
+            replace(entry, update, State.LEFT, out);
           }
         }
         default -> {
-          // It says nothing that is not known.
+          // ALIVE of a known incarnation carries no new information.
         }
       }
     }
   }
 
-  /** Whoever suspects what is long known to be otherwise has missed news, and gets it again. */
-  private void correct(String teller, Entry entry, Outbox out) {
-    Entry missed = roster.get(teller);
-    if (missed != null && missed.state.isLive() && answers.spend(1, now)) {
+  /** Sends the known state to a member that spreads an outdated suspicion: it missed an update. */
+  private void sendCorrection(String reporter, MemberEntry entry, Outbox out) {
+    MemberEntry outdated = table.get(reporter);
+    if (outdated != null && outdated.state.isLive() && answerLimit.tryConsume(1, now)) {
       out.send(
-          missed.address,
+          outdated.address,
           new Message(
-              Kind.GOSSIP, 0, self.update(now), roster.digest(), "", List.of(entry.update(now))));
+              Kind.GOSSIP,
+              0,
+              self.toUpdate(now),
+              table.digest(),
+              "",
+              List.of(entry.toUpdate(now))));
     }
   }
 
-  private void meet(Update update, Outbox out) {
-    long since = now - update.ageSeconds() * SECOND;
+  private void addMember(Update update, Outbox out) {
+    long changedAt = now - update.ageSeconds() * SECOND_MICROS;
     if (update.state().isLive()
-        ? !roster.room()
-        : now - since >= settings.tombstoneRetentionMicros()) {
+        ? !table.hasCapacity()
+        : now - changedAt >= settings.tombstoneRetentionMicros()) {
       counters.rejectedMembers += update.state().isLive() ? 1 : 0;
       return;
     }
-    Entry entry = new Entry(update, update.state().isLive() ? now : since);
+    MemberEntry entry = new MemberEntry(update, update.state().isLive() ? now : changedAt);
     entry.state = update.state() == State.SUSPECT ? State.ALIVE : update.state();
-    roster.add(entry);
-    news.of(entry);
-    changed(null, entry.member(), out);
+    table.add(entry);
+    updateQueue.enqueue(entry);
+    recordChange(null, entry.toMember(), out);
     if (update.state() == State.SUSPECT) {
-      doubt(entry, update.reportedBy(), true, out);
-    } else if (update.state() == State.DEAD && update.ageSeconds() < NEWLY_DEAD) {
-      // A newcomer hears it from one side of a cut; the other side may know better.
-      tell(entry);
+      handleSuspicion(entry, update.reportedBy(), true, out);
+    } else if (update.state() == State.DEAD && update.ageSeconds() < RECENTLY_DEAD_SECONDS) {
+      // A joining member may have this from one side of a partition; the member may be alive.
+      queueNotification(entry);
     }
   }
 
-  private void newer(Entry entry, Update update, Kind kind, String teller, Outbox out) {
+  private void mergeNewer(
+      MemberEntry entry, Update update, Kind kind, String reporter, Outbox out) {
     switch (update.state()) {
-      case ALIVE -> set(entry, update, State.ALIVE, out);
-      case LEFT -> set(entry, update, State.LEFT, out);
+      case ALIVE -> replace(entry, update, State.ALIVE, out);
+      case LEFT -> replace(entry, update, State.LEFT, out);
       default -> {
-        // It has been heard of in that incarnation, so that it was there: now it is in doubt.
+        // The update proves that the new incarnation has been alive; the suspicion follows.
         boolean live = entry.state.isLive();
         if (live || update.state() == State.SUSPECT) {
-          set(entry, update, State.ALIVE, out);
-          doubt(entry, update.reportedBy(), kind != Kind.VIEW, out);
+          replace(entry, update, State.ALIVE, out);
+          handleSuspicion(entry, update.reportedBy(), kind != Kind.VIEW, out);
         } else {
-          set(entry, update, State.DEAD, out);
+          replace(entry, update, State.DEAD, out);
         }
       }
     }
   }
 
   /**
-   * Somebody holds it for dead. It is believed at once only of one that had time to refute a
-   * suspicion here: else what one half of a fleet thought behind a cut would be the other's loss.
+   * Merges the report that a member is dead. It is accepted at once only if the member had time to
+   * refute a suspicion here; otherwise the report starts a suspicion. Without this rule, what one
+   * side of a partition concluded about the other would remove live members when both sides merge.
    */
-  private void dead(Entry entry, Update update, Kind kind, String teller, Outbox out) {
+  private void mergeDead(MemberEntry entry, Update update, Kind kind, String reporter, Outbox out) {
     if (!entry.state.isLive()) {
       return;
     }
     if (entry.state == State.SUSPECT
         && kind != Kind.VIEW
-        && lived - entry.suspicion.begun() >= settings.minSuspicionMicros() / 2) {
-      die(entry, update.reportedBy(), out);
+        && activeMicros - entry.suspicion.startedAtMicros() >= settings.minSuspicionMicros() / 2) {
+      declareDead(entry, update.reportedBy(), out);
     } else {
-      doubt(
+      handleSuspicion(
           entry,
-          update.reportedBy().isEmpty() ? teller : update.reportedBy(),
+          update.reportedBy().isEmpty() ? reporter : update.reportedBy(),
           kind != Kind.VIEW,
           out);
     }
   }
 
-  private void doubt(Entry entry, String by, boolean pass, Outbox out) {
-    if (entry.state == State.ALIVE && !pass) {
-      entry.hearsay = by;
-      entry.hearsayOf = entry.incarnation;
-      tell(entry);
+  /**
+   * Starts or confirms a suspicion.
+   *
+   * @param accuser the member that suspects the entry
+   * @param disseminate whether to pass the suspicion on; if not, as for one that came with a whole
+   *     view, it starts only when the suspect is notified
+   */
+  private void handleSuspicion(MemberEntry entry, String accuser, boolean disseminate, Outbox out) {
+    if (entry.state == State.ALIVE && !disseminate) {
+      entry.deferredAccuser = accuser;
+      entry.deferredIncarnation = entry.incarnation;
+      queueNotification(entry);
     } else if (entry.state == State.ALIVE) {
-      suspect(entry, by, out);
-      if (by.equals(self.name)) {
-        tell(entry);
+      suspect(entry, accuser, out);
+      if (accuser.equals(self.name)) {
+        queueNotification(entry);
       }
-      news.of(entry);
-    } else if (entry.state == State.SUSPECT && entry.suspicion.confirm(by)) {
-      entry.by = by;
-      if (pass) {
-        news.of(entry);
+      updateQueue.enqueue(entry);
+    } else if (entry.state == State.SUSPECT && entry.suspicion.confirm(accuser)) {
+      entry.reportedBy = accuser;
+      if (disseminate) {
+        updateQueue.enqueue(entry);
       }
     }
   }
 
-  private void suspect(Entry entry, String by, Outbox out) {
+  private void suspect(MemberEntry entry, String accuser, Outbox out) {
     counters.suspicions++;
-    Member before = entry.member();
-    int others = roster.live().size() - 1;
-    double tens = Math.max(1, Math.log10(others + 2.0));
-    long least = (long) (settings.minSuspicionMicros() * tens) + 2 * roundTrip.most();
-    roster.change(
+    Member before = entry.toMember();
+    int others = table.live().size() - 1;
+    double scale = Math.max(1, Math.log10(others + 2.0));
+    long minMicros =
+        (long) (settings.minSuspicionMicros() * scale) + 2 * roundTripEstimator.timeoutMicros();
+    table.update(
         entry,
         () -> {
           entry.state = State.SUSPECT;
-          entry.by = by;
-          entry.since = now;
+          entry.reportedBy = accuser;
+          entry.changedAtMicros = now;
           entry.suspicion =
-              new Suspicion(by, lived, least, least * settings.maxSuspicionMultiplier(), others);
+              new Suspicion(
+                  accuser,
+                  activeMicros,
+                  minMicros,
+                  minMicros * settings.maxSuspicionMultiplier(),
+                  others);
         });
-    changed(before, entry.member(), out);
+    recordChange(before, entry.toMember(), out);
   }
 
-  private void endSuspicions(Outbox out) {
-    if (!roster.suspects()) {
+  private void expireSuspicions(Outbox out) {
+    if (!table.hasSuspects()) {
       return;
     }
-    for (Entry entry : List.copyOf(roster.live())) {
-      if (entry.state == State.SUSPECT && lived >= entry.suspicion.deadline()) {
-        die(entry, self.name, out);
+    for (MemberEntry entry : List.copyOf(table.live())) {
+      if (entry.state == State.SUSPECT && activeMicros >= entry.suspicion.deadlineMicros()) {
+        declareDead(entry, self.name, out);
       }
     }
   }
 
-  private void die(Entry entry, String by, Outbox out) {
+  private void declareDead(MemberEntry entry, String accuser, Outbox out) {
     counters.declaredDead++;
-    Member before = entry.member();
-    roster.change(
+    Member before = entry.toMember();
+    table.update(
         entry,
         () -> {
           entry.state = State.DEAD;
-          entry.by = by;
-          entry.since = now;
+          entry.reportedBy = accuser;
+          entry.changedAtMicros = now;
           entry.suspicion = null;
         });
-    news.of(entry);
-    changed(before, entry.member(), out);
+    updateQueue.enqueue(entry);
+    recordChange(before, entry.toMember(), out);
   }
 
-  private void set(Entry entry, Update update, State state, Outbox out) {
-    Member before = entry.member();
-    roster.change(
+  private void replace(MemberEntry entry, Update update, State state, Outbox out) {
+    Member before = entry.toMember();
+    table.update(
         entry,
         () -> {
-          entry.take(update, state.isLive() ? now : now - update.ageSeconds() * SECOND);
+          entry.apply(update, state.isLive() ? now : now - update.ageSeconds() * SECOND_MICROS);
           entry.state = state;
           entry.suspicion = null;
         });
-    news.of(entry);
-    changed(before, entry.member(), out);
+    updateQueue.enqueue(entry);
+    recordChange(before, entry.toMember(), out);
   }
 
-  private void changed(Member before, Member after, Outbox out) {
+  private void recordChange(Member before, Member after, Outbox out) {
     version++;
     view = null;
-    changedAt = lived;
+    changedAtActive = activeMicros;
     settled = false;
     out.viewChanged(new ViewChange(version, before, after));
-    if (after != null && roster.overfull()) {
-      forget(out);
+    if (after != null && table.hasExcessTombstones()) {
+      expireTombstones(out);
     }
   }
 
-  // ------------------------------------------------------------------- self
-
-  private void aboutSelf(Update update, Outbox out) {
+  /** Merges an update about this member: refutes it, or resolves a conflict over the name. */
+  private void mergeSelf(Update update, Outbox out) {
     if (left) {
       return;
     }
     int newer = Long.compare(update.incarnation().startTime(), self.incarnation.startTime());
     if (newer > 0) {
-      nameTaken(update, out);
+      resolveNameConflict(update, out);
     } else if (newer == 0
         && update.state() != State.ALIVE
         && update.incarnation().revision() >= self.incarnation.revision()
         && !displaced) {
       counters.refutations++;
-      ill(1);
-      raise(
+      adjustLocalHealth(1);
+      announce(
           new Incarnation(self.incarnation.startTime(), update.incarnation().revision() + 1), out);
     }
   }
 
   /**
-   * Either it is what others remember of this name's last process, whose clock went before this
-   * one's: then this process takes the name over. Or somebody else has the name, and takes it back:
-   * after some of that this process gives way, and takes it again only from one that is not there.
+   * Handles an update about this member's name with a later start time. Either the other members
+   * remember the previous process of this name, whose clock was ahead: then this process takes the
+   * name over, with an incarnation that supersedes it. Or another running process has the name and
+   * takes it back: after {@link #MAX_NAME_CONFLICTS} such conflicts this process yields the name,
+   * and takes it again only when the other process is reported dead or gone.
    */
-  private void nameTaken(Update update, Outbox out) {
-    if (lived - takenAt > TAKEN_WITHIN) {
-      taken = 0;
+  private void resolveNameConflict(Update update, Outbox out) {
+    if (activeMicros - nameConflictAt > NAME_CONFLICT_WINDOW_MICROS) {
+      nameConflicts = 0;
     }
     if (displaced && update.state().isLive()) {
       return;
     }
-    if (!displaced && taken >= MOST_TAKEN) {
+    if (!displaced && nameConflicts >= MAX_NAME_CONFLICTS) {
       displaced = true;
-      askAgainAt = lived + GIVEN_WAY + chance.nextLong(GIVEN_WAY);
+      nameRetryAt = activeMicros + NAME_RETRY_MICROS + random.nextLong(NAME_RETRY_MICROS);
       out.nameTaken(update.address(), true);
-      giveUp(out);
+      yieldName(out);
       return;
     }
-    if (!update.address().equals(self.address) || taken > 0) {
+    if (!update.address().equals(self.address) || nameConflicts > 0) {
       out.nameTaken(update.address(), false);
     }
-    taken++;
-    takenAt = lived;
+    nameConflicts++;
+    nameConflictAt = activeMicros;
     displaced = false;
-    looks = 0;
-    raise(new Incarnation(update.incarnation().startTime() + 1, 0), out);
+    joinAttempts = 0;
+    announce(new Incarnation(update.incarnation().startTime() + 1, 0), out);
   }
 
-  /** A process without a name sees nobody, and is in nobody's way. */
-  private void giveUp(Outbox out) {
+  /** Forgets all other members: a displaced process has an empty view and probes no member. */
+  private void yieldName(Outbox out) {
     probes.clear();
-    relayed.clear();
-    toBeTold.clear();
+    relayedPings.clear();
+    pendingNotifications.clear();
     lastKnown.clear();
-    for (Entry entry : List.copyOf(roster.live())) {
-      if (lastKnown.size() < MOST_LAST_KNOWN) {
+    for (MemberEntry entry : List.copyOf(table.live())) {
+      if (lastKnown.size() < MAX_LAST_KNOWN_ADDRESSES) {
         lastKnown.add(entry.address);
       }
     }
-    for (Entry entry : roster.clear()) {
-      news.forget(entry);
-      changed(entry.member(), null, out);
+    for (MemberEntry entry : table.clear()) {
+      updateQueue.remove(entry);
+      recordChange(entry.toMember(), null, out);
     }
   }
 
-  private void askWhetherNameIsFree(Outbox out) {
-    if (lived < askAgainAt) {
+  /** Requests views of seeds and earlier members, to find out whether the name is free. */
+  private void retryName(Outbox out) {
+    if (activeMicros < nameRetryAt) {
       return;
     }
-    askAgainAt = lived + GIVEN_WAY + chance.nextLong(GIVEN_WAY);
+    nameRetryAt = activeMicros + NAME_RETRY_MICROS + random.nextLong(NAME_RETRY_MICROS);
     List<InetSocketAddress> known = new ArrayList<>(seeds);
     known.addAll(lastKnown);
     for (int i = 0; i < FANOUT && !known.isEmpty(); i++) {
-      InetSocketAddress address = known.remove(chance.nextInt(known.size()));
-      out.send(address, message(Kind.PULL, next(), "", null));
+      InetSocketAddress address = known.remove(random.nextInt(known.size()));
+      out.send(address, message(Kind.PULL, nextSequence(), "", null));
     }
   }
 
-  private void raise(Incarnation next, Outbox out) {
-    Member before = self.member();
-    roster.change(self, () -> self.incarnation = next);
-    news.of(self);
-    changed(before, self.member(), out);
+  /** Takes a new incarnation for this member and queues it for dissemination. */
+  private void announce(Incarnation next, Outbox out) {
+    Member before = self.toMember();
+    table.update(self, () -> self.incarnation = next);
+    updateQueue.enqueue(self);
+    recordChange(before, self.toMember(), out);
   }
 
-  /** What this member does from now on. */
+  /** Sets and announces the activity of this member; does nothing if it is unchanged. */
   public void setActivity(long time, Activity activity, Outbox out) {
-    passed(time);
+    advanceTime(time);
     if (left || activity == self.activity) {
       return;
     }
     self.activity = activity;
-    self.since = now;
-    raise(self.incarnation.next(), out);
+    self.changedAtMicros = now;
+    announce(self.incarnation.next(), out);
   }
 
-  /** Says goodbye, and does nothing from then on. */
+  /** Announces that this member leaves. All later calls have no effect. */
   public void leave(long time, Outbox out) {
-    passed(time);
+    advanceTime(time);
     if (left) {
       return;
     }
     if (!displaced) {
-      roster.change(
+      table.update(
           self,
           () -> {
             self.incarnation = self.incarnation.next();
             self.state = State.LEFT;
-            self.since = now;
+            self.changedAtMicros = now;
           });
-      news.of(self);
-      for (Entry one : roster.some(GOODBYES, null, chance)) {
-        out.send(one.address, message(Kind.GOSSIP, 0, "", one));
+      updateQueue.enqueue(self);
+      for (MemberEntry receiver : table.randomLive(LEAVE_FANOUT, null, random)) {
+        out.send(receiver.address, message(Kind.GOSSIP, 0, "", receiver));
       }
     }
     left = true;
   }
 
-  /** Other addresses to look for others at. */
+  /** Replaces the seeds, and contacts them with the initial back-off. */
   public void setSeeds(List<InetSocketAddress> addresses) {
     seeds = List.copyOf(addresses);
-    looks = 0;
-    nextLook = lived;
+    joinAttempts = 0;
+    nextJoinAttemptAt = activeMicros;
   }
 
   /**
-   * All that its next steps depend on, with times as they are from now: equal texts behave alike.
-   * For a search through its states.
+   * Returns all state that the next steps depend on, with times relative to now, for the model
+   * check: members with equal texts behave alike.
    */
-  String situation() {
+  String stateText() {
     StringBuilder text = new StringBuilder();
-    for (Entry entry : roster.all()) {
-      text.append(entry.name).append(entry.incarnation).append(entry.state).append(entry.by);
+    for (MemberEntry entry : table.all()) {
+      text.append(entry.name)
+          .append(entry.incarnation)
+          .append(entry.state)
+          .append(entry.reportedBy);
       if (entry.suspicion != null) {
-        text.append(entry.suspicion.deadline() - lived).append(lived - entry.suspicion.begun());
+        text.append(entry.suspicion.deadlineMicros() - activeMicros)
+            .append(activeMicros - entry.suspicion.startedAtMicros());
       }
-      text.append(entry.state.isLive() ? 0 : now - entry.since).append(entry.toBeTold);
-      text.append(entry.hearsay).append(entry.hearsayOf).append(';');
+      text.append(entry.state.isLive() ? 0 : now - entry.changedAtMicros)
+          .append(entry.notificationQueued);
+      text.append(entry.deferredAccuser).append(entry.deferredIncarnation).append(';');
     }
     for (Probe probe : probes.values()) {
-      text.append(probe.target).append(probe.incarnation).append(probe.askAt - lived);
-      text.append(probe.over).append(probe.asked).append(probe.silent).append(';');
+      text.append(probe.target)
+          .append(probe.incarnation)
+          .append(probe.indirectAtMicros - activeMicros);
+      text.append(probe.ended).append(probe.indirectSent).append(probe.missingNacks).append(';');
     }
-    relayed.values().forEach(one -> text.append(one.target()).append(one.nackAt() - lived));
-    text.append(round).append(news).append(health).append(displaced).append(left).append(taken);
-    text.append(nextProbe - lived).append(' ').append(nextLook - lived).append(' ');
-    text.append(beats % REACH_BEATS).append(' ').append(Math.min(lived - changedAt, SECOND));
+    relayedPings
+        .values()
+        .forEach(ping -> text.append(ping.target()).append(ping.nackAtMicros() - activeMicros));
+    text.append(probeOrder)
+        .append(updateQueue)
+        .append(localHealth)
+        .append(displaced)
+        .append(left)
+        .append(nameConflicts);
+    text.append(nextProbeAt - activeMicros)
+        .append(' ')
+        .append(nextJoinAttemptAt - activeMicros)
+        .append(' ');
+    text.append(tickCount % RECONNECT_INTERVAL_TICKS)
+        .append(' ')
+        .append(Math.min(activeMicros - changedAtActive, SECOND_MICROS));
     return text.toString();
   }
 
-  // ------------------------------------------------------------------- view
-
-  /** The view now. */
+  /** Returns the current view; the same instance until the view changes. */
   public View view() {
     if (view == null) {
-      List<Member> members = new ArrayList<>(roster.size());
-      roster.all().forEach(entry -> members.add(entry.member()));
+      List<Member> members = new ArrayList<>(table.size());
+      table.all().forEach(entry -> members.add(entry.toMember()));
       view = new View(version, self.name, members, settled, displaced);
     }
     return view;
   }
 
-  /** This member's own, now. */
+  /** Returns the current incarnation of this member. */
   public Incarnation incarnation() {
     return self.incarnation;
   }
@@ -951,13 +1049,13 @@
     return counters;
   }
 
-  /** Lifeguard's counter of the own health, 0 for sound. */
+  /** Returns Lifeguard's local health multiplier: 0 for healthy, higher is worse. */
   public int localHealth() {
-    return health;
+    return localHealth;
   }
 
-  /** The usual time of an answer, in microseconds; 0 while none has come. */
+  /** Returns the smoothed round-trip time in microseconds; 0 before the first sample. */
   public long smoothedRoundTripMicros() {
-    return roundTrip.usual();
+    return roundTripEstimator.smoothedMicros();
   }
 }
--- a/src/main/java/brassbank/membership/MembershipConfig.java
+++ b/src/main/java/brassbank/membership/MembershipConfig.java
@@ -4,15 +4,18 @@
 import java.util.List;
 
 /**
- * How a program becomes a member.
+ * The configuration of this process as a fleet member.
  *
- * @param fleet its name; what comes from another fleet is dropped
- * @param listen where datagrams are taken, or null for the address that clients come to
- * @param advertised where the others meet it, or null for the same
- * @param seeds where others may be; all of them may be down, wrong or the program's own
- * @param base the part of the fleet's budgets that goes by the file's numbers; NaN where all of it
- *     does, and nothing is shared by who is there
- * @param askers how many proxies ask a host at least; 0 where all do
+ * @param fleet the fleet's name; datagrams of other fleets are dropped
+ * @param listen the address on which datagrams are received, or null for the client address
+ * @param advertised the address that other members send to, or null for {@code listen}
+ * @param seeds addresses of possible members; any of them may be unreachable, wrong or this
+ *     process's own
+ * @param settings the protocol parameters
+ * @param baseShare the fraction of the fleet's budgets that is divided evenly by the configured
+ *     fleet size; NaN if the whole budget is, and no share depends on the live members
+ * @param minProxiesPerHost the minimum number of proxies that connect to each host; 0 if all
+ *     proxies do
  */
 public record MembershipConfig(
     String fleet,
@@ -26,7 +29,7 @@
     seeds = List.copyOf(seeds);
   }
 
-  /** Without shares and subsets. */
+  /** Creates a configuration without budget shares and subsets. */
   public MembershipConfig(
       String fleet,
       InetSocketAddress listen,
@@ -36,31 +39,36 @@
     this(fleet, listen, advertised, seeds, settings, Double.NaN, 0);
   }
 
-  /** Whether budgets are shared by who is there. */
+  /** Returns whether budgets are divided among the live members. */
   public boolean sharesBudgets() {
     return !Double.isNaN(baseShare);
   }
 
-  /** The same with another base. */
-  public MembershipConfig withBaseShare(double part) {
+  /** Returns a copy with another base share. */
+  public MembershipConfig withBaseShare(double share) {
     return new MembershipConfig(
-        fleet, listen, advertised, seeds, settings, part, minProxiesPerHost);
+        fleet, listen, advertised, seeds, settings, share, minProxiesPerHost);
   }
 
-  /** Whether each proxy asks a subset of the hosts. */
+  /** Returns whether each proxy connects to a subset of the hosts. */
   public boolean usesSubsets() {
     return minProxiesPerHost > 0;
   }
 
-  /** The same with so many proxies that ask a host at least. */
+  /** Returns a copy with another minimum number of proxies per host. */
   public MembershipConfig withMinProxiesPerHost(int proxies) {
     return new MembershipConfig(fleet, listen, advertised, seeds, settings, baseShare, proxies);
   }
 
-  /** The same for a program whose clients come to this address. */
+  /**
+   * Returns a copy with both addresses set.
+   *
+   * @param clients the address for clients, the default for {@code listen}
+   */
   public MembershipConfig withDefaultAddress(InetSocketAddress clients) {
-    InetSocketAddress here = listen == null ? clients : listen;
-    InetSocketAddress met = advertised == null ? here : advertised;
-    return new MembershipConfig(fleet, here, met, seeds, settings, baseShare, minProxiesPerHost);
+    InetSocketAddress listenAddress = listen == null ? clients : listen;
+    InetSocketAddress advertisedAddress = advertised == null ? listenAddress : advertised;
+    return new MembershipConfig(
+        fleet, listenAddress, advertisedAddress, seeds, settings, baseShare, minProxiesPerHost);
   }
 }
--- a/src/main/java/brassbank/membership/Message.java
+++ b/src/main/java/brassbank/membership/Message.java
@@ -3,40 +3,51 @@
 import java.util.List;
 
 /**
- * One datagram's content.
+ * The content of one datagram.
  *
- * @param sequence ties an answer to its question; for {@link Kind#PULL} 0 where it answers another
- * @param sender who sends it, as it sees itself
- * @param digest of the sender's live members: equal for equal views, and for others almost never
- * @param target whom a {@link Kind#PING} or {@link Kind#PING_REQ} is meant for; else empty
+ * @param sequence matches an answer to its request; 0 for a {@link Kind#PULL} that is itself the
+ *     second half of an exchange
+ * @param sender the sender's own entry
+ * @param digest a hash of the sender's live members: equal for equal views, and almost never equal
+ *     for different ones
+ * @param target the member that a {@link Kind#PING}, {@link Kind#PING_REQ} or relayed {@link
+ *     Kind#ACK} concerns; otherwise empty
  */
 public record Message(
     Kind kind, int sequence, Update sender, long digest, String target, List<Update> updates) {
 
-  /** Bytes of a datagram that carry no names: mark, version, kind, fleet and the figures. */
+  /**
+   * Bytes of a datagram other than names and updates: magic number, version, kind, fleet, sequence,
+   * digest, length of the target, number of updates, checksum.
+   */
   public static final int FIXED_BYTES = 2 + 1 + 1 + 8 + 4 + 8 + 1 + 1 + 4;
 
-  /** Bytes of a datagram at most, so that it passes every usual network in one piece. */
+  /**
+   * Maximum size of a datagram; it fits into the MTU of every common network without fragmentation.
+   */
   public static final int MAX_BYTES = 1_200;
 
-  /** Updates in one datagram at most. */
+  /** Maximum number of updates in one datagram. */
   public static final int MAX_UPDATES = 64;
 
-  /** What it is for; SWIM's names in brackets where they differ. */
+  /** The purpose of a message. The ordinal is the number in the datagram. */
   public enum Kind {
-    /** Are you there. */
+    /** Probes the target. */
     PING,
-    /** Yes. */
+    /** Answers a {@link #PING}. */
     ACK,
-    /** Ping that one for me [ping-req]. */
+    /** Requests that the receiver ping the target on the sender's behalf. */
     PING_REQ,
-    /** It has not answered me so far (Lifeguard). */
+    /**
+     * Reports to the requester of a {@link #PING_REQ} that the target has not answered so far
+     * (Lifeguard).
+     */
     NACK,
-    /** Only what it carries [gossip]. */
+    /** Carries updates only. */
     GOSSIP,
-    /** Send me your whole view. */
+    /** Requests the receiver's whole view. */
     PULL,
-    /** A part of a whole view. */
+    /** Carries a part of the sender's whole view. */
     VIEW
   }
 
--- a/src/main/java/brassbank/membership/Outbox.java
+++ b/src/main/java/brassbank/membership/Outbox.java
@@ -2,14 +2,19 @@
 
 import java.net.InetSocketAddress;
 
-/** Where a member's decisions go. Called on the thread that called the member. */
+/** Receives the decisions of a {@link Membership}, on the thread that calls it. */
 public interface Outbox {
-  /** Sends a datagram; it may be lost. */
+  /** Sends a datagram, which may be lost. */
   void send(InetSocketAddress to, Message message);
 
-  /** The view has changed; changes come in order. */
+  /** Reports a change of the view. Changes are reported in order. */
   default void viewChanged(ViewChange change) {}
 
-  /** Another process says that it has this one's name, and stands at this address. */
+  /**
+   * Reports that another process uses this member's name.
+   *
+   * @param by the address of that process
+   * @param yields whether this process gives up the name; otherwise it takes the name over
+   */
   default void nameTaken(InetSocketAddress by, boolean yields) {}
 }
--- a/src/main/java/brassbank/membership/Probe.java
+++ b/src/main/java/brassbank/membership/Probe.java
@@ -1,29 +1,39 @@
 package brassbank.membership;
 
-/** A ping of this member's own, or one that it sends for another. */
+/** A probe that this member has sent, until acks of it no longer count. */
 final class Probe {
   final int sequence;
   final String target;
   final Incarnation incarnation;
-  final long sentAt;
+  final long sentAtMicros;
 
-  /** When others are asked, and when it has failed, of the member's lived time. */
-  final long askAt;
+  /** When indirect probes are sent, in active time. */
+  final long indirectAtMicros;
 
-  final long endAt;
+  /** When the probe fails, in active time. */
+  final long deadlineMicros;
 
-  boolean asked;
-  boolean over;
+  /** Whether relays have been asked to ping the target. */
+  boolean indirectSent;
 
-  /** Those who were asked and have told nothing so far. */
-  int silent;
+  /** Whether the probe has been acknowledged or has failed. */
+  boolean ended;
 
-  Probe(int sequence, String target, Incarnation incarnation, long sentAt, long askAt, long endAt) {
+  /** Relays that have answered neither with an ack nor with a nack. */
+  int missingNacks;
+
+  Probe(
+      int sequence,
+      String target,
+      Incarnation incarnation,
+      long sentAtMicros,
+      long indirectAtMicros,
+      long deadlineMicros) {
     this.sequence = sequence;
     this.target = target;
     this.incarnation = incarnation;
-    this.sentAt = sentAt;
-    this.askAt = askAt;
-    this.endAt = endAt;
+    this.sentAtMicros = sentAtMicros;
+    this.indirectAtMicros = indirectAtMicros;
+    this.deadlineMicros = deadlineMicros;
   }
 }
--- a/src/main/java/brassbank/membership/Settings.java
+++ b/src/main/java/brassbank/membership/Settings.java
@@ -1,16 +1,19 @@
 package brassbank.membership;
 
 /**
- * The figures of the protocol; docs/membership.md has the reason of each. Times in microseconds.
+ * The parameters of the protocol; docs/membership.md gives the reason for each.
  *
- * @param probeBeats a member probes one other every so many beats
- * @param direct the least wait for an answer before others are asked
- * @param suspicion the least time for a refutation, up to ten members; it grows with the logarithm
- * @param stretch the longest such time over the least, while nobody confirms
- * @param tellings times that one piece of news is passed on, for each decimal of the fleet's size
- * @param mostHealth bound of the own health's counter (Lifeguard's S); 0 switches it off
- * @param forget for how long the dead and those that left are remembered
- * @param quiet for how long nothing may change in a settled view
+ * @param probeIntervalTicks ticks between two probes that a member sends
+ * @param minProbeTimeoutMicros minimum wait for an ack before indirect probes are sent
+ * @param minSuspicionMicros minimum time for a refutation in a fleet of up to ten members; it grows
+ *     with the logarithm of the fleet's size
+ * @param maxSuspicionMultiplier the time for a refutation while no other member confirms the
+ *     suspicion, as a multiple of the minimum
+ * @param retransmitMultiplier transmissions of one update, for each decimal digit of the fleet's
+ *     size
+ * @param maxLocalHealth upper bound of the local health multiplier (Lifeguard's S); 0 disables it
+ * @param tombstoneRetentionMicros how long members that are dead or have left are remembered
+ * @param settleMicros how long the view must be unchanged to count as settled
  */
 public record Settings(
     int probeIntervalTicks,
@@ -21,15 +24,17 @@
     int maxLocalHealth,
     long tombstoneRetentionMicros,
     long settleMicros) {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
 
+  /** The default parameters. */
   public static final Settings DEFAULTS =
-      new Settings(2, SECOND / 10, SECOND, 3, 4, 8, 3_600 * SECOND, 2 * SECOND);
+      new Settings(
+          2, SECOND_MICROS / 10, SECOND_MICROS, 3, 4, 8, 3_600 * SECOND_MICROS, 2 * SECOND_MICROS);
 
-  /** One beat: everything that time brings is looked at this often. */
-  public static final long TICK_MICROS = SECOND / 10;
+  /** The interval at which all periodic work runs. */
+  public static final long TICK_MICROS = SECOND_MICROS / 10;
 
-  /** The same with another time to refute a suspicion. */
+  /** Returns a copy with another minimum time for a refutation. */
   public Settings withMinSuspicion(long micros) {
     return new Settings(
         probeIntervalTicks,
@@ -42,7 +47,7 @@
         settleMicros);
   }
 
-  /** The same with another memory of the dead. */
+  /** Returns a copy with another retention time of tombstones. */
   public Settings withTombstoneRetention(long micros) {
     return new Settings(
         probeIntervalTicks,
--- a/src/main/java/brassbank/membership/State.java
+++ b/src/main/java/brassbank/membership/State.java
@@ -1,20 +1,23 @@
 package brassbank.membership;
 
-/** What is believed of a member; of one incarnation the later of these goes before the earlier. */
+/**
+ * The believed state of a member. Of two updates with the same incarnation the one with the later
+ * state in this order wins.
+ */
 public enum State {
-  /** It answers, or nobody has doubted it. */
+  /** The member answers, or has not been suspected. */
   ALIVE,
 
-  /** Somebody had no answer from it; it has some time to refute that. */
+  /** A probe of the member failed; it has limited time to refute the suspicion. */
   SUSPECT,
 
-  /** It did not refute it in time. */
+  /** The member did not refute a suspicion in time. */
   DEAD,
 
-  /** It has said goodbye. */
+  /** The member has announced that it leaves. */
   LEFT;
 
-  /** Whether it is still counted as there. */
+  /** Returns whether the member counts as a live member: alive or suspected. */
   public boolean isLive() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/src/main/java/brassbank/membership/Suspicion.java
+++ b/src/main/java/brassbank/membership/Suspicion.java
@@ -4,50 +4,58 @@
 import java.util.List;
 
 /**
- * How long a suspected member has to refute: the longest time at first, and less with each further
- * member that suspects it too (Lifeguard, section IV.B).
+ * The time that a suspected member has for a refutation: the maximum at first, and less with each
+ * further member that confirms the suspicion (Lifeguard, section IV.B).
  */
 final class Suspicion {
-  /** With so many confirmations the time is the least. */
-  private static final int ENOUGH = 3;
+  /** Confirmations after which the time is the minimum. */
+  private static final int MAX_CONFIRMATIONS = 3;
 
-  private final long begun;
-  private final long least;
-  private final long most;
-  private final int enough;
-  private final List<String> confirmed = new ArrayList<>();
+  private final long startedAtMicros;
+  private final long minMicros;
+  private final long maxMicros;
+  private final int requiredConfirmations;
+  private final List<String> accusers = new ArrayList<>();
 
   /**
-   * @param by who suspected it first
-   * @param others how many could confirm it
+   * Starts a suspicion.
+   *
+   * @param accuser the member that suspects first
+   * @param now the current active time
+   * @param minMicros the time for a refutation after all confirmations
+   * @param maxMicros the time for a refutation before any confirmation
+   * @param others the number of members that could confirm the suspicion
    */
-  Suspicion(String by, long now, long least, long most, int others) {
-    begun = now;
-    this.least = least;
-    this.most = most;
-    enough = Math.min(ENOUGH, others);
-    confirmed.add(by);
+  Suspicion(String accuser, long now, long minMicros, long maxMicros, int others) {
+    startedAtMicros = now;
+    this.minMicros = minMicros;
+    this.maxMicros = maxMicros;
+    requiredConfirmations = Math.min(MAX_CONFIRMATIONS, others);
+    accusers.add(accuser);
   }
 
-  /** Whether this is news: one more that suspects it, of as many as count. */
-  boolean confirm(String by) {
-    if (confirmed.size() > enough || confirmed.contains(by)) {
+  /**
+   * Adds a member that confirms the suspicion; returns false if it is known or no longer counts.
+   */
+  boolean confirm(String accuser) {
+    if (accusers.size() > requiredConfirmations || accusers.contains(accuser)) {
       return false;
     }
-    confirmed.add(by);
+    accusers.add(accuser);
     return true;
   }
 
-  long begun() {
-    return begun;
+  long startedAtMicros() {
+    return startedAtMicros;
   }
 
-  /** When it is over, of the member's lived time. */
-  long deadline() {
-    if (enough <= 0) {
-      return begun + least;
+  /** Returns when the suspected member is declared dead, in active time. */
+  long deadlineMicros() {
+    if (requiredConfirmations <= 0) {
+      return startedAtMicros + minMicros;
     }
-    double share = Math.log(confirmed.size()) / Math.log(enough + 1.0);
-    return begun + Math.max(least, (long) (most - (most - least) * share));
+    double fraction = Math.log(accusers.size()) / Math.log(requiredConfirmations + 1.0);
+    return startedAtMicros
+        + Math.max(minMicros, (long) (maxMicros - (maxMicros - minMicros) * fraction));
   }
 }
--- a/src/main/java/brassbank/membership/Update.java
+++ b/src/main/java/brassbank/membership/Update.java
@@ -3,11 +3,12 @@
 import java.net.InetSocketAddress;
 
 /**
- * What one member tells another of a third, or of itself.
+ * What one member reports to another about a third, or about itself.
  *
- * @param age for how long the state has held where it comes from, in seconds, {@link
- *     #MAX_AGE_SECONDS} at most; clocks are not compared
- * @param by who suspects it or saw it dead; empty for the other states
+ * @param ageSeconds how long the state has held at the sender, at most {@link #MAX_AGE_SECONDS};
+ *     members' clocks are never compared
+ * @param reportedBy the member that suspects this one or declared it dead; empty for the other
+ *     states
  */
 public record Update(
     String name,
@@ -18,24 +19,27 @@
     Activity activity,
     int ageSeconds,
     String reportedBy) {
-  /** Letters of a name or a zone, which are ASCII. */
+  /** Maximum length of a name or a zone, which are ASCII. */
   public static final int MAX_NAME_LENGTH = 63;
 
   public static final int MAX_AGE_SECONDS = 65_535;
 
-  /** Bytes that do not depend on what is told. */
-  private static final int FIXED = 1 + 1 + 1 + 2 + 8 + 4 + 1 + 2 + 1;
+  /** Bytes of an update other than its texts and its address. */
+  private static final int FIXED_BYTES = 1 + 1 + 1 + 2 + 8 + 4 + 1 + 2 + 1;
 
-  /** Bytes it takes in a datagram. */
+  /** Returns the number of bytes that this update takes in a datagram. */
   public int sizeBytes() {
-    return FIXED
+    return FIXED_BYTES
         + name.length()
         + zone.length()
         + reportedBy.length()
         + (address.getAddress().getAddress().length);
   }
 
-  /** Whether a name or a zone may be told: some visible ASCII, and not too much of it. */
+  /**
+   * Returns whether a text may be a name or a zone: 1 to {@link #MAX_NAME_LENGTH} visible ASCII
+   * characters without quotation marks and backslashes.
+   */
   public static boolean isValidName(String text) {
     return !text.isEmpty()
         && text.length() <= MAX_NAME_LENGTH
--- a/src/main/java/brassbank/membership/View.java
+++ b/src/main/java/brassbank/membership/View.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Whom one member saw at one moment; a value.
+ * The members as one member sees them at one moment; immutable.
  *
- * @param version grows with each change, within one life of the process
- * @param self the member whose view it is; it is among the members
- * @param members by their names: the live ones and those that are remembered
- * @param settled nobody is suspected, nothing has changed for some time, and the first look for
- *     others is over
- * @param displaced another process has this one's name: it is no member
+ * @param version increases with each change while the process runs
+ * @param self the name of the member whose view this is; it is among the members
+ * @param members the live members and the tombstones, by name
+ * @param settled whether no member is suspected, nothing has changed for some time and the seeds
+ *     have been contacted
+ * @param displaced whether another process has this one's name, so that this one is not a member
  */
 public record View(
     long version, String self, List<Member> members, boolean settled, boolean displaced) {
@@ -18,7 +18,7 @@
     members = List.copyOf(members);
   }
 
-  /** Those that are there, the suspected among them. */
+  /** Returns the live members, including suspected ones. */
   public List<Member> liveMembers() {
     return members.stream().filter(member -> member.state().isLive()).toList();
   }
--- a/src/main/java/brassbank/membership/wire/DropReason.java
+++ b/src/main/java/brassbank/membership/wire/DropReason.java
@@ -1,15 +1,17 @@
 package brassbank.membership.wire;
 
-/** Why a datagram is dropped. */
+/** Why a datagram is dropped. The names are reported to operators in lower case. */
 public enum DropReason {
-  /** Shorter than any, longer than allowed, or without the mark: something else's. */
+  /**
+   * Shorter or longer than any valid datagram, or without the magic number: sent by other software.
+   */
   FOREIGN,
-  /** Cut off or damaged on its way. */
+  /** Truncated or altered in transit. */
   DAMAGED,
-  /** Of a version that this program does not speak. */
+  /** Of an unsupported protocol version. */
   VERSION,
   /** Of another fleet. */
   FLEET,
-  /** Whole, and yet nothing that a member would send. */
+  /** Intact, but with content that no member sends. */
   MALFORMED
 }
--- a/src/main/java/brassbank/membership/wire/Frame.java
+++ b/src/main/java/brassbank/membership/wire/Frame.java
@@ -3,11 +3,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32C;
 
-/** What all datagrams of a fleet have, whoever reads them. */
+/** Parts of the layout that membership and lease datagrams have in common. */
 public final class Frame {
   private Frame() {}
 
-  /** A fleet's name as datagrams have it: FNV-1a, 64 bits, over its UTF-8. */
+  /**
+   * Returns the identifier of a fleet in datagrams: the 64-bit FNV-1a hash of its name in UTF-8.
+   */
   public static long fleetHash(String name) {
     long hash = 0xcbf29ce484222325L;
     for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
@@ -16,7 +18,7 @@
     return hash;
   }
 
-  /** CRC-32C of the first bytes. */
+  /** Returns the CRC-32C of the first {@code length} bytes. */
   public static int checksum(byte[] bytes, int length) {
     CRC32C sum = new CRC32C();
     sum.update(bytes, 0, length);
--- a/src/main/java/brassbank/membership/wire/InvalidDatagramException.java
+++ b/src/main/java/brassbank/membership/wire/InvalidDatagramException.java
@@ -1,15 +1,15 @@
 package brassbank.membership.wire;
 
-/** A datagram that is dropped. */
+/** Thrown for a received datagram that is dropped. */
 public final class InvalidDatagramException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final DropReason reason;
 
-  public InvalidDatagramException(DropReason why, String what) {
-    // Whoever sends rubbish must not make the receiver walk through its stack.
-    super(what, null, false, false);
-    this.reason = why;
+  public InvalidDatagramException(DropReason reason, String detail) {
+    // No stack trace: a sender of invalid datagrams must not cause the cost of collecting one.
+    super(detail, null, false, false);
+    this.reason = reason;
   }
 
   public DropReason reason() {
--- a/src/main/java/brassbank/membership/wire/package-info.java
+++ b/src/main/java/brassbank/membership/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A message as the bytes of one datagram, and back. All integers are big-endian; docs/membership.md
- * has the layout, field by field.
+ * Encodes and decodes membership messages as datagrams. All integers are big-endian;
+ * docs/membership.md specifies the layout field by field.
  */
 package brassbank.membership.wire;
--- a/src/main/java/brassbank/shares/BudgetShare.java
+++ b/src/main/java/brassbank/shares/BudgetShare.java
@@ -1,18 +1,20 @@
 package brassbank.shares;
 
 /**
- * What one process may spend of each budget of the fleet; a value.
+ * The share of each of the fleet's budgets that one process may spend; immutable.
  *
- * @param part of the budget until then, above 0 and at most 1
- * @param base the part from then on
- * @param turn which of those with a seat it is, from 0 on; its rank where it has none
- * @param of how many have a seat, as it counts them; {@code balancers} where it has none
- * @param until when its seat ends if nothing is heard, in microseconds of the caller's clock;
- *     Long.MIN_VALUE where it has none
+ * @param fraction the fraction of the budget until {@code leaseEndMicros}, above 0 and at most 1
+ * @param baseFraction the fraction from then on
+ * @param index the position of this process among the lease holders, from 0; its rank without a
+ *     lease
+ * @param participants the number of lease holders as this process counts them; the number of ranks
+ *     without a lease
+ * @param leaseEndMicros when the lease ends unless it is renewed, in microseconds of the caller's
+ *     clock; {@code Long.MIN_VALUE} without a lease
  */
 public record BudgetShare(
     double fraction, double baseFraction, int index, int participants, long leaseEndMicros) {
-  /** Whether it spends with a seat. */
+  /** Returns whether the share is that of a lease holder. */
   public boolean hasLease() {
     return leaseEndMicros != Long.MIN_VALUE;
   }
--- a/src/main/java/brassbank/shares/Demand.java
+++ b/src/main/java/brassbank/shares/Demand.java
@@ -1,63 +1,77 @@
 package brassbank.shares;
 
 /**
- * How many clients come to this process, and what that weighs against the others' mean. For one
- * thread at a time; times are microseconds.
+ * Estimates the rate at which clients connect to this process, and the weight that follows from it
+ * compared to the mean of the fleet. Times are microseconds. Not thread-safe.
  */
 final class Demand {
-  /** Counted over about this long. */
-  private static final double TAU = 5_000_000;
+  /** Time constant of the exponentially weighted rate. */
+  private static final double TIME_CONSTANT_MICROS = 5_000_000;
 
-  /** A process that has just started does not know yet. */
-  private static final long KNOWN = 10_000_000;
+  /** A process that started more recently has no usable estimate yet. */
+  private static final long MIN_UPTIME_MICROS = 10_000_000;
 
-  private static final double PER = 10_000_000;
+  /** The period to which reported rates refer: ten seconds. */
+  private static final double RATE_PERIOD_MICROS = 10_000_000;
 
-  /** Taken to come to each besides, in ten seconds: a few more or less of a few mean nothing. */
-  private static final double PRIOR = 10;
+  /**
+   * Added to the count and the mean, so that small differences between small numbers do not matter.
+   */
+  private static final double PRIOR_CLIENTS = 10;
 
-  /** Up to so many times the mean, or down to its inverse, all weigh alike. */
-  private static final double ALIKE = 2;
+  /** Up to this multiple of the mean, and down to its inverse, a process has the default weight. */
+  private static final double MAX_EQUAL_RATIO = 2;
 
-  private final long startedAt;
-  private long lookedAt;
-  private long taken = -1; // not looked at yet
-  private double rate;
+  private final long startedAtMicros;
+  private long updatedAtMicros;
+  private long clientCount = -1; // before the first update
+  private double clientsPerMicro;
 
   Demand(long now) {
-    startedAt = now;
-    lookedAt = now;
+    startedAtMicros = now;
+    updatedAtMicros = now;
   }
 
-  /** So many clients have come in all. */
-  void look(long now, long all) {
-    long passed = now - lookedAt;
-    if (taken < 0) {
-      taken = all;
+  /**
+   * Updates the rate.
+   *
+   * @param now the current time
+   * @param total clients accepted since the process started
+   */
+  void update(long now, long total) {
+    long elapsed = now - updatedAtMicros;
+    if (clientCount < 0) {
+      clientCount = total;
     }
-    if (passed > 0) {
-      double kept = Math.exp(-passed / TAU);
-      rate = kept * rate + (1 - kept) * (all - taken) / (double) passed;
-      taken = all;
-      lookedAt = now;
+    if (elapsed > 0) {
+      double decay = Math.exp(-elapsed / TIME_CONSTANT_MICROS);
+      clientsPerMicro =
+          decay * clientsPerMicro + (1 - decay) * (total - clientCount) / (double) elapsed;
+      clientCount = total;
+      updatedAtMicros = now;
     }
   }
 
-  /** Clients in ten seconds. */
-  int count() {
-    return (int) Math.min(LeaseMessage.MAX_DEMAND, Math.round(rate * PER));
+  /** Returns the clients per ten seconds, at most {@link LeaseMessage#MAX_DEMAND}. */
+  int clientsPerTenSeconds() {
+    return (int)
+        Math.min(LeaseMessage.MAX_DEMAND, Math.round(clientsPerMicro * RATE_PERIOD_MICROS));
   }
 
-  /** What this process is to weigh where the mean count is this; NaN where that is not known. */
+  /**
+   * Returns the weight to request.
+   *
+   * @param mean the mean number of clients per ten seconds of the lease holders; NaN if unknown
+   */
   int weight(long now, double mean) {
-    if (Double.isNaN(mean) || now - startedAt < KNOWN) {
+    if (Double.isNaN(mean) || now - startedAtMicros < MIN_UPTIME_MICROS) {
       return LeaseMessage.DEFAULT_WEIGHT;
     }
-    double times = (count() + PRIOR) / (mean + PRIOR);
-    if (times < ALIKE && times > 1 / ALIKE) {
+    double ratio = (clientsPerTenSeconds() + PRIOR_CLIENTS) / (mean + PRIOR_CLIENTS);
+    if (ratio < MAX_EQUAL_RATIO && ratio > 1 / MAX_EQUAL_RATIO) {
       return LeaseMessage.DEFAULT_WEIGHT;
     }
-    long weight = Math.round(LeaseMessage.DEFAULT_WEIGHT * times);
+    long weight = Math.round(LeaseMessage.DEFAULT_WEIGHT * ratio);
     return (int) Math.min(LeaseMessage.MAX_WEIGHT, Math.max(1, weight));
   }
 }
--- a/src/main/java/brassbank/shares/DrainPermit.java
+++ b/src/main/java/brassbank/shares/DrainPermit.java
@@ -1,25 +1,24 @@
 package brassbank.shares;
 
 /**
- * Whether this process may leave by its operators' call; a value.
+ * The result of a request for the permit to drain; immutable.
  *
- * @param other the rank that leaves instead, or one below zero
+ * @param otherRank the rank that holds the permit instead; negative if none
  */
 public record DrainPermit(Status status, int otherRank) {
-  static final DrainPermit ASKED = new DrainPermit(Status.PENDING, -1);
-  static final DrainPermit GO = new DrainPermit(Status.GRANTED, -1);
+  static final DrainPermit PENDING = new DrainPermit(Status.PENDING, -1);
+  static final DrainPermit GRANTED = new DrainPermit(Status.GRANTED, -1);
 
-  /** What is known. */
   public enum Status {
-    /** Not yet known. */
+    /** The grantors' answers are not yet known. */
     PENDING,
-    /** It may, now. */
+    /** This process may drain now. */
     GRANTED,
-    /** Another leaves. */
+    /** Another process holds the permit. */
     OTHER_DRAINS,
-    /** Too few others have a seat to carry what it holds. */
+    /** Too few other processes hold a lease to take over this process's load. */
     TOO_FEW_LEASES,
-    /** No majority of keepers answers. */
+    /** No majority of the grantors has answered. */
     NO_MAJORITY
   }
 
--- a/src/main/java/brassbank/shares/DrainPermitRequest.java
+++ b/src/main/java/brassbank/shares/DrainPermitRequest.java
@@ -3,47 +3,47 @@
 import java.util.BitSet;
 
 /**
- * One process's asking for the turn to leave. A majority must let it go soon after it has asked, by
- * its own clock: one that was stopped meanwhile finds the turn over. Times are microseconds. For
- * one thread at a time.
+ * A request of one process for the permit to drain. A majority of the grantors must grant it within
+ * {@link #TIMEOUT_MICROS} by the requester's own clock; a process that was suspended meanwhile does
+ * not use grants that may have expired. Times are microseconds. Not thread-safe.
  */
 final class DrainPermitRequest {
-  /** Who asks to leave waits so long for a majority. */
-  private static final long WITHIN = 700_000;
+  /** How long the requester waits for a majority. */
+  private static final long TIMEOUT_MICROS = 700_000;
 
   private final int majority;
   private final int sequence;
-  private final long askedAt;
-  private final BitSet letGoBy = new BitSet();
-  private int other = -1;
+  private final long requestedAtMicros;
+  private final BitSet grantedBy = new BitSet();
+  private int otherRank = -1;
 
   DrainPermitRequest(int majority, int sequence, long now) {
     this.majority = majority;
     this.sequence = sequence;
-    askedAt = now;
+    requestedAtMicros = now;
   }
 
   int sequence() {
     return sequence;
   }
 
-  /** A keeper lets it go. */
-  void go(int keeper) {
-    letGoBy.set(keeper);
+  /** Adds a grant of the grantor with this rank. */
+  void addGrant(int grantor) {
+    grantedBy.set(grantor);
   }
 
-  /** A keeper says who leaves instead. */
-  void otherLeaves(int rank) {
-    other = rank;
+  /** Adds a refusal: the given rank holds the permit. */
+  void addRefusal(int rank) {
+    otherRank = rank;
   }
 
-  /** What is known now. */
-  DrainPermit leave(long now) {
-    if (other >= 0) {
-      return new DrainPermit(DrainPermit.Status.OTHER_DRAINS, other);
-    } else if (now - askedAt >= WITHIN) {
+  /** Returns the result as far as it is known. */
+  DrainPermit permit(long now) {
+    if (otherRank >= 0) {
+      return new DrainPermit(DrainPermit.Status.OTHER_DRAINS, otherRank);
+    } else if (now - requestedAtMicros >= TIMEOUT_MICROS) {
       return DrainPermit.of(DrainPermit.Status.NO_MAJORITY);
     }
-    return letGoBy.cardinality() >= majority ? DrainPermit.GO : DrainPermit.ASKED;
+    return grantedBy.cardinality() >= majority ? DrainPermit.GRANTED : DrainPermit.PENDING;
   }
 }
--- a/src/main/java/brassbank/shares/LeaseGrantor.java
+++ b/src/main/java/brassbank/shares/LeaseGrantor.java
@@ -6,122 +6,140 @@
 import java.util.Map;
 
 /**
- * Holds the seats of others, one for each rank, and the one turn to leave: each for one process at
- * a time, until some time after it was last asked for. A keeper that has just started says nothing,
- * since it does not know what its predecessor of the same rank has said.
+ * Grants the leases of all ranks and the single permit to drain. Each is held by one process at a
+ * time and expires some time after its last request. A grantor that has just started grants nothing
+ * until every grant of its predecessor of the same rank has expired, because it does not know them.
  *
- * <p>What a process gives back counts only against what it had asked for by then: a datagram that
- * comes late must not take away what it has meanwhile asked for again.
+ * <p>A release takes effect only if the process has not requested the lease or permit again since:
+ * a release that arrives late must not end a renewed grant.
  *
- * <p>Times are microseconds. A call costs as much as there are seats. For one thread at a time.
+ * <p>Times are microseconds. The cost of a call is at most linear in the number of leases. Not
+ * thread-safe.
  */
 final class LeaseGrantor {
   /**
-   * Who is let go has the turn for so long from its asking's arrival: longer than it may wait for
-   * the others' answers, and then take to send its clients away (4 s).
+   * How long a permit lasts from the arrival of its request: longer than the requester may wait for
+   * the other grantors' answers, plus the time in which it disconnects its clients (4 s).
    */
-  static final long LEAVING = 5_000_000;
+  static final long PERMIT_MICROS = 5_000_000;
 
-  /** What a process has, and its last asking for it. */
-  private record Held(int rank, long process, int sequence, long until, int weight, int demand) {
-    boolean by(long other) {
+  /** A granted lease or permit, with the sequence number of its latest request. */
+  private record Grant(
+      int rank, long process, int sequence, long expiresAtMicros, int weight, int demand) {
+    boolean isHeldBy(long other) {
       return process == other;
     }
 
-    Held with(int heavy, int wanted) {
-      return new Held(rank, process, sequence, until, heavy, wanted);
+    Grant withWeightAndDemand(int newWeight, int newDemand) {
+      return new Grant(rank, process, sequence, expiresAtMicros, newWeight, newDemand);
     }
 
-    boolean asked(long by, int before) {
-      return process == by && sequence <= before;
+    boolean wasRequested(long by, int upToSequence) {
+      return process == by && sequence <= upToSequence;
     }
   }
 
-  private final long holds;
-  private final long startedAt;
-  private final Map<Integer, Held> seats = new HashMap<>();
+  private final long grantMicros;
+  private final long startedAtMicros;
+  private final Map<Integer, Grant> leases = new HashMap<>();
 
-  /** Who has the turn to leave, or had it last; null while nobody has asked. */
-  private Held leaving;
+  /** The current or last permit to drain; null before the first request. */
+  private Grant drainPermit;
 
-  LeaseGrantor(long holds, long now) {
-    this.holds = holds;
-    startedAt = now;
+  LeaseGrantor(long grantMicros, long now) {
+    this.grantMicros = grantMicros;
+    startedAtMicros = now;
   }
 
-  /** Whether it speaks of seats yet. */
-  boolean speaks(long now) {
-    return now - startedAt >= holds;
+  /** Returns whether enough time has passed since the start to grant leases. */
+  boolean grantsLeases(long now) {
+    return now - startedAtMicros >= grantMicros;
   }
 
-  /** Whether it says yet who may leave. */
-  boolean speaksOfLeaving(long now) {
-    return now - startedAt >= LEAVING;
+  /** Returns whether enough time has passed since the start to grant the permit to drain. */
+  boolean grantsPermits(long now) {
+    return now - startedAtMicros >= PERMIT_MICROS;
   }
 
-  /** Holds the rank's seat for the process from now on; false where another one has it. */
-  boolean hold(long now, int rank, long process, int sequence, int weight, int demand) {
-    Held held = seats.get(rank);
-    Held next = next(held, now, rank, process, sequence, holds);
+  /** Grants or renews the lease of a rank; returns false if another process holds it. */
+  boolean grantLease(long now, int rank, long process, int sequence, int weight, int demand) {
+    Grant held = leases.get(rank);
+    Grant next = renew(held, now, rank, process, sequence, grantMicros);
     if (next == null) {
       return false;
     }
-    // What comes late weighs nothing against what was asked for since.
-    boolean late = held != null && held.by(process) && held.sequence() > sequence;
-    seats.put(rank, late ? next.with(held.weight(), held.demand()) : next.with(weight, demand));
+    // A request that arrives late must not replace the weight and demand of a newer one.
+    boolean late = held != null && held.isHeldBy(process) && held.sequence() > sequence;
+    leases.put(
+        rank,
+        late
+            ? next.withWeightAndDemand(held.weight(), held.demand())
+            : next.withWeightAndDemand(weight, demand));
     return true;
   }
 
-  /** Lets the process go; false where another has the turn, which is {@link #leaver} then. */
-  boolean letGo(long now, int rank, long process, int sequence) {
-    Held next = next(leaving, now, rank, process, sequence, LEAVING);
-    leaving = next == null ? leaving : next;
+  /**
+   * Grants or renews the permit to drain; returns false if another process, that of {@link
+   * #permitHolderRank}, holds it.
+   */
+  boolean grantPermit(long now, int rank, long process, int sequence) {
+    Grant next = renew(drainPermit, now, rank, process, sequence, PERMIT_MICROS);
+    drainPermit = next == null ? drainPermit : next;
     return next != null;
   }
 
-  private static Held next(Held held, long now, int rank, long process, int sequence, long length) {
-    if (held != null && held.until() > now && !held.by(process)) {
+  /** Returns the renewed grant, or null if another process holds an unexpired one. */
+  private static Grant renew(
+      Grant held, long now, int rank, long process, int sequence, long durationMicros) {
+    if (held != null && held.expiresAtMicros() > now && !held.isHeldBy(process)) {
       return null;
     }
-    int last = held != null && held.by(process) ? Math.max(held.sequence(), sequence) : sequence;
-    return new Held(rank, process, last, now + length, 0, 0);
+    int lastSequence =
+        held != null && held.isHeldBy(process) ? Math.max(held.sequence(), sequence) : sequence;
+    return new Grant(rank, process, lastSequence, now + durationMicros, 0, 0);
   }
 
-  /** The process has stopped spending with the seat that it had asked for by then. */
-  void giveBack(int rank, long process, int sequence) {
-    Held held = seats.get(rank);
-    if (held != null && held.asked(process, sequence)) {
-      seats.remove(rank);
+  /**
+   * Releases the lease of a process that no longer spends its share, unless the process has
+   * requested it again.
+   */
+  void releaseLease(int rank, long process, int sequence) {
+    Grant held = leases.get(rank);
+    if (held != null && held.wasRequested(process, sequence)) {
+      leases.remove(rank);
     }
   }
 
-  /** The process does not leave by the turn that it had asked for by then. */
-  void stays(long process, int sequence) {
-    if (leaving != null && leaving.asked(process, sequence)) {
-      leaving = null;
+  /**
+   * Releases the permit of a process that does not drain, unless the process has requested it
+   * again.
+   */
+  void releasePermit(long process, int sequence) {
+    if (drainPermit != null && drainPermit.wasRequested(process, sequence)) {
+      drainPermit = null;
     }
   }
 
-  /** The rank that has the turn to leave, or had it last; somebody must have. */
-  int leaver() {
-    return leaving.rank();
+  /** Returns the rank that holds or last held the permit; there must have been one. */
+  int permitHolderRank() {
+    return drainPermit.rank();
   }
 
-  /** Ranks whose seat is held now. */
-  BitSet seats(long now) {
-    seats.values().removeIf(held -> held.until() <= now);
+  /** Removes expired leases and returns the ranks of the others. */
+  BitSet leasedRanks(long now) {
+    leases.values().removeIf(held -> held.expiresAtMicros() <= now);
     BitSet ranks = new BitSet();
-    seats.keySet().forEach(ranks::set);
+    leases.keySet().forEach(ranks::set);
     return ranks;
   }
 
-  /** What some of those seats weigh, in the order of their ranks. */
+  /** Returns the weights of the given ranks' leases, in ascending order of rank. */
   List<Integer> weights(BitSet ranks) {
-    return ranks.stream().mapToObj(rank -> seats.get(rank).weight()).toList();
+    return ranks.stream().mapToObj(rank -> leases.get(rank).weight()).toList();
   }
 
-  /** Clients that come to all with a seat together, in ten seconds. */
+  /** Returns the clients per ten seconds of all lease holders together. */
   int demand() {
-    return seats.values().stream().mapToInt(Held::demand).sum();
+    return leases.values().stream().mapToInt(Grant::demand).sum();
   }
 }
--- a/src/main/java/brassbank/shares/LeaseMessage.java
+++ b/src/main/java/brassbank/shares/LeaseMessage.java
@@ -5,17 +5,19 @@
 import java.util.List;
 
 /**
- * What processes say to each other of seats.
+ * A message of the lease protocol.
  *
- * @param process the sender's life: a number by chance, new with each start
- * @param rank the sender's
- * @param of how many ranks there are by the sender's file
- * @param sequence ties an answer to its asking
- * @param seats ranks that have a seat with the sender, in {@link Kind#HELD}; who leaves, in {@link
- *     Kind#OTHER_LEAVES}; else empty
- * @param weights of those seats in the order of their ranks, in HELD; else empty
- * @param weight of the seat that is asked for, from 1 to {@link #MAX_WEIGHT}
- * @param demand clients that come to the asker in ten seconds; in HELD to all with a seat together
+ * @param process identifies the sender's process start: a random number
+ * @param rank the sender's rank
+ * @param rankCount the number of ranks in the sender's configuration
+ * @param sequence matches an answer to its request
+ * @param ranks in {@link Kind#HELD} the ranks whose lease the sender has granted; in {@link
+ *     Kind#OTHER_LEAVES} the rank that holds the permit to drain; otherwise empty
+ * @param weights the weights of these leases in ascending order of rank, in {@link Kind#HELD};
+ *     otherwise empty
+ * @param weight the weight of the requested lease, from 1 to {@link #MAX_WEIGHT}
+ * @param demand clients per ten seconds: of the requester, or in {@link Kind#HELD} of all lease
+ *     holders together
  */
 public record LeaseMessage(
     Kind kind,
@@ -27,35 +29,38 @@
     List<Integer> weights,
     int weight,
     int demand) {
-  /** Ranks that one fleet may have. */
+  /** Maximum number of ranks in a fleet. */
   public static final int MAX_RANKS = 256;
 
-  /** What a seat weighs whose process has about as many clients as others. */
+  /** The weight of a process with about the mean number of clients. */
   public static final int DEFAULT_WEIGHT = 4;
 
-  /** Nobody's part is more than four times the usual one's. */
+  /** Limits a share to four times that of the default weight. */
   public static final int MAX_WEIGHT = 16;
 
-  /** Of one process; a fleet's sum has room in four bytes. */
+  /** Maximum demand of one process; the sum over a fleet fits into four bytes. */
   public static final int MAX_DEMAND = 1_000_000;
 
-  /** What is said. */
+  /** The purpose of a message. The ordinal is the number in the datagram. */
   public enum Kind {
-    /** Asks for the sender's seat. */
+    /** Requests the lease of the sender's rank. */
     ASK,
-    /** The asker's seat is held, and these are all that are. */
+    /** Grants the requester's lease and lists all leases that the sender has granted. */
     HELD,
-    /** Another process of the asker's rank has its seat. */
+    /**
+     * Refuses the lease: another process of the requester's rank holds it, or the sender is no
+     * grantor.
+     */
     TAKEN,
-    /** The sender has stopped spending with its seat. */
+    /** Releases the lease: the sender no longer spends its share. */
     GIVE_BACK,
-    /** Asks whether the sender may leave now, by operators' call. */
+    /** Requests the permit to drain on an operator's command. */
     LEAVE,
-    /** Nobody else leaves, as far as this keeper knows, and the asker is let go. */
+    /** Grants the permit to drain. */
     GO,
-    /** Another leaves: the one rank among the seats. */
+    /** Refuses the permit: the one rank in {@link LeaseMessage#ranks} holds it. */
     OTHER_LEAVES,
-    /** The sender does not leave after all. */
+    /** Releases the permit: the sender does not drain. */
     STAYS
   }
 
@@ -65,29 +70,32 @@
         || rank < 0
         || rank >= rankCount
         || ranks.length() > rankCount) {
-      throw new IllegalArgumentException("rank " + rank + " of " + rankCount);
+      throw new IllegalArgumentException(
+          "rank " + rank + " or ranks " + ranks + " out of bounds, " + rankCount + " ranks");
     }
     weights = List.copyOf(weights);
     if (weights.size() != (kind == Kind.HELD ? ranks.cardinality() : 0)
         || weight < 1
         || weight > MAX_WEIGHT
         || demand < 0
-        || weights.stream().anyMatch(one -> one < 1 || one > MAX_WEIGHT)) {
-      throw new IllegalArgumentException("weights " + weight + " and " + weights);
+        || weights.stream().anyMatch(each -> each < 1 || each > MAX_WEIGHT)) {
+      throw new IllegalArgumentException(
+          "weight " + weight + ", demand " + demand + " or weights " + weights + " out of bounds");
     }
   }
 
-  /** One whose seats weigh as usual. */
-  public LeaseMessage(Kind kind, long process, int rank, int of, int sequence, BitSet seats) {
+  /** Creates a message whose leases all have the default weight. */
+  public LeaseMessage(
+      Kind kind, long process, int rank, int rankCount, int sequence, BitSet ranks) {
     this(
         kind,
         process,
         rank,
-        of,
+        rankCount,
         sequence,
-        seats,
+        ranks,
         kind == Kind.HELD
-            ? Collections.nCopies(seats.cardinality(), DEFAULT_WEIGHT)
+            ? Collections.nCopies(ranks.cardinality(), DEFAULT_WEIGHT)
             : Collections.emptyList(),
         DEFAULT_WEIGHT,
         0);
--- a/src/main/java/brassbank/shares/LeaseParticipant.java
+++ b/src/main/java/brassbank/shares/LeaseParticipant.java
@@ -10,306 +10,342 @@
 import java.util.Map;
 
 /**
- * One process among those that share the fleet's budgets: it asks for its own seat and, where its
- * rank is a keeper's, holds the others'. It is told the time with each call, in microseconds of a
- * steady clock that goes on while the process is stopped, by one thread.
+ * One process among those that divide the fleet's budgets. It requests the lease of its own rank
+ * and, if its rank is that of a grantor, answers the requests of the others.
+ *
+ * <p>The caller passes the current time with each call, in microseconds of a monotonic clock that
+ * continues while the process is suspended. Not thread-safe: all calls must come from one thread.
  */
 public final class LeaseParticipant {
-  /** Ranks below this are keepers: a larger fleet does not make more messages of each. */
-  static final int MOST_KEEPERS = 15;
+  /**
+   * Processes of lower ranks are grantors. The limit bounds the messages that each process sends in
+   * a large fleet.
+   */
+  static final int MAX_GRANTORS = 15;
 
-  /** Askings whose answers may still count, and some more. */
-  private static final int REMEMBERED = 64;
+  /** Recent requests that are remembered: more than those whose answers can still be valid. */
+  private static final int MAX_TRACKED_REQUESTS = 64;
 
-  private record Asked(int sequence, long at, int weight) {}
+  private record LeaseRequest(int sequence, long sentAtMicros, int weight) {}
 
   private final LeaseSettings settings;
   private final int rank;
-  private final int of;
+  private final int rankCount;
   private final long process;
-  private final LeaseGrantor keeper;
-  private final RankLease seat;
+  private final LeaseGrantor grantor;
+  private final RankLease lease;
   private final Demand demand;
-  private final Deque<Asked> asked = new ArrayDeque<>();
+  private final Deque<LeaseRequest> requests = new ArrayDeque<>();
 
-  /** What each address said of its rank; those that are no keepers need not be asked. */
-  private final Map<InetSocketAddress, Integer> ranks = new HashMap<>();
+  /** The rank last received from each address; only grantors are asked for leases. */
+  private final Map<InetSocketAddress, Integer> ranksByAddress = new HashMap<>();
 
-  /** The asking to leave that is under way, or null. */
-  private DrainPermitRequest turn;
+  /** The pending request for the permit to drain, or null. */
+  private DrainPermitRequest permitRequest;
 
-  private long nextAsk;
+  private long nextRequestAtMicros;
   private int sequence;
-  private boolean wanted;
-  private long refused;
-  private long taken;
+  private boolean leaseWanted;
+  private long rankCountMismatches;
+  private long rankConflicts;
 
   /**
-   * @param rank below {@code of}, and no other live process's
-   * @param of how many ranks there are, the same in all files; 1 to {@link LeaseMessage#MAX_RANKS}
-   * @param process by chance, new with each start
+   * Creates a participant that has no lease yet.
+   *
+   * @param rank below {@code rankCount}; no other running process has the same
+   * @param rankCount the number of ranks, the same for all processes of the fleet; 1 to {@link
+   *     LeaseMessage#MAX_RANKS}
+   * @param process identifies this process start: a random number
+   * @throws IllegalArgumentException if the rank or the number of ranks is out of bounds
    */
-  public LeaseParticipant(LeaseSettings settings, int rank, int of, long process, long now) {
-    if (of < 1 || of > LeaseMessage.MAX_RANKS || rank < 0 || rank >= of) {
-      throw new IllegalArgumentException("rank " + rank + " of " + of);
+  public LeaseParticipant(LeaseSettings settings, int rank, int rankCount, long process, long now) {
+    if (rankCount < 1 || rankCount > LeaseMessage.MAX_RANKS || rank < 0 || rank >= rankCount) {
+      throw new IllegalArgumentException("rank " + rank + " of " + rankCount + " ranks");
     }
     this.settings = settings;
     this.rank = rank;
-    this.of = of;
+    this.rankCount = rankCount;
     this.process = process;
-    keeper = new LeaseGrantor(settings.grantMicros(), now);
-    seat = new RankLease(settings, keepers());
+    grantor = new LeaseGrantor(settings.grantMicros(), now);
+    lease = new RankLease(settings, grantorCount());
     demand = new Demand(now);
-    nextAsk = now;
+    nextRequestAtMicros = now;
   }
 
-  /** So many clients have come to this process in all: what it asks for follows from that. */
+  /**
+   * Updates the demand, from which the weight of the next request follows.
+   *
+   * @param clients the number of clients that this process has accepted since its start
+   */
   public void recordClients(long now, long clients) {
-    demand.look(now, clients);
+    demand.update(now, clients);
   }
 
   /**
-   * Asks again where that is due.
+   * Requests the lease again if the renewal is due, or releases it if the process no longer wants
+   * it.
    *
-   * @param wants whether this process takes clients, so that it spends
-   * @param others where the others of the fleet are
+   * @param wantsLease whether this process accepts clients and so spends from the budgets
+   * @param others addresses of the other members of the fleet
    */
-  public void tick(long now, boolean wants, List<InetSocketAddress> others, LeaseOutbox out) {
-    if (wanted && !wants) {
-      giveBack(now, others, out);
+  public void tick(long now, boolean wantsLease, List<InetSocketAddress> others, LeaseOutbox out) {
+    if (leaseWanted && !wantsLease) {
+      releaseLease(now, others, out);
     }
-    wanted = wants;
-    if (!wants || now < nextAsk) {
+    leaseWanted = wantsLease;
+    if (!wantsLease || now < nextRequestAtMicros) {
       return;
     }
-    nextAsk = now + settings.renewalMicros();
-    int weight = demand.weight(now, seat.meanDemand(now));
-    asked.addLast(new Asked(next(), now, weight));
-    if (asked.size() > REMEMBERED) {
-      asked.removeFirst();
+    nextRequestAtMicros = now + settings.renewalMicros();
+    int weight = demand.weight(now, lease.meanDemand(now));
+    requests.addLast(new LeaseRequest(nextSequence(), now, weight));
+    if (requests.size() > MAX_TRACKED_REQUESTS) {
+      requests.removeFirst();
     }
-    ranks.keySet().retainAll(others);
-    LeaseMessage ask =
+    ranksByAddress.keySet().retainAll(others);
+    LeaseMessage request =
         new LeaseMessage(
-            Kind.ASK, process, rank, of, sequence, new BitSet(), List.of(), weight, demand.count());
+            Kind.ASK,
+            process,
+            rank,
+            rankCount,
+            sequence,
+            new BitSet(),
+            List.of(),
+            weight,
+            demand.clientsPerTenSeconds());
     for (InetSocketAddress other : others) {
-      if (ranks.getOrDefault(other, 0) < MOST_KEEPERS) {
-        out.send(other, ask);
+      if (ranksByAddress.getOrDefault(other, 0) < MAX_GRANTORS) {
+        out.send(other, request);
       }
     }
-    if (rank < MOST_KEEPERS && keeper.speaks(now) && holds(now, ask)) {
-      seat.held(now, rank, now, held(now, sequence));
+    if (rank < MAX_GRANTORS && grantor.grantsLeases(now) && grantLease(now, request)) {
+      lease.addGrant(now, rank, now, grantMessage(now, sequence));
     }
   }
 
-  private boolean holds(long now, LeaseMessage ask) {
-    return keeper.hold(now, ask.rank(), ask.process(), ask.sequence(), ask.weight(), ask.demand());
+  private boolean grantLease(long now, LeaseMessage request) {
+    return grantor.grantLease(
+        now,
+        request.rank(),
+        request.process(),
+        request.sequence(),
+        request.weight(),
+        request.demand());
   }
 
-  /** The answer of this keeper. */
-  private LeaseMessage held(long now, int sequence) {
-    BitSet seats = keeper.seats(now);
+  /** Returns this grantor's answer to a granted request. */
+  private LeaseMessage grantMessage(long now, int requestSequence) {
+    BitSet ranks = grantor.leasedRanks(now);
     return new LeaseMessage(
         Kind.HELD,
         process,
         rank,
-        of,
-        sequence,
-        seats,
-        keeper.weights(seats),
+        rankCount,
+        requestSequence,
+        ranks,
+        grantor.weights(ranks),
         LeaseMessage.DEFAULT_WEIGHT,
-        keeper.demand());
+        grantor.demand());
   }
 
-  private int next() {
+  private int nextSequence() {
     return ++sequence;
   }
 
-  private int keepers() {
-    return Math.min(of, MOST_KEEPERS);
+  private int grantorCount() {
+    return Math.min(rankCount, MAX_GRANTORS);
   }
 
-  private LeaseMessage message(Kind kind, int sequence, BitSet seats) {
-    return new LeaseMessage(kind, process, rank, of, sequence, seats);
+  private LeaseMessage message(Kind kind, int messageSequence, BitSet ranks) {
+    return new LeaseMessage(kind, process, rank, rankCount, messageSequence, ranks);
   }
 
-  /** What is given back is not spent with any more: first the one, then the other. */
-  private void giveBack(long now, List<InetSocketAddress> others, LeaseOutbox out) {
-    seat.drop();
-    asked.clear();
-    keeper.giveBack(rank, process, sequence);
+  /** Stops spending the share first, and then announces the release. */
+  private void releaseLease(long now, List<InetSocketAddress> others, LeaseOutbox out) {
+    lease.release();
+    requests.clear();
+    grantor.releaseLease(rank, process, sequence);
     LeaseMessage message = message(Kind.GIVE_BACK, sequence, new BitSet());
     others.forEach(other -> out.send(other, message));
   }
 
   /**
-   * Asks the fleet whether this process may leave now: one at a time does, and only while at least
-   * half of all ranks have a seat beside this one.
+   * Requests the permit to drain. One process holds it at a time, and only while at least half of
+   * all ranks other than this one hold a lease.
    *
-   * @return what is known at once; while that is {@link Leave.Status#PENDING}, {@link
-   *     #pollDrainPermit} tells what has come of it
+   * @return the result as far as it is known; while it is {@link DrainPermit.Status#PENDING},
+   *     {@link #pollDrainPermit} returns the later result
    */
   public DrainPermit requestDrainPermit(long now, List<InetSocketAddress> others, LeaseOutbox out) {
-    BudgetShare part = share(now);
-    if (!part.hasLease()) {
+    BudgetShare share = share(now);
+    if (!share.hasLease()) {
       return DrainPermit.of(DrainPermit.Status.NO_MAJORITY);
-    } else if (2 * (part.participants() - 1) < of) {
+    } else if (2 * (share.participants() - 1) < rankCount) {
       return DrainPermit.of(DrainPermit.Status.TOO_FEW_LEASES);
     }
-    turn = new DrainPermitRequest(keepers() / 2 + 1, next(), now);
-    LeaseMessage ask = message(Kind.LEAVE, turn.sequence(), new BitSet());
-    others.forEach(other -> out.send(other, ask));
-    if (rank < MOST_KEEPERS && keeper.speaksOfLeaving(now)) {
-      if (keeper.letGo(now, rank, process, turn.sequence())) {
-        turn.go(rank);
+    permitRequest = new DrainPermitRequest(grantorCount() / 2 + 1, nextSequence(), now);
+    LeaseMessage request = message(Kind.LEAVE, permitRequest.sequence(), new BitSet());
+    others.forEach(other -> out.send(other, request));
+    if (rank < MAX_GRANTORS && grantor.grantsPermits(now)) {
+      if (grantor.grantPermit(now, rank, process, permitRequest.sequence())) {
+        permitRequest.addGrant(rank);
       } else {
-        turn.otherLeaves(keeper.leaver());
+        permitRequest.addRefusal(grantor.permitHolderRank());
       }
     }
     return pollDrainPermit(now, others, out);
   }
 
   /**
-   * What has come of {@link #requestDrainPermit}, or null where nothing was asked. Once it is no
-   * longer {@link Leave.Status#PENDING} it is forgotten, and where it is no {@link
-   * Leave.Status#GRANTED}, the turn is given back.
+   * Returns the result of {@link #requestDrainPermit}, or null if no request is pending. A final
+   * result is returned once; if it is not {@link DrainPermit.Status#GRANTED}, the grants received
+   * so far are released.
    */
   public DrainPermit pollDrainPermit(long now, List<InetSocketAddress> others, LeaseOutbox out) {
-    DrainPermit known = turn == null ? null : turn.leave(now);
-    if (known == null || known == DrainPermit.ASKED) {
+    DrainPermit known = permitRequest == null ? null : permitRequest.permit(now);
+    if (known == null || known == DrainPermit.PENDING) {
       return known;
     }
-    if (known != DrainPermit.GO) {
-      keeper.stays(process, turn.sequence());
-      LeaseMessage stays = message(Kind.STAYS, turn.sequence(), new BitSet());
-      others.forEach(other -> out.send(other, stays));
+    if (known != DrainPermit.GRANTED) {
+      grantor.releasePermit(process, permitRequest.sequence());
+      LeaseMessage release = message(Kind.STAYS, permitRequest.sequence(), new BitSet());
+      others.forEach(other -> out.send(other, release));
     }
-    turn = null;
+    permitRequest = null;
     return known;
   }
 
-  /** Where this rank was last heard of, or null. */
-  public InetSocketAddress addressOfRank(int of) {
-    return ranks.entrySet().stream()
-        .filter(entry -> entry.getValue() == of)
+  /** Returns the address from which this rank was last heard, or null. */
+  public InetSocketAddress addressOfRank(int wantedRank) {
+    return ranksByAddress.entrySet().stream()
+        .filter(entry -> entry.getValue() == wantedRank)
         .map(Map.Entry::getKey)
         .findAny()
         .orElse(null);
   }
 
-  /** The process ends, or another of its rank goes on in its place. */
+  /** Releases the lease because the process stops or a successor of the same rank takes over. */
   public void close(long now, List<InetSocketAddress> others, LeaseOutbox out) {
-    if (wanted) {
-      wanted = false;
-      giveBack(now, others, out);
+    if (leaseWanted) {
+      leaseWanted = false;
+      releaseLease(now, others, out);
     }
   }
 
-  /** Something has come from an address. */
+  /** Handles a message received from another process. */
   public void receive(long now, InetSocketAddress from, LeaseMessage message, LeaseOutbox out) {
-    if (message.rankCount() != of || message.process() == process) {
-      refused++;
+    if (message.rankCount() != rankCount || message.process() == process) {
+      rankCountMismatches++;
       return;
     }
-    ranks.put(from, message.rank());
+    ranksByAddress.put(from, message.rank());
     switch (message.kind()) {
-      case ASK -> asked(now, from, message, out);
-      case GIVE_BACK -> keeper.giveBack(message.rank(), message.process(), message.sequence());
+      case ASK -> handleLeaseRequest(now, from, message, out);
+      case GIVE_BACK -> grantor.releaseLease(message.rank(), message.process(), message.sequence());
       case HELD -> {
-        Asked mine = asked(message.sequence());
-        if (mine != null && message.rank() < MOST_KEEPERS && message.ranks().get(rank)) {
-          seat.held(now, message.rank(), mine.at(), message);
+        LeaseRequest request = findRequest(message.sequence());
+        if (request != null && message.rank() < MAX_GRANTORS && message.ranks().get(rank)) {
+          lease.addGrant(now, message.rank(), request.sentAtMicros(), message);
         }
       }
-      case TAKEN -> taken++;
-      case LEAVE -> askedToLeave(now, from, message, out);
-      case STAYS -> keeper.stays(message.process(), message.sequence());
+      case TAKEN -> rankConflicts++;
+      case LEAVE -> handlePermitRequest(now, from, message, out);
+      case STAYS -> grantor.releasePermit(message.process(), message.sequence());
       case GO -> {
-        if (answers(message) && message.rank() < MOST_KEEPERS) {
-          turn.go(message.rank());
+        if (answersPermitRequest(message) && message.rank() < MAX_GRANTORS) {
+          permitRequest.addGrant(message.rank());
         }
       }
       case OTHER_LEAVES -> {
-        if (answers(message) && !message.ranks().isEmpty()) {
-          turn.otherLeaves(message.ranks().nextSetBit(0));
+        if (answersPermitRequest(message) && !message.ranks().isEmpty()) {
+          permitRequest.addRefusal(message.ranks().nextSetBit(0));
         }
       }
-      default -> throw new IllegalStateException("no such kind: " + message.kind());
+      default -> throw new IllegalStateException("unhandled kind of message: " + message.kind());
     }
   }
 
-  /** Whether it answers the asking to leave that is under way. */
-  private boolean answers(LeaseMessage message) {
-    return turn != null && message.sequence() == turn.sequence();
+  /** Returns whether a message answers the pending request for the permit to drain. */
+  private boolean answersPermitRequest(LeaseMessage message) {
+    return permitRequest != null && message.sequence() == permitRequest.sequence();
   }
 
-  private void askedToLeave(
+  private void handlePermitRequest(
       long now, InetSocketAddress from, LeaseMessage message, LeaseOutbox out) {
-    if (rank >= MOST_KEEPERS || !keeper.speaksOfLeaving(now)) {
+    if (rank >= MAX_GRANTORS || !grantor.grantsPermits(now)) {
       return;
     }
-    BitSet other = new BitSet();
-    boolean go = keeper.letGo(now, message.rank(), message.process(), message.sequence());
-    if (!go) {
-      other.set(keeper.leaver());
+    BitSet holder = new BitSet();
+    boolean granted =
+        grantor.grantPermit(now, message.rank(), message.process(), message.sequence());
+    if (!granted) {
+      holder.set(grantor.permitHolderRank());
     }
-    out.send(from, message(go ? Kind.GO : Kind.OTHER_LEAVES, message.sequence(), other));
+    out.send(from, message(granted ? Kind.GO : Kind.OTHER_LEAVES, message.sequence(), holder));
   }
 
-  private void asked(long now, InetSocketAddress from, LeaseMessage message, LeaseOutbox out) {
-    if (rank >= MOST_KEEPERS) {
-      // It learns from this that it need not ask here again.
+  private void handleLeaseRequest(
+      long now, InetSocketAddress from, LeaseMessage message, LeaseOutbox out) {
+    if (rank >= MAX_GRANTORS) {
+      // The message carries this rank, from which the requester finds that it is no grantor.
       out.send(from, message(Kind.TAKEN, message.sequence(), new BitSet()));
-    } else if (keeper.speaks(now)) {
+    } else if (grantor.grantsLeases(now)) {
       out.send(
           from,
-          holds(now, message)
-              ? held(now, message.sequence())
+          grantLease(now, message)
+              ? grantMessage(now, message.sequence())
               : message(Kind.TAKEN, message.sequence(), new BitSet()));
     }
   }
 
-  private Asked asked(int sequence) {
-    for (Asked one : asked) {
-      if (one.sequence() == sequence) {
-        return one;
+  private LeaseRequest findRequest(int requestSequence) {
+    for (LeaseRequest request : requests) {
+      if (request.sequence() == requestSequence) {
+        return request;
       }
     }
     return null;
   }
 
-  /** What this process may spend of each budget now. */
+  /** Returns the share of each budget that this process may spend now. */
   public BudgetShare share(long now) {
-    double base = settings.baseShare() / of;
-    if (!wanted || !seat.spends(now)) {
-      return new BudgetShare(base, base, rank, of, Long.MIN_VALUE);
+    double base = settings.baseShare() / rankCount;
+    if (!leaseWanted || !lease.isActive(now)) {
+      return new BudgetShare(base, base, rank, rankCount, Long.MIN_VALUE);
     }
-    BitSet counted = seat.counted(now);
-    int seats = counted.cardinality();
-    int turn = counted.get(0, rank).cardinality();
-    int own = weight(now);
-    int all = Math.max(0, own - seat.weight(now, rank));
-    all += counted.stream().map(other -> seat.weight(now, other)).sum();
-    double rest = (1 - settings.baseShare()) * own / all;
-    return new BudgetShare(base + rest, base, turn, seats, seat.heldUntil());
+    BitSet leasedRanks = lease.leasedRanks(now);
+    int participants = leasedRanks.cardinality();
+    int index = leasedRanks.get(0, rank).cardinality();
+    int ownWeight = weight(now);
+    int totalWeight = Math.max(0, ownWeight - lease.weight(now, rank));
+    totalWeight += leasedRanks.stream().map(other -> lease.weight(now, other)).sum();
+    double leasedShare = (1 - settings.baseShare()) * ownWeight / totalWeight;
+    return new BudgetShare(base + leasedShare, base, index, participants, lease.leaseEndMicros());
   }
 
-  /** What its seat is spent with: no more than others may still count it for. */
+  /**
+   * Returns the weight by which this process may spend: the lowest of its recent requests, since
+   * other processes may still count any of them.
+   */
   public int weight(long now) {
-    return asked.stream()
-        .filter(one -> one.at() > now - settings.weightWindowMicros())
-        .mapToInt(Asked::weight)
+    return requests.stream()
+        .filter(request -> request.sentAtMicros() > now - settings.weightWindowMicros())
+        .mapToInt(LeaseRequest::weight)
         .min()
         .orElse(1);
   }
 
-  /** Messages that came from a fleet of another size. */
+  /**
+   * Returns the number of messages ignored because they give another number of ranks, or because
+   * they came from this process itself.
+   */
   public long rankCountMismatches() {
-    return refused;
+    return rankCountMismatches;
   }
 
-  /** How often this rank's seat was another process's. */
+  /** Returns how often a grantor refused this rank's lease because another process holds it. */
   public long rankConflicts() {
-    return taken;
+    return rankConflicts;
   }
 }
--- a/src/main/java/brassbank/shares/LeaseSettings.java
+++ b/src/main/java/brassbank/shares/LeaseSettings.java
@@ -1,15 +1,17 @@
 package brassbank.shares;
 
 /**
- * The figures of the rule; docs/shares.md has the reason of each. Times are microseconds.
+ * The parameters of the lease protocol; docs/shares.md gives the reason for each.
  *
- * @param base part of each budget that goes by the file's numbers, whoever is there; above 0, at
- *     most 1: a proxy without a seat must be able to place something
- * @param period a seat is asked for this often
- * @param counts an answer counts for so long from when it was asked for (V)
- * @param holds a keeper holds a seat for so long from the asking's arrival (H)
- * @param waits a seat is spent with once it was held for so long without a gap (W)
- * @param weighs it is spent with the least weight that it was asked for with in so long
+ * @param baseShare the fraction of each budget that is divided evenly by the number of ranks,
+ *     whether or not a process holds a lease; above 0, because a proxy without a lease must be able
+ *     to place something, and at most 1
+ * @param renewalMicros the interval between two requests for the lease
+ * @param validityMicros how long a grant is valid for the requester, from when it was requested (V)
+ * @param grantMicros how long a grantor reserves a lease, from the arrival of the request (H)
+ * @param activationMicros how long a lease must have been held without interruption before its
+ *     share is spent (W)
+ * @param weightWindowMicros the period whose lowest requested weight determines the share
  */
 public record LeaseSettings(
     double baseShare,
@@ -18,27 +20,32 @@
     long grantMicros,
     long activationMicros,
     long weightWindowMicros) {
-  private static final long MILLI = 1_000;
+  private static final long MILLI_MICROS = 1_000;
 
-  /** The base where the file says nothing: what it costs and brings stands in docs/shares.md. */
+  /** The default base share; docs/shares.md compares alternatives. */
   public static final double DEFAULT_BASE_SHARE = 0.25;
 
   public LeaseSettings {
     if (!(baseShare > 0 && baseShare <= 1)) {
-      throw new IllegalArgumentException("a base is above 0 and at most 1, not " + baseShare);
+      throw new IllegalArgumentException("base share must be above 0 and at most 1: " + baseShare);
     }
     if (renewalMicros <= 0
         || validityMicros < renewalMicros
         || grantMicros <= 0
         || activationMicros < 0
         || weightWindowMicros < 0) {
-      throw new IllegalArgumentException("times that cannot be");
+      throw new IllegalArgumentException("inconsistent intervals");
     }
   }
 
-  /** The usual times. */
-  public static LeaseSettings withBaseShare(double base) {
+  /** Returns the default intervals with the given base share. */
+  public static LeaseSettings withBaseShare(double baseShare) {
     return new LeaseSettings(
-        base, 300 * MILLI, 1_200 * MILLI, 2_600 * MILLI, 1_400 * MILLI, 3_000 * MILLI);
+        baseShare,
+        300 * MILLI_MICROS,
+        1_200 * MILLI_MICROS,
+        2_600 * MILLI_MICROS,
+        1_400 * MILLI_MICROS,
+        3_000 * MILLI_MICROS);
   }
 }
--- a/src/main/java/brassbank/shares/RankLease.java
+++ b/src/main/java/brassbank/shares/RankLease.java
@@ -7,111 +7,129 @@
 import java.util.Map;
 
 /**
- * One process's seat, as the answers of keepers tell it. An answer counts by when it was asked for,
- * so that neither a late datagram nor a stop of the process makes a seat last.
+ * The lease of one process's rank, derived from the grantors' answers. A grant is valid for a fixed
+ * time from when it was requested, not from when it arrived, so that neither a delayed datagram nor
+ * a suspension of the process prolongs the lease.
  *
- * <p>Times are microseconds. For one thread at a time.
+ * <p>Times are microseconds. Not thread-safe.
  */
 final class RankLease {
   private static final long NEVER = Long.MIN_VALUE;
 
-  private record Answer(
-      long process, long askedAt, BitSet seats, List<Integer> weights, int demand) {
+  /**
+   * The latest answer of one grantor; {@code ranks}, {@code weights} and {@code demand} describe
+   * all leases that it has granted.
+   */
+  private record Grant(
+      long process, long requestedAtMicros, BitSet ranks, List<Integer> weights, int demand) {
     int weight(int rank) {
-      return seats.get(rank) ? weights.get(seats.get(0, rank).cardinality()) : 0;
+      return ranks.get(rank) ? weights.get(ranks.get(0, rank).cardinality()) : 0;
     }
   }
 
   private final LeaseSettings settings;
   private final int majority;
-  private final Map<Integer, Answer> answers = new HashMap<>();
+  private final Map<Integer, Grant> grants = new HashMap<>();
 
-  /** Keepers' ranks that two processes have answered for, and until when neither counts. */
-  private final Map<Integer, Long> disputed = new HashMap<>();
+  /** Grantor ranks for which two processes have answered, and until when neither is counted. */
+  private final Map<Integer, Long> disputedUntilMicros = new HashMap<>();
 
-  private long heldUntil = NEVER;
-  private long heldSince;
+  private long leaseEndMicros = NEVER;
+  private long leaseStartMicros;
 
-  RankLease(LeaseSettings settings, int keepers) {
+  RankLease(LeaseSettings settings, int grantors) {
     this.settings = settings;
-    majority = keepers / 2 + 1;
+    majority = grantors / 2 + 1;
   }
 
-  /** A keeper holds the seat, and has told which others it holds. */
-  void held(long now, int keeper, long askedAt, LeaseMessage answer) {
+  /**
+   * Adds a grantor's answer.
+   *
+   * @param grantor the rank of the grantor
+   * @param requestedAt when this process sent the request
+   */
+  void addGrant(long now, int grantor, long requestedAt, LeaseMessage answer) {
     long process = answer.process();
-    Answer known = answers.get(keeper);
-    boolean other = known != null && known.process() != process && counts(known, now);
-    if (other || disputed.getOrDefault(keeper, NEVER) > now) {
-      // Two processes of one rank hold seats apart from each other: majorities need not meet there.
-      answers.remove(keeper);
-      disputed.put(keeper, now + settings.grantMicros());
-    } else if (known == null || askedAt > known.askedAt()) {
-      answers.put(
-          keeper, new Answer(process, askedAt, answer.ranks(), answer.weights(), answer.demand()));
+    Grant known = grants.get(grantor);
+    boolean conflict = known != null && known.process() != process && isValid(known, now);
+    if (conflict || disputedUntilMicros.getOrDefault(grantor, NEVER) > now) {
+      // Two processes of one rank grant independently, so that two majorities need not intersect.
+      grants.remove(grantor);
+      disputedUntilMicros.put(grantor, now + settings.grantMicros());
+    } else if (known == null || requestedAt > known.requestedAtMicros()) {
+      grants.put(
+          grantor,
+          new Grant(process, requestedAt, answer.ranks(), answer.weights(), answer.demand()));
     }
-    boolean gap = now >= heldUntil;
-    heldUntil = until();
-    if (gap) {
-      heldSince = now;
+    boolean expired = now >= leaseEndMicros;
+    leaseEndMicros = majorityEndMicros();
+    if (expired) {
+      leaseStartMicros = now;
     }
   }
 
-  /** The process has given it back, or has another reason not to spend with it. */
-  void drop() {
-    answers.clear();
-    heldUntil = NEVER;
+  /** Ends the lease: the process has released it or must not spend its share. */
+  void release() {
+    grants.clear();
+    leaseEndMicros = NEVER;
   }
 
-  private boolean counts(Answer answer, long now) {
-    return answer.askedAt() + settings.validityMicros() > now;
+  private boolean isValid(Grant grant, long now) {
+    return grant.requestedAtMicros() + settings.validityMicros() > now;
   }
 
-  /** When the last majority of answers ends to count, if no other comes. */
-  private long until() {
-    if (answers.size() < majority) {
+  /** Returns when fewer than a majority of the grants are still valid, if no other arrives. */
+  private long majorityEndMicros() {
+    if (grants.size() < majority) {
       return NEVER;
     }
-    long[] asked = answers.values().stream().mapToLong(Answer::askedAt).sorted().toArray();
-    return asked[asked.length - majority] + settings.validityMicros();
+    long[] requestTimes =
+        grants.values().stream().mapToLong(Grant::requestedAtMicros).sorted().toArray();
+    return requestTimes[requestTimes.length - majority] + settings.validityMicros();
   }
 
-  /** Whether it may be spent with. */
-  boolean spends(long now) {
-    return now < heldUntil && now - heldSince >= settings.activationMicros();
+  /**
+   * Returns whether the process may spend its share: the lease is valid and has been for the
+   * activation time.
+   */
+  boolean isActive(long now) {
+    return now < leaseEndMicros && now - leaseStartMicros >= settings.activationMicros();
   }
 
-  /** When it ends if nothing is heard. */
-  long heldUntil() {
-    return heldUntil;
+  /** Returns when the lease ends unless it is renewed. */
+  long leaseEndMicros() {
+    return leaseEndMicros;
   }
 
-  /** All ranks that any answer names that counts now. */
-  BitSet counted(long now) {
+  /** Returns all ranks that hold a lease according to any valid grant. */
+  BitSet leasedRanks(long now) {
     BitSet all = new BitSet();
-    for (Answer answer : answers.values()) {
-      if (counts(answer, now)) {
-        all.or(answer.seats());
+    for (Grant grant : grants.values()) {
+      if (isValid(grant, now)) {
+        all.or(grant.ranks());
       }
     }
     return all;
   }
 
-  /** What a rank's seat weighs at most, by any answer that counts now. */
+  /** Returns the highest weight of a rank's lease according to any valid grant. */
   int weight(long now, int rank) {
-    return answers.values().stream()
-        .filter(answer -> counts(answer, now))
-        .mapToInt(answer -> answer.weight(rank))
+    return grants.values().stream()
+        .filter(grant -> isValid(grant, now))
+        .mapToInt(grant -> grant.weight(rank))
         .max()
         .orElse(0);
   }
 
-  /** Clients in ten seconds at the mean process with a seat, as the last answer tells; or NaN. */
+  /**
+   * Returns the mean number of clients per ten seconds of a lease holder, according to the most
+   * recent valid grant; NaN if there is none.
+   */
   double meanDemand(long now) {
-    return answers.values().stream()
-        .filter(answer -> counts(answer, now) && !answer.seats().isEmpty())
-        .max(Comparator.comparingLong(Answer::askedAt))
-        .map(answer -> (double) answer.demand() / answer.seats().cardinality())
+    return grants.values().stream()
+        .filter(grant -> isValid(grant, now) && !grant.ranks().isEmpty())
+        .max(Comparator.comparingLong(Grant::requestedAtMicros))
+        .map(grant -> (double) grant.demand() / grant.ranks().cardinality())
         .orElse(Double.NaN);
   }
 }
--- a/src/main/java/brassbank/shares/wire/LeaseCodec.java
+++ b/src/main/java/brassbank/shares/wire/LeaseCodec.java
@@ -11,77 +11,90 @@
 import java.util.List;
 
 /**
- * Writes and reads what one fleet says of seats. Big-endian: mark {@code B5A8}, version, kind; the
- * fleet's name (FNV-1a, 8 bytes); process 8; rank 2; ranks 2; sequence 4; length 1 and bytes of the
- * seats' bits, at most 32; weight 1; demand 4; one byte for each seat's weight, in {@code HELD};
- * CRC-32C of all before. Any thread may use one codec.
+ * Encodes and decodes the lease datagrams of one fleet. All integers are big-endian: magic number
+ * {@code B5A8}, version, kind; the fleet's identifier (FNV-1a, 8 bytes); process 8; rank 2; number
+ * of ranks 2; sequence 4; length 1 and bytes of the bit set of ranks, at most 32; weight 1; demand
+ * 4; one byte for each rank's weight, in {@code HELD}; CRC-32C of all before. Thread-safe.
  */
 public final class LeaseCodec {
-  private static final short MARK = (short) 0xB5A8;
+  private static final short MAGIC = (short) 0xB5A8;
   private static final byte VERSION = 2;
-  private static final int CHECKSUM = 4;
-  private static final int FIXED = 4 + 8 + 8 + 2 + 2 + 4 + 1 + 1 + 4;
-  private static final int MOST_SEATS = LeaseMessage.MAX_RANKS / 8;
+  private static final int CHECKSUM_BYTES = 4;
+  private static final int FIXED_BYTES = 4 + 8 + 8 + 2 + 2 + 4 + 1 + 1 + 4;
+  private static final int MAX_RANK_BYTES = LeaseMessage.MAX_RANKS / 8;
   private static final LeaseMessage.Kind[] KINDS = LeaseMessage.Kind.values();
 
   private final long fleet;
 
+  /**
+   * Creates a codec.
+   *
+   * @param fleet the fleet's name; datagrams of other fleets are rejected
+   */
   public LeaseCodec(String fleet) {
     this.fleet = Frame.fleetHash(fleet);
   }
 
-  /** Whether a datagram is meant to be one of these. */
+  /** Returns whether a datagram begins with the magic number of lease datagrams. */
   public static boolean hasMagic(byte[] bytes) {
-    return bytes.length >= 2 && ByteBuffer.wrap(bytes).getShort() == MARK;
+    return bytes.length >= 2 && ByteBuffer.wrap(bytes).getShort() == MAGIC;
   }
 
+  /** Returns the bytes of a message. */
   public byte[] encode(LeaseMessage message) {
-    byte[] seats = message.ranks().toByteArray();
-    ByteBuffer to = ByteBuffer.allocate(FIXED + seats.length + message.weights().size() + CHECKSUM);
-    to.putShort(MARK).put(VERSION).put((byte) message.kind().ordinal()).putLong(fleet);
+    byte[] ranks = message.ranks().toByteArray();
+    ByteBuffer to =
+        ByteBuffer.allocate(FIXED_BYTES + ranks.length + message.weights().size() + CHECKSUM_BYTES);
+    to.putShort(MAGIC).put(VERSION).put((byte) message.kind().ordinal()).putLong(fleet);
     to.putLong(message.process())
         .putShort((short) message.rank())
         .putShort((short) message.rankCount());
-    to.putInt(message.sequence()).put((byte) seats.length).put(seats);
+    to.putInt(message.sequence()).put((byte) ranks.length).put(ranks);
     to.put((byte) message.weight()).putInt(message.demand());
     message.weights().forEach(weight -> to.put(weight.byteValue()));
     to.putInt(Frame.checksum(to.array(), to.position()));
     return to.array();
   }
 
-  /** The message in a datagram that is {@link #hasMagic}, all of whose fields are within bounds. */
+  /**
+   * Decodes a datagram for which {@link #hasMagic} is true, and checks that all its fields are
+   * within their bounds.
+   *
+   * @throws InvalidDatagramException if the datagram is not a valid message of this fleet
+   */
   public LeaseMessage decode(byte[] bytes) throws InvalidDatagramException {
-    int end = bytes.length - CHECKSUM;
+    int end = bytes.length - CHECKSUM_BYTES;
     ByteBuffer from = ByteBuffer.wrap(bytes);
-    if (end < FIXED
-        || end > FIXED + MOST_SEATS + LeaseMessage.MAX_RANKS
-        || from.getShort() != MARK) {
+    if (end < FIXED_BYTES
+        || end > FIXED_BYTES + MAX_RANK_BYTES + LeaseMessage.MAX_RANKS
+        || from.getShort() != MAGIC) {
       throw new InvalidDatagramException(
-          DropReason.FOREIGN, bytes.length + " bytes that are no message");
+          DropReason.FOREIGN, "not a lease datagram (" + bytes.length + " bytes)");
     }
     if (from.getInt(end) != Frame.checksum(bytes, end)) {
-      throw new InvalidDatagramException(DropReason.DAMAGED, "cut off or damaged");
+      throw new InvalidDatagramException(
+          DropReason.DAMAGED, "checksum mismatch: truncated or corrupt");
     }
     byte version = from.get();
     if (version != VERSION) {
-      throw new InvalidDatagramException(DropReason.VERSION, "version " + version);
+      throw new InvalidDatagramException(DropReason.VERSION, "unsupported version " + version);
     }
     from.limit(end);
     try {
       int kind = from.get();
       if (kind < 0 || kind >= KINDS.length) {
-        throw malformed("kind " + kind);
+        throw malformed("unknown kind " + kind);
       }
       if (from.getLong() != fleet) {
-        throw new InvalidDatagramException(DropReason.FLEET, "another fleet's");
+        throw new InvalidDatagramException(DropReason.FLEET, "identifier of another fleet");
       }
       long process = from.getLong();
       int rank = from.getShort();
-      int of = from.getShort();
+      int rankCount = from.getShort();
       int sequence = from.getInt();
-      byte[] seats = new byte[Math.max(0, from.get())];
-      from.get(seats);
-      BitSet ranks = BitSet.valueOf(seats);
+      byte[] rankBits = new byte[Math.max(0, from.get())];
+      from.get(rankBits);
+      BitSet ranks = BitSet.valueOf(rankBits);
       int weight = from.get();
       int demand = from.getInt();
       List<Integer> weights = new ArrayList<>();
@@ -89,18 +102,18 @@
         weights.add((int) from.get());
       }
       if (from.hasRemaining()) {
-        throw malformed(from.remaining() + " bytes after its end");
+        throw malformed(from.remaining() + " trailing bytes");
       }
       return new LeaseMessage(
-          KINDS[kind], process, rank, of, sequence, ranks, weights, weight, demand);
+          KINDS[kind], process, rank, rankCount, sequence, ranks, weights, weight, demand);
     } catch (BufferUnderflowException e) {
-      throw malformed("ends before its end");
+      throw malformed("fields exceed the datagram");
     } catch (IllegalArgumentException e) {
       throw malformed(e.getMessage());
     }
   }
 
-  private static InvalidDatagramException malformed(String what) {
-    return new InvalidDatagramException(DropReason.MALFORMED, what);
+  private static InvalidDatagramException malformed(String detail) {
+    return new InvalidDatagramException(DropReason.MALFORMED, detail);
   }
 }
--- a/src/main/java/brassbank/shares/wire/package-info.java
+++ b/src/main/java/brassbank/shares/wire/package-info.java
@@ -1,2 +1,5 @@
-/** Datagrams of {@link brassbank.shares}, beside membership's on one socket. */
+/**
+ * Encodes and decodes the messages of {@link brassbank.shares}, whose datagrams share one socket
+ * with those of the membership protocol.
+ */
 package brassbank.shares.wire;
--- a/src/main/java/brassbank/sim/members/Flock.java
+++ b/src/main/java/brassbank/sim/members/Flock.java
@@ -399,11 +399,14 @@
   long bytes() {
     return all.stream()
         .filter(One::running)
-        .mapToLong(one -> one.fleet.traffic().sentBytes())
+        .mapToLong(one -> one.fleet.datagramCounters().sentBytes())
         .sum();
   }
 
   long messages() {
-    return all.stream().filter(One::running).mapToLong(one -> one.fleet.traffic().sent()).sum();
+    return all.stream()
+        .filter(One::running)
+        .mapToLong(one -> one.fleet.datagramCounters().sent())
+        .sum();
   }
 }
--- a/src/main/java/brassbank/subsets/Peer.java
+++ b/src/main/java/brassbank/subsets/Peer.java
@@ -1,10 +1,10 @@
 package brassbank.subsets;
 
 /**
- * A proxy that takes clients, or a stream host.
+ * A proxy that accepts clients, or a stream host.
  *
- * @param name unique among its kind, and the same for whoever sees it
- * @param zone empty where none is told
+ * @param name unique among the proxies or among the hosts, and the same in every proxy's view
+ * @param zone empty if unknown
  */
 public record Peer(String name, String zone) {
   public Peer {
--- a/src/main/java/brassbank/subsets/Subset.java
+++ b/src/main/java/brassbank/subsets/Subset.java
@@ -10,95 +10,113 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The hosts that one proxy asks, as long as the same proxies are there. Each host is asked by so
- * many proxies and no more: by those whose names have, with the host's, the least hash (highest
- * random weight: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998).
- * Three in four are of the host's own zone, as far as there are so many; the others know it for the
- * time when their zone is lost.
+ * The hosts that one proxy selects among a fixed set of proxies. Each host is selected by the same
+ * number of proxies: those whose names, hashed with the host's, have the lowest values (rendezvous
+ * hashing: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998). Three
+ * in four of them are in the host's own zone if it has enough proxies; the others select the host
+ * so that they have hosts if their own zone fails.
  *
- * <p>So whoever sees the same proxies and hosts chooses alike, without a word; one proxy more or
- * less changes its own pairs and as many of others; and while k views differ, at most k times as
- * many proxies ask a host. A host that is new costs one hash for each proxy, one that is known
- * nothing. For one thread at a time.
+ * <p>Proxies with the same view of proxies and hosts select consistently without communicating.
+ * Adding or removing a proxy changes its own pairs and an equal number of others. While there are k
+ * different views, at most k times the set number of proxies select a host. A new host costs one
+ * hash per proxy, a known host none. Not thread-safe.
  */
 public final class Subset {
-  /** One in so many of those that ask a host may be of other zones. */
-  private static final int FAR = 4;
+  /** At most one in this many of a host's proxies is in another zone. */
+  private static final int REMOTE_ZONE_DIVISOR = 4;
 
-  /** Hosts that a proxy has by and large, at least: with fewer some would have none by chance. */
-  private static final int LEAST_HOSTS = 8;
+  /** Minimum mean number of hosts per proxy; with fewer, some proxies would select no host. */
+  private static final int MIN_MEAN_HOSTS = 8;
 
   /**
-   * Where the proxy stands for a host.
+   * The position of this proxy for one host.
    *
-   * @param near whether it is of the host's zone
-   * @param before proxies of the same zone, or of all others, that come before it
-   * @param nears proxies of the host's zone
+   * @param sameZone whether the proxy is in the host's zone
+   * @param position the number of proxies ahead of it, among those of the host's zone or among all
+   *     others
+   * @param sameZoneProxies the number of proxies in the host's zone
    */
-  private record Place(boolean near, int before, int nears) {}
+  private record Ranking(boolean sameZone, int position, int sameZoneProxies) {}
 
   private final Peer self;
   private final List<Peer> proxies;
-  private final int least;
-  private final Map<Peer, Place> places = new HashMap<>();
+  private final int minProxiesPerHost;
+  private final Map<Peer, Ranking> rankings = new HashMap<>();
 
   /**
+   * Creates a selection for a fixed set of proxies.
+   *
    * @param self one of the proxies
-   * @param proxies those that take clients, in any order
-   * @param least how many proxies ask a host at least, as far as there are so many; 1 or more
+   * @param proxies the proxies that accept clients, in any order
+   * @param minProxiesPerHost the minimum number of proxies that select a host, if there are as
+   *     many; 1 or more
+   * @throws IllegalArgumentException if {@code self} is not among the proxies or the minimum is
+   *     below 1
    */
-  public Subset(Peer self, List<Peer> proxies, int least) {
-    if (least < 1 || !proxies.contains(self)) {
-      throw new IllegalArgumentException(self + " among " + proxies + ", " + least + " a host");
+  public Subset(Peer self, List<Peer> proxies, int minProxiesPerHost) {
+    if (minProxiesPerHost < 1 || !proxies.contains(self)) {
+      throw new IllegalArgumentException(
+          self
+              + " is not among "
+              + proxies
+              + ", or "
+              + minProxiesPerHost
+              + " proxies per host is below 1");
     }
     this.self = self;
     this.proxies = List.copyOf(proxies);
-    this.least = least;
+    this.minProxiesPerHost = minProxiesPerHost;
   }
 
   /**
-   * How many proxies ask a host: no fewer than the file says, and so many that a proxy has eight
-   * hosts by and large.
+   * Returns how many proxies select each host: at least the configured minimum, and enough for a
+   * mean of eight hosts per proxy.
    */
-  public static int proxiesPerHost(int least, int proxies, int hosts) {
-    int enough = (LEAST_HOSTS * proxies + hosts - 1) / Math.max(1, hosts);
-    return Math.min(proxies, Math.max(least, enough));
+  public static int proxiesPerHost(int minProxiesPerHost, int proxies, int hosts) {
+    int forMeanHosts = (MIN_MEAN_HOSTS * proxies + hosts - 1) / Math.max(1, hosts);
+    return Math.min(proxies, Math.max(minProxiesPerHost, forMeanHosts));
   }
 
-  /** The names of those hosts that this proxy asks. */
+  /** Returns the names of the hosts that this proxy selects. */
   public Set<String> select(Collection<Peer> hosts) {
-    int each = proxiesPerHost(least, proxies.size(), hosts.size());
-    places.keySet().retainAll(hosts);
-    Set<String> own = new LinkedHashSet<>();
+    int perHost = proxiesPerHost(minProxiesPerHost, proxies.size(), hosts.size());
+    rankings.keySet().retainAll(hosts);
+    Set<String> selected = new LinkedHashSet<>();
     for (Peer host : hosts) {
-      Place place = places.computeIfAbsent(host, this::place);
-      int far = proxies.size() - place.nears();
-      int ofNear = Math.min(place.nears(), each - Math.min(far, each / FAR));
-      if (place.before() < (place.near() ? ofNear : Math.min(far, each - ofNear))) {
-        own.add(host.name());
+      Ranking ranking = rankings.computeIfAbsent(host, this::rank);
+      int otherZoneProxies = proxies.size() - ranking.sameZoneProxies();
+      int sameZoneLimit =
+          Math.min(
+              ranking.sameZoneProxies(),
+              perHost - Math.min(otherZoneProxies, perHost / REMOTE_ZONE_DIVISOR));
+      if (ranking.position()
+          < (ranking.sameZone()
+              ? sameZoneLimit
+              : Math.min(otherZoneProxies, perHost - sameZoneLimit))) {
+        selected.add(host.name());
       }
     }
-    return own;
+    return selected;
   }
 
-  private Place place(Peer host) {
-    boolean near = self.zone().equals(host.zone());
-    long mine = weight(self, host);
-    int nears = 0;
-    int before = 0;
+  private Ranking rank(Peer host) {
+    boolean sameZone = self.zone().equals(host.zone());
+    long ownHash = hash(self, host);
+    int sameZoneProxies = 0;
+    int position = 0;
     for (Peer other : proxies) {
-      boolean otherNear = other.zone().equals(host.zone());
-      nears += otherNear ? 1 : 0;
-      if (otherNear == near && !other.equals(self)) {
-        long weight = weight(other, host);
-        boolean first = weight == mine && other.name().compareTo(self.name()) < 0;
-        before += weight < mine || first ? 1 : 0;
+      boolean otherSameZone = other.zone().equals(host.zone());
+      sameZoneProxies += otherSameZone ? 1 : 0;
+      if (otherSameZone == sameZone && !other.equals(self)) {
+        long otherHash = hash(other, host);
+        boolean winsTie = otherHash == ownHash && other.name().compareTo(self.name()) < 0;
+        position += otherHash < ownHash || winsTie ? 1 : 0;
       }
     }
-    return new Place(near, before, nears);
+    return new Ranking(sameZone, position, sameZoneProxies);
   }
 
-  private static long weight(Peer proxy, Peer host) {
+  private static long hash(Peer proxy, Peer host) {
     return MurmurHash3.hash128x64(StringUtils.getBytesUtf8(proxy.name() + ' ' + host.name()))[0];
   }
 }
--- a/src/main/java/brassbank/subsets/package-info.java
+++ b/src/main/java/brassbank/subsets/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which hosts a proxy of a large fleet asks, and places at first, out of who is there and what
- * discovery lists. Values in, values out. docs/subsets.md has the options weighed, the rule and its
- * bound.
+ * Selects the subset of stream hosts to which a proxy of a large fleet connects and on which it
+ * places sessions first, from the live proxies and the hosts that discovery reports. The package is
+ * pure. docs/subsets.md compares the alternatives and has the rule and its bound.
  */
 package brassbank.subsets;
--- a/src/test/java/brassbank/fleet/FleetLogTest.java
+++ b/src/test/java/brassbank/fleet/FleetLogTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Test;
 
 class FleetLogTest {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
   private static final InetSocketAddress ADDRESS = new InetSocketAddress("10.0.0.1", 7_070);
 
-  private final List<String> lines = new ArrayList<>();
+  private final List<String> entries = new ArrayList<>();
 
   @AfterEach
-  void loud() {
+  void removeSink() {
     Log.setThreadSink(null);
   }
 
@@ -32,28 +32,29 @@
     return new ViewChange(version, null, member);
   }
 
-  /** A storm of a thousand changes is some lines and a count, and none of them is lost. */
+  /** Of a thousand changes in one second 20 are logged; the others are counted in one entry. */
   @Test
-  void countsInAStormWhatItDoesNotTell() {
-    Log.setThreadSink(event -> lines.add(event.name() + " " + event.fields()));
-    FleetLog journal = new FleetLog();
+  void countsChangesBeyondTheLimitPerSecond() {
+    Log.setThreadSink(event -> entries.add(event.name() + " " + event.fields()));
+    FleetLog fleetLog = new FleetLog();
     for (int i = 0; i < 1_000; i++) {
-      journal.changed(SECOND + i, change(i));
+      fleetLog.memberChanged(SECOND_MICROS + i, change(i));
     }
-    assertThat(lines).hasSize(20);
-    journal.changed(3 * SECOND, change(1_001));
-    assertThat(lines).hasSize(22);
-    assertThat(lines.get(20)).startsWith("members-changed").contains("980");
+    assertThat(entries).hasSize(20);
+    fleetLog.memberChanged(3 * SECOND_MICROS, change(1_001));
+    assertThat(entries).hasSize(22);
+    assertThat(entries.get(20)).startsWith("members-changed").contains("980");
   }
 
   @Test
-  void warnsOfWhatItDropsOnceInTenSeconds() {
-    Log.setThreadSink(event -> lines.add(event.name() + " " + event.fields()));
-    FleetLog journal = new FleetLog();
+  void warnsOfDroppedDatagramsOncePerTenSeconds() {
+    Log.setThreadSink(event -> entries.add(event.name() + " " + event.fields()));
+    FleetLog fleetLog = new FleetLog();
     for (int i = 0; i < 500; i++) {
-      journal.refused(i * SECOND / 25, DropReason.FLEET, "another fleet's", ADDRESS);
+      fleetLog.datagramDropped(
+          i * SECOND_MICROS / 25, DropReason.FLEET, "identifier of another fleet", ADDRESS);
     }
-    assertThat(lines).hasSize(2);
-    assertThat(lines.get(1)).contains("250");
+    assertThat(entries).hasSize(2);
+    assertThat(entries.get(1)).contains("250");
   }
 }
