--- a/src/test/java/brassbank/membership/ModelCheck.java
+++ b/src/test/java/brassbank/membership/ModelCheck.java
@@ -15,42 +15,44 @@
 import java.util.random.RandomGenerator;
 
 /**
- * An exhaustive search through the states of three members that know each other: each beat of each
- * member, each order of delivery, each loss, and at most two faults, to a depth. Members' clocks
- * are apart, so that a time-out may come at any time. Chance is left out: of several others the
- * first is taken. In each state the rules hold, or the steps to it are told.
+ * An exhaustive search, to a given depth, through the states of three members that know each other.
+ * The steps are each tick of each member, each order of delivery, each loss of a message, and at
+ * most two faults. The members' clocks are independent, so that a time-out may occur at any point.
+ * Random choices are replaced by the first candidate. The invariants are checked in each state; the
+ * steps to a state that violates one are reported.
  */
 final class ModelCheck {
-  /** More on their way than this: the oldest is lost. */
-  private static final int MOST_ON_THE_WAY = 4;
+  /** Maximum number of messages in flight; beyond it the oldest is lost. */
+  private static final int MAX_IN_FLIGHT = 4;
 
-  private static final long BEAT = Settings.TICK_MICROS;
+  private static final long TICK_MICROS = Settings.TICK_MICROS;
 
-  /** Time limits of one or two beats, so that deaths are within the depth. */
-  static final Settings FAST = new Settings(1, BEAT / 3, BEAT, 1, 1, 1, 20 * BEAT, 2 * BEAT);
+  /** Time-outs of one or two ticks, so that members are declared dead within the depth. */
+  static final Settings FAST =
+      new Settings(1, TICK_MICROS / 3, TICK_MICROS, 1, 1, 1, 20 * TICK_MICROS, 2 * TICK_MICROS);
 
-  /** What differs from the program where a bug is planted. */
-  record Bug(
+  /** The differences from the program under test where a bug is planted. */
+  record PlantedBug(
       Settings settings,
       Comparator<Incarnation> order,
       Function<Message, Message> sent,
       Function<Message, Message> received) {
-    static final Bug NONE =
-        new Bug(FAST, Incarnation::compareTo, Function.identity(), Function.identity());
+    static final PlantedBug NONE =
+        new PlantedBug(FAST, Incarnation::compareTo, Function.identity(), Function.identity());
   }
 
-  /** What came of a search. */
-  record Found(long states, long steps, int depth, String broken, List<String> trace) {}
+  /** The outcome of a search; {@code violation} is null if all invariants hold. */
+  record SearchResult(long states, long steps, int depth, String violation, List<String> trace) {}
 
-  /** A step: its kind and whom or what it is about. */
-  private record Step(char kind, int on) {
+  /** A step: its kind, and the index of the member or message that it concerns. */
+  private record Step(char kind, int target) {
     @Override
     public String toString() {
-      return "" + kind + on;
+      return "" + kind + target;
     }
   }
 
-  /** Chance that always falls on the first. */
+  /** Always chooses the first candidate. */
   private static final RandomGenerator FIRST =
       new RandomGenerator() {
         @Override
@@ -74,13 +76,13 @@
         }
       };
 
-  private record OnTheWay(int to, InetSocketAddress from, Message message) {}
+  private record InFlight(int to, InetSocketAddress from, Message message) {}
 
-  private final Bug bug;
+  private final PlantedBug bug;
   private final int depth;
   private final int faults;
 
-  ModelCheck(Bug bug, int depth, int faults) {
+  ModelCheck(PlantedBug bug, int depth, int faults) {
     this.bug = bug;
     this.depth = depth;
     this.faults = faults;
@@ -90,18 +92,18 @@
     return new InetSocketAddress("10.0.0." + (number + 1), 7_000);
   }
 
-  /** Three members and the network between them, at one moment. */
+  /** Three members and the network between them at one moment. */
   private final class World {
     private final Membership[] members = new Membership[3];
     private final long[] clocks = {1_000_000, 2_000_000, 3_000_000};
     private final Incarnation[] highest = new Incarnation[3];
     private final boolean[] left = new boolean[3];
-    private final List<OnTheWay> way = new ArrayList<>();
-    private final Map<Integer, Map<String, Member>> last = new HashMap<>();
+    private final List<InFlight> inFlight = new ArrayList<>();
+    private final Map<Integer, Map<String, Member>> lastViews = new HashMap<>();
     private final Map<Integer, Long> versions = new HashMap<>();
-    private final Map<String, Long> suspectFor = new HashMap<>();
-    private int faulty;
-    private String broken;
+    private final Map<String, Long> suspectedTicks = new HashMap<>();
+    private int faultCount;
+    private String violation;
 
     World() {
       for (int i = 0; i < 3; i++) {
@@ -109,14 +111,14 @@
       }
       for (int round = 0; round < 3; round++) {
         for (int i = 0; i < 3; i++) {
-          beat(i);
-          while (!way.isEmpty()) {
+          tick(i);
+          while (!inFlight.isEmpty()) {
             deliver(0);
           }
         }
       }
       if (members[0].view().liveMembers().size() != 3) {
-        throw new IllegalStateException("they do not know each other");
+        throw new IllegalStateException("the members have not found each other");
       }
     }
 
@@ -128,7 +130,7 @@
       members[i] =
           new Membership(
               bug.settings(), self, List.of(address(0), address(1)), FIRST, clocks[i], bug.order());
-      last.remove(i);
+      lastViews.remove(i);
       versions.remove(i);
     }
 
@@ -139,123 +141,126 @@
           Message sent = bug.sent().apply(message);
           for (int k = 0; k < 3; k++) {
             if (to.equals(address(k)) && k != i) {
-              way.add(new OnTheWay(k, address(i), sent));
+              inFlight.add(new InFlight(k, address(i), sent));
             }
           }
-          while (way.size() > MOST_ON_THE_WAY) {
-            way.remove(0);
+          while (inFlight.size() > MAX_IN_FLIGHT) {
+            inFlight.remove(0);
           }
         }
       };
     }
 
-    void beat(int i) {
+    void tick(int i) {
       clocks[i] = Math.max(clocks[i], members[i].nextTickAtMicros());
       members[i].tick(clocks[i], out(i));
-      judge(i, true);
+      checkInvariants(i, true);
     }
 
-    void deliver(int at) {
-      OnTheWay one = way.remove(at);
-      if (members[one.to()] == null) {
+    void deliver(int index) {
+      InFlight delivered = inFlight.remove(index);
+      if (members[delivered.to()] == null) {
         return;
       }
-      Message message = bug.received().apply(one.message());
-      members[one.to()].receive(clocks[one.to()], one.from(), message, out(one.to()));
-      contradicted(one.to(), message);
-      judge(one.to(), false);
+      Message message = bug.received().apply(delivered.message());
+      members[delivered.to()].receive(
+          clocks[delivered.to()], delivered.from(), message, out(delivered.to()));
+      checkRefutation(delivered.to(), message);
+      checkInvariants(delivered.to(), false);
     }
 
-    /** Whoever hears that it is not there says so, or gives way to one of its name. */
-    private void contradicted(int i, Message message) {
+    /**
+     * Checks that a member that receives its own suspicion or death refutes it, or yields its name.
+     */
+    private void checkRefutation(int i, Message message) {
       View view = members[i].view();
       for (Update update : message.updates()) {
         if (update.name().equals("m" + i) && update.state() != State.ALIVE && !left[i]) {
-          Member self = self(view);
+          Member self = ownEntry(view);
           if (!view.displaced()
               && bug.order().compare(self.incarnation(), update.incarnation()) <= 0) {
-            broken = "m" + i + " does not contradict " + update.state();
+            violation = "m" + i + " does not refute " + update.state();
           }
         }
       }
     }
 
-    private Member self(View view) {
+    private Member ownEntry(View view) {
       return view.members().stream()
           .filter(member -> member.name().equals(view.self()))
           .findFirst()
           .orElseThrow();
     }
 
-    private void judge(int i, boolean beat) {
+    private void checkInvariants(int i, boolean tick) {
       View view = members[i].view();
-      Incarnation own = self(view).incarnation();
+      Incarnation own = ownEntry(view).incarnation();
       highest[i] = own.compareTo(highest[i]) > 0 ? own : highest[i];
       Long version = versions.put(i, view.version());
       if (version != null && view.version() < version) {
-        broken = "m" + i + "'s version falls";
+        violation = "m" + i + "'s version decreases";
       }
-      Map<String, Member> before = last.getOrDefault(i, Collections.emptyMap());
+      Map<String, Member> before = lastViews.getOrDefault(i, Collections.emptyMap());
       Map<String, Member> now = new TreeMap<>();
-      for (Member one : view.members()) {
-        now.put(one.name(), one);
-        Member old = before.get(one.name());
-        int number = one.name().charAt(1) - '0';
-        if (old != null && one.incarnation().compareTo(old.incarnation()) < 0) {
-          broken = "m" + i + " goes back to an old incarnation of " + one.name();
+      for (Member member : view.members()) {
+        now.put(member.name(), member);
+        Member old = before.get(member.name());
+        int number = member.name().charAt(1) - '0';
+        if (old != null && member.incarnation().compareTo(old.incarnation()) < 0) {
+          violation = "m" + i + " goes back to an old incarnation of " + member.name();
         } else if (old != null
             && !old.state().isLive()
-            && one.state().isLive()
-            && one.incarnation().equals(old.incarnation())) {
-          broken = "m" + i + " has " + one.name() + " come back without a higher incarnation";
+            && member.state().isLive()
+            && member.incarnation().equals(old.incarnation())) {
+          violation = "m" + i + " revives " + member.name() + " without a higher incarnation";
         }
-        if (number != i && one.incarnation().compareTo(highest[number]) > 0) {
-          broken = "m" + i + " has an incarnation of " + one.name() + " that it never had";
+        if (number != i && member.incarnation().compareTo(highest[number]) > 0) {
+          violation = "m" + i + " has an incarnation of " + member.name() + " that was never used";
         }
-        if (one.state() == State.DEAD
+        if (member.state() == State.DEAD
             && left[number]
-            && one.incarnation().equals(highest[number])) {
-          broken = "m" + i + " takes the goodbye of " + one.name() + " for a death";
+            && member.incarnation().equals(highest[number])) {
+          violation = "m" + i + " treats the leave of " + member.name() + " as a death";
         }
-        String pair = i + one.name();
-        if (one.state() != State.SUSPECT) {
-          suspectFor.remove(pair);
-        } else if (beat && suspectFor.merge(pair, 1L, Long::sum) > 4) {
-          broken = "m" + i + " suspects " + one.name() + " for more than four beats";
+        String pair = i + member.name();
+        if (member.state() != State.SUSPECT) {
+          suspectedTicks.remove(pair);
+        } else if (tick && suspectedTicks.merge(pair, 1L, Long::sum) > 4) {
+          violation = "m" + i + " suspects " + member.name() + " for more than four ticks";
         }
       }
       for (String name : before.keySet()) {
         if (!now.containsKey(name)
             && clocks[i] - before.get(name).changedAtMicros() < FAST.tombstoneRetentionMicros()
             && !view.displaced()) {
-          broken = "m" + i + " forgets " + name + " too soon";
+          violation = "m" + i + " forgets " + name + " before the retention time";
         }
       }
-      last.put(i, now);
+      lastViews.put(i, now);
     }
 
-    void take(Step step) {
-      int i = step.on();
+    void apply(Step step) {
+      int i = step.target();
       switch (step.kind()) {
-        case 'B' -> beat(i);
+        case 'B' -> tick(i);
         case 'D' -> deliver(i);
-        case 'L' -> way.remove(i);
+        case 'L' -> inFlight.remove(i);
         case 'K' -> {
-          faulty++;
+          faultCount++;
           members[i] = null;
         }
         case 'S' -> {
-          // It is stopped for three seconds, and goes on.
-          faulty++;
+          // The process is suspended for three seconds.
+          faultCount++;
           clocks[i] += 3_000_000;
         }
         case 'R' -> {
-          // Killed and started at once, its clock put back.
-          faulty++;
+          // The process is killed and restarted at once, with its clock set back.
+          faultCount++;
           start(i, 50);
         }
         case 'G' -> {
-          faulty++;
+          faultCount++;
           Incarnation next = highest[i].next();
           members[i].leave(clocks[i], out(i));
           left[i] = true;
@@ -273,20 +278,20 @@
           steps.add(new Step('B', i));
         }
       }
-      for (int i = 0; i < way.size(); i++) {
+      for (int i = 0; i < inFlight.size(); i++) {
         steps.add(new Step('D', i));
         steps.add(new Step('L', i));
       }
-      if (faulty < faults && members[2] != null) {
-        // The three are alike but for their names: faults of one and of another are all there is.
+      if (faultCount < faults && members[2] != null) {
+        // The members are symmetric, so that faults of two fixed members cover all cases.
         for (char kind : "KSRG".toCharArray()) {
           steps.add(new Step(kind, 2));
         }
       }
-      if (faulty < faults && members[2] == null && !left[2]) {
+      if (faultCount < faults && members[2] == null && !left[2]) {
         steps.add(new Step('R', 2));
       }
-      if (faulty > 0 && faulty < faults && members[1] != null) {
+      if (faultCount > 0 && faultCount < faults && members[1] != null) {
         for (char kind : "KS".toCharArray()) {
           steps.add(new Step(kind, 1));
         }
@@ -294,17 +299,17 @@
       return steps;
     }
 
-    String situation() {
+    String stateText() {
       StringBuilder text = new StringBuilder();
       for (int i = 0; i < 3; i++) {
-        text.append(members[i] == null ? "-" : members[i].situation()).append(highest[i]);
+        text.append(members[i] == null ? "-" : members[i].stateText()).append(highest[i]);
         text.append(left[i]).append('|');
       }
       List<String> messages = new ArrayList<>();
-      for (OnTheWay one : way) {
-        Message m = one.message();
+      for (InFlight pending : inFlight) {
+        Message m = pending.message();
         messages.add(
-            one.to()
+            pending.to()
                 + " "
                 + m.kind()
                 + m.sender().name()
@@ -314,56 +319,57 @@
                 + (m.kind() == Kind.ACK ? m.sequence() : 0));
       }
       Collections.sort(messages);
-      return text.append(messages).append(faulty).append(suspectFor).toString();
+      return text.append(messages).append(faultCount).append(suspectedTicks).toString();
     }
   }
 
-  /** What one step leads to. */
-  private record Reached(List<Step> path, long situation, String broken) {}
+  /** A state reached by one step, and the path to it. */
+  private record Successor(List<Step> path, long stateHash, String violation) {}
 
-  /** Searches, breadth first: the first broken rule has the fewest steps. */
-  Found search() {
+  /** Searches breadth first, so that a violation is found with the fewest steps. */
+  SearchResult search() {
     Set<Long> seen = new HashSet<>();
     List<List<Step>> level = List.of(List.of());
     long steps = 0;
     for (int d = 1; d <= depth; d++) {
-      List<Reached> reached = level.parallelStream().flatMap(path -> from(path).stream()).toList();
-      steps += reached.size();
+      List<Successor> successors =
+          level.parallelStream().flatMap(path -> successors(path).stream()).toList();
+      steps += successors.size();
       List<List<Step>> next = new ArrayList<>();
-      for (Reached one : reached) {
-        if (one.broken() != null) {
+      for (Successor successor : successors) {
+        if (successor.violation() != null) {
           List<String> trace = new ArrayList<>();
-          one.path().forEach(step -> trace.add(step.toString()));
-          return new Found(seen.size(), steps, d, one.broken(), trace);
+          successor.path().forEach(step -> trace.add(step.toString()));
+          return new SearchResult(seen.size(), steps, d, successor.violation(), trace);
         }
-        if (seen.add(one.situation())) {
-          next.add(one.path());
+        if (seen.add(successor.stateHash())) {
+          next.add(successor.path());
         }
       }
       level = next;
     }
-    return new Found(seen.size(), steps, depth, null, List.of());
+    return new SearchResult(seen.size(), steps, depth, null, List.of());
   }
 
-  private List<Reached> from(List<Step> path) {
-    List<Reached> reached = new ArrayList<>();
+  private List<Successor> successors(List<Step> path) {
+    List<Successor> successors = new ArrayList<>();
     for (Step step : replay(path).steps()) {
       World world = replay(path);
-      world.take(step);
-      List<Step> longer = new ArrayList<>(path);
-      longer.add(step);
-      reached.add(new Reached(longer, hash(world.situation()), world.broken));
+      world.apply(step);
+      List<Step> extended = new ArrayList<>(path);
+      extended.add(step);
+      successors.add(new Successor(extended, hash(world.stateText()), world.violation));
     }
-    return reached;
+    return successors;
   }
 
   private World replay(List<Step> path) {
     World world = new World();
-    path.forEach(world::take);
+    path.forEach(world::apply);
     return world;
   }
 
-  /** 64 bits of it: of a million states two are taken for one with a chance of one in 10^7. */
+  /** Returns a 64-bit hash; among a million states a collision has a probability of about 10^-7. */
   private static long hash(String text) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < text.length(); i++) {
@@ -373,19 +379,20 @@
     return hash;
   }
 
-  /** The whole search: {@code depth faults}. */
+  /** Runs a search; the arguments are the depth and the maximum number of faults. */
   public static void main(String[] arguments) {
-    long begun = System.nanoTime();
-    Found found =
-        new ModelCheck(Bug.NONE, Integer.parseInt(arguments[0]), Integer.parseInt(arguments[1]))
+    long startedAt = System.nanoTime();
+    SearchResult result =
+        new ModelCheck(
+                PlantedBug.NONE, Integer.parseInt(arguments[0]), Integer.parseInt(arguments[1]))
             .search();
     System.out.printf(
         "%d states, %d steps, depth %d, %.1f s: %s %s%n",
-        found.states(),
-        found.steps(),
-        found.depth(),
-        (System.nanoTime() - begun) / 1e9,
-        found.broken() == null ? "all rules hold" : found.broken(),
-        found.trace());
+        result.states(),
+        result.steps(),
+        result.depth(),
+        (System.nanoTime() - startedAt) / 1e9,
+        result.violation() == null ? "all invariants hold" : result.violation(),
+        result.trace());
   }
 }
--- a/src/test/java/brassbank/membership/ModelCheckTest.java
+++ b/src/test/java/brassbank/membership/ModelCheckTest.java
@@ -2,16 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import brassbank.membership.ModelCheck.Bug;
-import brassbank.membership.ModelCheck.Found;
+import brassbank.membership.ModelCheck.PlantedBug;
+import brassbank.membership.ModelCheck.SearchResult;
 import java.util.Comparator;
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** A shallow search in CI; docs/membership.md has the deep one, and what it cannot find. */
+/** A shallow search; docs/membership.md describes the deep one and what it cannot find. */
 class ModelCheckTest {
-  private static Message with(Message message, UnaryOperator<Update> change) {
+  private static Message map(Message message, UnaryOperator<Update> change) {
     return new Message(
         message.kind(),
         message.sequence(),
@@ -21,83 +21,89 @@
         message.updates().stream().map(change).toList());
   }
 
-  private static Update as(Update one, Incarnation incarnation, State state) {
+  private static Update withState(Update update, Incarnation incarnation, State state) {
     return new Update(
-        one.name(),
-        one.address(),
-        one.zone(),
+        update.name(),
+        update.address(),
+        update.zone(),
         incarnation,
         state,
-        one.activity(),
-        one.ageSeconds(),
-        one.reportedBy());
+        update.activity(),
+        update.ageSeconds(),
+        update.reportedBy());
   }
 
-  private static Found with(Bug bug, int depth) {
+  private static SearchResult search(PlantedBug bug, int depth) {
     return new ModelCheck(bug, depth, 2).search();
   }
 
-  /** Loss alone leads there, and fewer states go deeper. */
-  private static Found withoutFaults(Bug bug, int depth) {
+  /** Message loss alone leads to these violations; without faults the search can go deeper. */
+  private static SearchResult withoutFaults(PlantedBug bug, int depth) {
     return new ModelCheck(bug, depth, 0).search();
   }
 
   @Test
-  void holdsAllRulesInEachState() {
-    Found found = with(Bug.NONE, 5);
-    assertThat(found.broken()).as("%s", found.trace()).isNull();
-    assertThat(found.states()).isGreaterThan(3_000);
+  void invariantsHoldInEveryReachableState() {
+    SearchResult result = search(PlantedBug.NONE, 5);
+    assertThat(result.violation()).as("%s", result.trace()).isNull();
+    assertThat(result.states()).isGreaterThan(3_000);
   }
 
   @Test
-  void findsARefutationThatRaisesNothing() {
-    // What a member says of itself keeps its first incarnation, whatever it means.
-    Bug bug =
-        new Bug(
+  void detectsRefutationWithoutNewIncarnation() {
+    // Incarnations are compared by start time only, so that a refutation supersedes nothing.
+    PlantedBug bug =
+        new PlantedBug(
             ModelCheck.FAST,
             Comparator.comparingLong(Incarnation::startTime),
             Function.identity(),
             Function.identity());
-    assertThat(with(bug, 7).broken()).contains("contradict");
+    assertThat(search(bug, 7).violation()).contains("does not refute");
   }
 
   @Test
-  void findsAnOldIncarnationThatIsBelieved() {
-    Bug bug =
-        new Bug(
+  void detectsAcceptedStaleIncarnation() {
+    PlantedBug bug =
+        new PlantedBug(
             ModelCheck.FAST,
-            (told, held) -> told.equals(held) ? 0 : 1,
+            (received, known) -> received.equals(known) ? 0 : 1,
             Function.identity(),
             Function.identity());
-    assertThat(with(bug, 7).broken()).contains("old incarnation");
+    assertThat(search(bug, 7).violation()).contains("old incarnation");
   }
 
   @Test
-  void findsAGoodbyeThatIsTakenForADeath() {
-    Bug bug =
-        new Bug(
+  void detectsLeaveTreatedAsDeath() {
+    PlantedBug bug =
+        new PlantedBug(
             ModelCheck.FAST,
             Incarnation::compareTo,
             Function.identity(),
             message ->
-                with(
+                map(
                     message,
-                    one ->
-                        one.state() == State.LEFT ? as(one, one.incarnation(), State.DEAD) : one));
-    assertThat(with(bug, 7).broken()).contains("goodbye");
+                    update ->
+                        update.state() == State.LEFT
+                            ? withState(update, update.incarnation(), State.DEAD)
+                            : update));
+    assertThat(search(bug, 7).violation()).contains("treats the leave");
   }
 
   @Test
-  void findsASuspicionThatNeverEnds() {
-    Settings endless = ModelCheck.FAST.withMinSuspicion(1_000 * Settings.TICK_MICROS);
-    Bug bug = new Bug(endless, Incarnation::compareTo, Function.identity(), Function.identity());
-    assertThat(withoutFaults(bug, 9).broken()).contains("for more than");
+  void detectsSuspicionWithoutTimeout() {
+    Settings endlessSuspicion = ModelCheck.FAST.withMinSuspicion(1_000 * Settings.TICK_MICROS);
+    PlantedBug bug =
+        new PlantedBug(
+            endlessSuspicion, Incarnation::compareTo, Function.identity(), Function.identity());
+    assertThat(withoutFaults(bug, 9).violation()).contains("for more than");
   }
 
   @Test
-  void findsTheDeadForgottenTooSoon() {
-    Settings forgetful = ModelCheck.FAST.withTombstoneRetention(Settings.TICK_MICROS);
-    Bug bug = new Bug(forgetful, Incarnation::compareTo, Function.identity(), Function.identity());
-    assertThat(withoutFaults(bug, 9).broken()).contains("too soon");
+  void detectsTombstoneExpiredTooEarly() {
+    Settings shortRetention = ModelCheck.FAST.withTombstoneRetention(Settings.TICK_MICROS);
+    PlantedBug bug =
+        new PlantedBug(
+            shortRetention, Incarnation::compareTo, Function.identity(), Function.identity());
+    assertThat(withoutFaults(bug, 9).violation()).contains("before the retention time");
   }
 }
--- a/src/test/java/brassbank/membership/wire/CodecTest.java
+++ b/src/test/java/brassbank/membership/wire/CodecTest.java
@@ -35,16 +35,16 @@
         random.nextBoolean() ? "" : "n4");
   }
 
-  /** A message with as much in it as goes into a datagram. */
+  /** Returns a random message whose updates fill the datagram. */
   private static Message message(SplittableRandom random) throws Exception {
     Update sender = update(random);
     List<Update> updates = new ArrayList<>();
-    int room = Message.MAX_BYTES - Message.FIXED_BYTES - sender.sizeBytes() - 1;
-    for (Update one = update(random);
-        room >= one.sizeBytes() && updates.size() < Message.MAX_UPDATES;
-        one = update(random)) {
-      updates.add(one);
-      room -= one.sizeBytes();
+    int freeBytes = Message.MAX_BYTES - Message.FIXED_BYTES - sender.sizeBytes() - 1;
+    for (Update next = update(random);
+        freeBytes >= next.sizeBytes() && updates.size() < Message.MAX_UPDATES;
+        next = update(random)) {
+      updates.add(next);
+      freeBytes -= next.sizeBytes();
     }
     return new Message(
         Message.Kind.values()[random.nextInt(7)],
@@ -56,13 +56,13 @@
   }
 
   @Test
-  void readsWhatItWrote() throws Exception {
+  void decodesEncodedMessages() throws Exception {
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 500; i++) {
       Message message = message(random);
       byte[] bytes = codec.encode(message);
       assertThat(bytes.length).isLessThanOrEqualTo(Message.MAX_BYTES);
-      // IPv6 addresses that stand for IPv4 ones are read as these: equal as addresses go.
+      // IPv4-mapped IPv6 addresses are decoded as IPv4 addresses, so that bytes may differ.
       assertThat(codec.decode(bytes).updates()).hasSameSizeAs(message.updates());
       assertThat(codec.encode(codec.decode(bytes))).hasSizeLessThanOrEqualTo(bytes.length);
     }
@@ -80,31 +80,33 @@
     assertThat(codec.decode(codec.encode(message))).isEqualTo(message);
   }
 
-  private DropReason why(byte[] bytes) {
-    InvalidDatagramException refused =
+  private DropReason dropReason(byte[] bytes) {
+    InvalidDatagramException dropped =
         catchThrowableOfType(InvalidDatagramException.class, () -> codec.decode(bytes));
-    return refused == null ? null : refused.reason();
+    return dropped == null ? null : dropped.reason();
   }
 
   @Test
-  void dropsWhatIsCutAtAnyByteOrChangedInAny() throws Exception {
+  void dropsTruncatedOrAlteredDatagrams() throws Exception {
     byte[] whole = codec.encode(message(new SplittableRandom(2)));
     for (int length = 0; length < whole.length; length++) {
-      assertThat(why(Arrays.copyOf(whole, length))).isIn(DropReason.FOREIGN, DropReason.DAMAGED);
+      assertThat(dropReason(Arrays.copyOf(whole, length)))
+          .isIn(DropReason.FOREIGN, DropReason.DAMAGED);
     }
     for (int at = 0; at < whole.length; at++) {
       byte[] changed = whole.clone();
       changed[at] ^= 0x40;
-      assertThat(why(changed)).isIn(DropReason.FOREIGN, DropReason.DAMAGED);
+      assertThat(dropReason(changed)).isIn(DropReason.FOREIGN, DropReason.DAMAGED);
     }
-    assertThat(why(Arrays.copyOf(whole, Message.MAX_BYTES + 1))).isEqualTo(DropReason.FOREIGN);
-    assertThat(why(new Codec("dalkeith").encode(message(new SplittableRandom(3)))))
+    assertThat(dropReason(Arrays.copyOf(whole, Message.MAX_BYTES + 1)))
+        .isEqualTo(DropReason.FOREIGN);
+    assertThat(dropReason(new Codec("dalkeith").encode(message(new SplittableRandom(3)))))
         .isEqualTo(DropReason.FLEET);
   }
 
-  /** The checksum is right and the content is not: nothing but a refusal comes of it. */
+  /** A datagram with a valid checksum and arbitrary content is decoded or rejected, never more. */
   @Test
-  void dropsWhatIsWholeAndMalformed() throws Exception {
+  void dropsMalformedContentWithValidChecksum() throws Exception {
     SplittableRandom random = new SplittableRandom(4);
     int malformed = 0;
     for (int i = 0; i < 20_000; i++) {
@@ -112,15 +114,15 @@
       for (int k = 0; k < 4; k++) {
         bytes[12 + random.nextInt(bytes.length - 16)] = (byte) random.nextInt();
       }
-      malformed += why(signed(bytes)) == DropReason.MALFORMED ? 1 : 0;
+      malformed += dropReason(withChecksum(bytes)) == DropReason.MALFORMED ? 1 : 0;
     }
     assertThat(malformed).isBetween(2_000, 19_999);
-    byte[] newer = codec.encode(message(random));
-    newer[2] = 2;
-    assertThat(why(signed(newer))).isEqualTo(DropReason.VERSION);
+    byte[] newerVersion = codec.encode(message(random));
+    newerVersion[2] = 2;
+    assertThat(dropReason(withChecksum(newerVersion))).isEqualTo(DropReason.VERSION);
   }
 
-  static byte[] signed(byte[] bytes) {
+  static byte[] withChecksum(byte[] bytes) {
     CRC32C sum = new CRC32C();
     sum.update(bytes, 0, bytes.length - 4);
     for (int i = 0; i < 4; i++) {
--- a/src/test/java/brassbank/membership/wire/Fuzz.java
+++ b/src/test/java/brassbank/membership/wire/Fuzz.java
@@ -19,18 +19,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Outside CI: {@code Fuzz SEED COUNT} sends a member that many datagrams, seeded: random bytes,
- * whole ones with bytes changed and the checksum made right again, and well-formed lies. It must
- * throw nothing, answer within its bounds and remember within its bounds.
+ * A fuzz test that runs outside CI: {@code Fuzz SEED COUNT} sends seeded datagrams to a member:
+ * random bytes, valid datagrams with altered bytes and a corrected checksum, and well-formed
+ * forgeries. The member must throw nothing, and bound the datagrams that it sends and the members
+ * that it remembers.
  */
 final class Fuzz {
   private static final int NAMES = 5_000;
-  private static final int MOST_MEMBERS = 2_048 + 1_024 + 64 + 1;
+  private static final int MAX_MEMBERS = 2_048 + 1_024 + 64 + 1;
 
   private final SplittableRandom random;
   private final Codec codec = new Codec("fuzz");
-  private long sent;
-  private long bytes;
+  private long sentDatagrams;
+  private long sentBytes;
 
   private Fuzz(long seed) {
     random = new SplittableRandom(seed);
@@ -49,7 +50,7 @@
         "n" + random.nextInt(50));
   }
 
-  private byte[] lie() throws Exception {
+  private byte[] forgedMessage() throws Exception {
     List<Update> updates = new ArrayList<>();
     for (int i = random.nextInt(20); i > 0; i--) {
       updates.add(update());
@@ -64,73 +65,79 @@
             updates));
   }
 
-  private byte[] one() throws Exception {
+  private byte[] nextDatagram() throws Exception {
     int kind = random.nextInt(3);
     if (kind == 0) {
-      byte[] rubbish = new byte[random.nextInt(1_400)];
-      random.nextBytes(rubbish);
-      return rubbish;
+      byte[] datagram = new byte[random.nextInt(1_400)];
+      random.nextBytes(datagram);
+      return datagram;
     }
-    byte[] lie = lie();
+    byte[] forged = forgedMessage();
     if (kind == 1) {
       for (int i = 0; i < 3; i++) {
-        lie[random.nextInt(lie.length)] = (byte) random.nextInt();
+        forged[random.nextInt(forged.length)] = (byte) random.nextInt();
       }
-      return CodecTest.signed(lie);
+      return CodecTest.withChecksum(forged);
     }
-    return lie;
+    return forged;
   }
 
   private void run(long count) throws Exception {
-    InetSocketAddress here = new InetSocketAddress("10.0.9.9", 7_000);
-    MembershipConfig joining =
-        new MembershipConfig("fuzz", here, here, List.of(), Settings.DEFAULTS);
+    InetSocketAddress address = new InetSocketAddress("10.0.9.9", 7_000);
+    MembershipConfig config =
+        new MembershipConfig("fuzz", address, address, List.of(), Settings.DEFAULTS);
     Update self =
-        new Update("n0", here, "z", new Incarnation(5, 0), State.ALIVE, Activity.ACTIVE, 0, "");
-    Membership member =
-        new Membership(joining.settings(), self, joining.seeds(), random.split(), 0);
+        new Update("n0", address, "z", new Incarnation(5, 0), State.ALIVE, Activity.ACTIVE, 0, "");
+    Membership member = new Membership(config.settings(), self, config.seeds(), random.split(), 0);
     Outbox out =
         (to, message) -> {
-          sent++;
-          bytes += codec.encode(message).length;
+          sentDatagrams++;
+          sentBytes += codec.encode(message).length;
         };
-    Map<DropReason, Long> refused = new EnumMap<>(DropReason.class);
-    long taken = 0;
-    long mostSent = 0;
-    long mostBytes = 0;
-    int most = 0;
+    Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
+    long decoded = 0;
+    long maxSentPerSecond = 0;
+    long maxBytesPerSecond = 0;
+    int maxMembers = 0;
     long now = 0;
     for (long i = 0; i < count; i++) {
-      // A thousand come in a second; each second's answers are counted.
+      // One datagram per millisecond; the maximum of the datagrams sent per second is kept.
       if (i % 1_000 == 0) {
-        mostSent = Math.max(mostSent, sent);
-        mostBytes = Math.max(mostBytes, bytes);
-        sent = 0;
-        bytes = 0;
+        maxSentPerSecond = Math.max(maxSentPerSecond, sentDatagrams);
+        maxBytesPerSecond = Math.max(maxBytesPerSecond, sentBytes);
+        sentDatagrams = 0;
+        sentBytes = 0;
       }
       now += 1_000;
       if (now >= member.nextTickAtMicros()) {
         member.tick(now, out);
       }
       try {
-        Message message = codec.decode(one());
-        taken++;
+        Message message = codec.decode(nextDatagram());
+        decoded++;
         member.receive(now, new InetSocketAddress("10.0.0.1", 1), message, out);
       } catch (InvalidDatagramException e) {
-        refused.merge(e.reason(), 1L, Long::sum);
+        dropped.merge(e.reason(), 1L, Long::sum);
       }
       if (i % 100_000 == 0) {
         View view = member.view();
-        most = Math.max(most, view.members().size());
-        if (most > MOST_MEMBERS) {
-          throw new IllegalStateException(most + " members are remembered");
+        maxMembers = Math.max(maxMembers, view.members().size());
+        if (maxMembers > MAX_MEMBERS) {
+          throw new IllegalStateException(
+              maxMembers + " members are remembered, more than " + MAX_MEMBERS);
         }
       }
     }
     System.out.printf(
-        "%d datagrams, %d taken, dropped %s; most in a second of 1000: %d datagrams, %d bytes sent;"
-            + " %d members at most, health %d%n",
-        count, taken, refused, mostSent, mostBytes, most, member.localHealth());
+        "%d datagrams, %d decoded, dropped %s; maximum sent per second: %d datagrams, %d bytes;"
+            + " maximum number of members: %d, local health %d%n",
+        count,
+        decoded,
+        dropped,
+        maxSentPerSecond,
+        maxBytesPerSecond,
+        maxMembers,
+        member.localHealth());
   }
 
   public static void main(String[] arguments) throws Exception {
--- a/src/test/java/brassbank/shares/LeaseParticipantTest.java
+++ b/src/test/java/brassbank/shares/LeaseParticipantTest.java
@@ -17,47 +17,50 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Fleets of processes in bad weather: what all of them may spend together, at each millisecond. */
+/** Checks each millisecond what all processes of a fleet may spend together, under faults. */
 class LeaseParticipantTest {
-  private static final long MILLI = 1_000;
-  private static final long SECOND = 1_000_000;
-  private static final LeaseSettings USUAL = LeaseSettings.withBaseShare(0.25);
+  private static final long MILLI_MICROS = 1_000;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final LeaseSettings DEFAULTS = LeaseSettings.withBaseShare(0.25);
 
   private record Datagram(long at, int from, int to, byte[] bytes) {}
 
-  /** A fleet on a network that loses, delays, doubles and cuts, whose processes stop and die. */
-  private static final class Weather {
+  /**
+   * A fleet whose network loses, delays, duplicates and partitions, and whose processes are paused,
+   * stopped and restarted.
+   */
+  private static final class FaultyNetwork {
     private final SplittableRandom random;
     private final LeaseSettings settings;
     private final LeaseCodec codec = new LeaseCodec("leith");
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    private final PriorityQueue<Datagram> way =
+    private final PriorityQueue<Datagram> inFlight =
         new PriorityQueue<>(Comparator.comparingLong(Datagram::at));
     private final LeaseParticipant[] processes;
-    private final BudgetShare[] parts;
-    private final long[] away;
+    private final BudgetShare[] shares;
+    private final long[] pausedUntil;
     private final long[] clients;
-    private final int[] perBeat;
-    private final boolean[] dead;
-    private final boolean[] wants;
-    private final long[][] cutUntil;
-    private long now = 7 * SECOND;
-    private double most;
-    private boolean calm;
-    private boolean mild;
-    private int stops;
-
-    Weather(long seed, int fleet, LeaseSettings settings) throws Exception {
+    private final int[] clientsPerTick;
+    private final boolean[] stopped;
+    private final boolean[] wantsLease;
+    private final long[][] partitionedUntil;
+    private long now = 7 * SECOND_MICROS;
+    private double maxTotalShare;
+    private boolean faultFree;
+    private boolean mildFaults;
+    private int pauses;
+
+    FaultyNetwork(long seed, int fleet, LeaseSettings settings) throws Exception {
       random = new SplittableRandom(seed);
       this.settings = settings;
       processes = new LeaseParticipant[fleet];
-      parts = new BudgetShare[fleet];
-      away = new long[fleet];
+      shares = new BudgetShare[fleet];
+      pausedUntil = new long[fleet];
       clients = new long[fleet];
-      perBeat = new int[fleet];
-      dead = new boolean[fleet];
-      wants = new boolean[fleet];
-      cutUntil = new long[fleet][fleet];
+      clientsPerTick = new int[fleet];
+      stopped = new boolean[fleet];
+      wantsLease = new boolean[fleet];
+      partitionedUntil = new long[fleet][fleet];
       for (int i = 0; i < fleet; i++) {
         addresses.add(
             new InetSocketAddress(
@@ -68,9 +71,9 @@
 
     private void start(int i) {
       processes[i] = new LeaseParticipant(settings, i, processes.length, random.nextLong(), now);
-      parts[i] = null;
-      dead[i] = false;
-      wants[i] = true;
+      shares[i] = null;
+      stopped[i] = false;
+      wantsLease[i] = true;
     }
 
     private List<InetSocketAddress> others(int i) {
@@ -79,109 +82,117 @@
       return others;
     }
 
-    private LeaseOutbox from(int i) {
+    private LeaseOutbox outboxOf(int i) {
       return (to, message) -> {
         int other = addresses.indexOf(to);
-        for (int copies = calm || random.nextInt(20) > 0 ? 1 : 2; copies > 0; copies--) {
-          long late = calm ? MILLI : (long) (400 * MILLI * Math.pow(random.nextDouble(), 3));
-          if (cutUntil[i][other] <= now && (calm || random.nextInt(10) > 0)) {
-            way.add(new Datagram(now + late, i, other, codec.encode(message)));
+        for (int copies = faultFree || random.nextInt(20) > 0 ? 1 : 2; copies > 0; copies--) {
+          long delay =
+              faultFree
+                  ? MILLI_MICROS
+                  : (long) (400 * MILLI_MICROS * Math.pow(random.nextDouble(), 3));
+          if (partitionedUntil[i][other] <= now && (faultFree || random.nextInt(10) > 0)) {
+            inFlight.add(new Datagram(now + delay, i, other, codec.encode(message)));
           }
         }
       };
     }
 
-    /** One millisecond goes by. */
+    /** Advances the fleet by one millisecond. */
     void step() throws Exception {
-      now += MILLI;
-      if (!calm) {
-        fault();
+      now += MILLI_MICROS;
+      if (!faultFree) {
+        injectFault();
       }
-      while (!way.isEmpty() && way.peek().at() <= now) {
-        Datagram one = way.remove();
-        if (dead[one.to()]) {
+      while (!inFlight.isEmpty() && inFlight.peek().at() <= now) {
+        Datagram datagram = inFlight.remove();
+        if (stopped[datagram.to()]) {
           continue;
         }
-        if (away[one.to()] > now) {
-          // Its kernel keeps it.
-          way.add(new Datagram(away[one.to()], one.from(), one.to(), one.bytes()));
+        if (pausedUntil[datagram.to()] > now) {
+          // The kernel of a paused process buffers the datagram.
+          inFlight.add(
+              new Datagram(
+                  pausedUntil[datagram.to()], datagram.from(), datagram.to(), datagram.bytes()));
           continue;
         }
-        processes[one.to()].receive(
-            now, addresses.get(one.from()), codec.decode(one.bytes()), from(one.to()));
-        parts[one.to()] = processes[one.to()].share(now);
+        processes[datagram.to()].receive(
+            now,
+            addresses.get(datagram.from()),
+            codec.decode(datagram.bytes()),
+            outboxOf(datagram.to()));
+        shares[datagram.to()] = processes[datagram.to()].share(now);
       }
       double sum = 0;
       for (int i = 0; i < processes.length; i++) {
-        if (dead[i] || away[i] > now) {
+        if (stopped[i] || pausedUntil[i] > now) {
           continue;
         }
-        // One that goes on places before it hears or looks at anything but its clock.
-        BudgetShare part = parts[i];
+        // A resumed process may place sessions by its old share, having read only its clock.
+        BudgetShare share = shares[i];
         sum +=
-            part == null
+            share == null
                 ? 0
-                : now < part.leaseEndMicros() || !part.hasLease()
-                    ? part.fraction()
-                    : part.baseFraction();
-        if ((now / MILLI + i * 37) % 100 == 0) {
-          clients[i] += perBeat[i];
+                : now < share.leaseEndMicros() || !share.hasLease()
+                    ? share.fraction()
+                    : share.baseFraction();
+        if ((now / MILLI_MICROS + i * 37) % 100 == 0) {
+          clients[i] += clientsPerTick[i];
           processes[i].recordClients(now, clients[i]);
-          processes[i].tick(now, wants[i], others(i), from(i));
-          parts[i] = processes[i].share(now);
+          processes[i].tick(now, wantsLease[i], others(i), outboxOf(i));
+          shares[i] = processes[i].share(now);
         }
       }
-      most = Math.max(most, sum);
+      maxTotalShare = Math.max(maxTotalShare, sum);
     }
 
-    private void fault() {
+    private void injectFault() {
       int i = random.nextInt(processes.length);
       int j = random.nextInt(processes.length);
-      int what = random.nextInt(4_000);
-      if (mild) {
-        // Seats are held most of the time, and what they weigh changes.
-        if (what == 0) {
-          away[i] = now + random.nextLong(2 * SECOND);
-          stops++;
-        } else if (what < 3) {
-          cutUntil[i][j] = now + random.nextLong(3 * SECOND);
-        } else if (what < 5) {
-          perBeat[i] = random.nextInt(3) == 0 ? 40 : 1;
+      int fault = random.nextInt(4_000);
+      if (mildFaults) {
+        // Few enough faults that most leases are held, while their weights change.
+        if (fault == 0) {
+          pausedUntil[i] = now + random.nextLong(2 * SECOND_MICROS);
+          pauses++;
+        } else if (fault < 3) {
+          partitionedUntil[i][j] = now + random.nextLong(3 * SECOND_MICROS);
+        } else if (fault < 5) {
+          clientsPerTick[i] = random.nextInt(3) == 0 ? 40 : 1;
         }
-      } else if (what < 3) {
-        away[i] = now + random.nextLong(6 * SECOND);
-        stops++;
-      } else if (what < 4) {
-        dead[i] = true;
-      } else if (what < 14 && dead[i]) {
+      } else if (fault < 3) {
+        pausedUntil[i] = now + random.nextLong(6 * SECOND_MICROS);
+        pauses++;
+      } else if (fault < 4) {
+        stopped[i] = true;
+      } else if (fault < 14 && stopped[i]) {
         start(i);
-      } else if (what < 17) {
-        wants[i] = !wants[i];
-      } else if (what < 25 && i != j) {
-        cutUntil[i][j] = now + random.nextLong(6 * SECOND);
-      } else if (what == 3_999) {
-        long until = now + random.nextLong(8 * SECOND);
+      } else if (fault < 17) {
+        wantsLease[i] = !wantsLease[i];
+      } else if (fault < 25 && i != j) {
+        partitionedUntil[i][j] = now + random.nextLong(6 * SECOND_MICROS);
+      } else if (fault == 3_999) {
+        long until = now + random.nextLong(8 * SECOND_MICROS);
         for (int a = 0; a < processes.length; a++) {
           for (int b = 0; b < processes.length; b++) {
             if (a % 2 != b % 2) {
-              cutUntil[a][b] = until;
+              partitionedUntil[a][b] = until;
             }
           }
         }
       }
     }
 
-    double used() {
+    double totalShare() {
       double sum = 0;
       for (int i = 0; i < processes.length; i++) {
-        sum += dead[i] || parts[i] == null ? 0 : parts[i].fraction();
+        sum += stopped[i] || shares[i] == null ? 0 : shares[i].fraction();
       }
       return sum;
     }
 
-    void calm(long micros) throws Exception {
-      calm = true;
-      for (long[] row : cutUntil) {
+    void runFaultFree(long micros) throws Exception {
+      faultFree = true;
+      for (long[] row : partitionedUntil) {
         java.util.Arrays.fill(row, 0);
       }
       for (long until = now + micros; now < until; ) {
@@ -190,365 +201,372 @@
     }
   }
 
-  private static double worst(int seeds, int fleet, UnaryOperator<LeaseSettings> planted)
+  private static double maxTotalShare(int seeds, int fleet, UnaryOperator<LeaseSettings> change)
       throws Exception {
-    double most = 0;
+    double max = 0;
     for (int seed = 1; seed <= seeds; seed++) {
-      Weather weather = new Weather(seed, fleet, planted.apply(USUAL));
-      while (weather.now < 67 * SECOND) {
-        weather.step();
+      FaultyNetwork network = new FaultyNetwork(seed, fleet, change.apply(DEFAULTS));
+      while (network.now < 67 * SECOND_MICROS) {
+        network.step();
       }
-      assertThat(weather.stops).isPositive();
-      most = Math.max(most, weather.most);
+      assertThat(network.pauses).isPositive();
+      max = Math.max(max, network.maxTotalShare);
     }
-    return most;
+    return max;
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 5, 9, 17})
-  void allTogetherSpendNoMoreThanTheBudgetInAnyWeather(int fleet) throws Exception {
-    assertThat(worst(20, fleet, usual -> usual)).isLessThanOrEqualTo(1 + 1e-9);
+  void totalShareStaysWithinTheBudgetUnderFaults(int fleet) throws Exception {
+    assertThat(maxTotalShare(20, fleet, defaults -> defaults)).isLessThanOrEqualTo(1 + 1e-9);
   }
 
   @Test
-  void aSeatThatIsForgottenBeforeItsNextAskingIsFound() throws Exception {
-    double most =
-        worst(
+  void detectsGrantThatExpiresBeforeItsRenewal() throws Exception {
+    double max =
+        maxTotalShare(
             60,
             3,
-            usual ->
+            defaults ->
                 new LeaseSettings(
-                    usual.baseShare(),
-                    usual.renewalMicros(),
-                    usual.validityMicros(),
-                    100 * MILLI,
-                    usual.activationMicros(),
-                    usual.weightWindowMicros()));
-    assertThat(most).isGreaterThan(1.01);
+                    defaults.baseShare(),
+                    defaults.renewalMicros(),
+                    defaults.validityMicros(),
+                    100 * MILLI_MICROS,
+                    defaults.activationMicros(),
+                    defaults.weightWindowMicros()));
+    assertThat(max).isGreaterThan(1.01);
   }
 
   /**
-   * Three keepers. The first process loses the second keeper and finds the third in time; the other
-   * has asked the third just before, and asks the second just after.
+   * Simulates three grantors. The first process loses the second grantor and reaches the third in
+   * time; the other process has asked the third just before, and asks the second just after.
    *
-   * @return whether the other counts the first, while both spend
+   * @return whether the other process counts the first while both spend their shares
    */
-  private static boolean countsOneThatWanders(long holds) {
+  private static boolean countsProcessThatChangesGrantors(long grantMicros) {
     LeaseSettings settings =
         new LeaseSettings(
-            USUAL.baseShare(),
-            USUAL.renewalMicros(),
-            USUAL.validityMicros(),
-            holds,
-            USUAL.activationMicros(),
-            USUAL.weightWindowMicros());
-    LeaseGrantor[] keepers = new LeaseGrantor[3];
+            DEFAULTS.baseShare(),
+            DEFAULTS.renewalMicros(),
+            DEFAULTS.validityMicros(),
+            grantMicros,
+            DEFAULTS.activationMicros(),
+            DEFAULTS.weightWindowMicros());
+    LeaseGrantor[] grantors = new LeaseGrantor[3];
     for (int k = 0; k < 3; k++) {
-      keepers[k] = new LeaseGrantor(holds, -10 * SECOND);
+      grantors[k] = new LeaseGrantor(grantMicros, -10 * SECOND_MICROS);
     }
     RankLease first = new RankLease(settings, 3);
     RankLease other = new RankLease(settings, 3);
     for (long at = 0; at <= 4_400; at += 50) {
       if (at % 300 == 0) {
-        ask(first, 0, 0, keepers, at);
+        requestLease(first, 0, 0, grantors, at);
       }
       if (at % 300 == 0 && at <= 3_000) {
-        ask(first, 0, 1, keepers, at);
+        requestLease(first, 0, 1, grantors, at);
       }
       if (at == 4_100) {
-        ask(first, 0, 2, keepers, at);
+        requestLease(first, 0, 2, grantors, at);
       }
       if (at % 300 == 150) {
-        ask(other, 1, 1, keepers, at);
+        requestLease(other, 1, 1, grantors, at);
       }
       if (at % 300 == 150 && at <= 4_050) {
-        ask(other, 1, 2, keepers, at);
+        requestLease(other, 1, 2, grantors, at);
       }
     }
-    assertThat(first.spends(4_400 * MILLI)).isTrue();
-    assertThat(other.spends(4_400 * MILLI)).isTrue();
-    return other.counted(4_400 * MILLI).get(0);
+    assertThat(first.isActive(4_400 * MILLI_MICROS)).isTrue();
+    assertThat(other.isActive(4_400 * MILLI_MICROS)).isTrue();
+    return other.leasedRanks(4_400 * MILLI_MICROS).get(0);
   }
 
-  private static void ask(
-      RankLease seat, int rank, int keeper, LeaseGrantor[] keepers, long millis) {
-    long now = millis * MILLI;
-    assertThat(keepers[keeper].hold(now, rank, rank, 1, 4, 0)).isTrue();
-    BitSet seats = keepers[keeper].seats(now);
-    seat.held(
-        now, keeper, now, new LeaseMessage(LeaseMessage.Kind.HELD, keeper, keeper, 3, 1, seats));
+  private static void requestLease(
+      RankLease lease, int rank, int grantor, LeaseGrantor[] grantors, long millis) {
+    long now = millis * MILLI_MICROS;
+    assertThat(grantors[grantor].grantLease(now, rank, rank, 1, 4, 0)).isTrue();
+    BitSet ranks = grantors[grantor].leasedRanks(now);
+    lease.addGrant(
+        now, grantor, now, new LeaseMessage(LeaseMessage.Kind.HELD, grantor, grantor, 3, 1, ranks));
   }
 
   @Test
-  void aSeatMustBeHeldForLongerThanTwoAnswersCount() {
-    assertThat(countsOneThatWanders(USUAL.validityMicros())).isFalse();
-    assertThat(countsOneThatWanders(USUAL.grantMicros())).isTrue();
+  void grantMustOutlastTwoValidityPeriods() {
+    assertThat(countsProcessThatChangesGrantors(DEFAULTS.validityMicros())).isFalse();
+    assertThat(countsProcessThatChangesGrantors(DEFAULTS.grantMicros())).isTrue();
   }
 
   @Test
-  void aNewcomerThatSpendsAtOnceIsFound() throws Exception {
-    double most =
-        worst(
+  void detectsNewLeaseThatIsSpentWithoutDelay() throws Exception {
+    double max =
+        maxTotalShare(
             40,
             3,
-            usual ->
+            defaults ->
                 new LeaseSettings(
-                    usual.baseShare(),
-                    usual.renewalMicros(),
-                    usual.validityMicros(),
-                    usual.grantMicros(),
+                    defaults.baseShare(),
+                    defaults.renewalMicros(),
+                    defaults.validityMicros(),
+                    defaults.grantMicros(),
                     0,
-                    usual.weightWindowMicros()));
-    assertThat(most).isGreaterThan(1.01);
+                    defaults.weightWindowMicros()));
+    assertThat(max).isGreaterThan(1.01);
   }
 
   @Test
-  void aCalmFleetUsesAllOfItsBudgetAndADeadOnesPartIsBackWithinFiveSeconds() throws Exception {
-    Weather weather = new Weather(1, 14, USUAL);
-    weather.calm(10 * SECOND);
-    assertThat(weather.used()).isCloseTo(1, within(1e-9));
-    weather.dead[3] = true;
-    weather.dead[4] = true;
-    weather.calm(5 * SECOND);
-    // What is left unused is the base of those who are not there.
-    assertThat(weather.used()).isCloseTo(1 - 2 * USUAL.baseShare() / 14, within(1e-9));
-    weather.start(3);
-    weather.start(4);
-    weather.calm(5 * SECOND);
-    assertThat(weather.used()).isCloseTo(1, within(1e-9));
+  void faultFreeFleetUsesItsWholeBudgetAndReclaimsAStoppedProcessShareWithinFiveSeconds()
+      throws Exception {
+    FaultyNetwork network = new FaultyNetwork(1, 14, DEFAULTS);
+    network.runFaultFree(10 * SECOND_MICROS);
+    assertThat(network.totalShare()).isCloseTo(1, within(1e-9));
+    network.stopped[3] = true;
+    network.stopped[4] = true;
+    network.runFaultFree(5 * SECOND_MICROS);
+    // Only the base shares of the two stopped processes remain unused.
+    assertThat(network.totalShare()).isCloseTo(1 - 2 * DEFAULTS.baseShare() / 14, within(1e-9));
+    network.start(3);
+    network.start(4);
+    network.runFaultFree(5 * SECOND_MICROS);
+    assertThat(network.totalShare()).isCloseTo(1, within(1e-9));
   }
 
-  /** Processes that live long enough to know what they need, which changes all the time. */
-  private static double worstOfMild(int fleet, long weighs) throws Exception {
-    double most = 0;
+  /** Runs processes long enough that they know their demand, while the demand keeps changing. */
+  private static double maxTotalShareWithMildFaults(int fleet, long weightWindowMicros)
+      throws Exception {
+    double max = 0;
     for (int seed = 1; seed <= 20; seed++) {
       LeaseSettings settings =
           new LeaseSettings(
-              USUAL.baseShare(),
-              USUAL.renewalMicros(),
-              USUAL.validityMicros(),
-              USUAL.grantMicros(),
-              USUAL.activationMicros(),
-              weighs);
-      Weather weather = new Weather(seed, fleet, settings);
-      weather.mild = true;
-      while (weather.now < 87 * SECOND) {
-        weather.step();
+              DEFAULTS.baseShare(),
+              DEFAULTS.renewalMicros(),
+              DEFAULTS.validityMicros(),
+              DEFAULTS.grantMicros(),
+              DEFAULTS.activationMicros(),
+              weightWindowMicros);
+      FaultyNetwork network = new FaultyNetwork(seed, fleet, settings);
+      network.mildFaults = true;
+      while (network.now < 87 * SECOND_MICROS) {
+        network.step();
       }
-      most = Math.max(most, weather.most);
+      max = Math.max(max, network.maxTotalShare);
     }
-    return most;
+    return max;
   }
 
   @Test
-  void weightsThatChangeAddUpInAnyWeather() throws Exception {
-    assertThat(worstOfMild(3, USUAL.weightWindowMicros())).isLessThanOrEqualTo(1 + 1e-9);
-    assertThat(worstOfMild(7, USUAL.weightWindowMicros())).isLessThanOrEqualTo(1 + 1e-9);
+  void changingWeightsStayWithinTheBudgetUnderFaults() throws Exception {
+    assertThat(maxTotalShareWithMildFaults(3, DEFAULTS.weightWindowMicros()))
+        .isLessThanOrEqualTo(1 + 1e-9);
+    assertThat(maxTotalShareWithMildFaults(7, DEFAULTS.weightWindowMicros()))
+        .isLessThanOrEqualTo(1 + 1e-9);
   }
 
-  /** With the newest weight in place of the least that others may still count. */
+  /** The newest weight is used instead of the lowest that other processes may still count. */
   @Test
-  void aWeightThatIsSpentAtOnceIsFound() throws Exception {
-    assertThat(worstOfMild(3, USUAL.renewalMicros() + 1)).isGreaterThan(1.01);
+  void detectsIncreasedWeightThatIsSpentWithoutDelay() throws Exception {
+    assertThat(maxTotalShareWithMildFaults(3, DEFAULTS.renewalMicros() + 1)).isGreaterThan(1.01);
   }
 
   @Test
-  void whoHasManyTimesTheClientsHasUpToFourTimesTheUsualWeight() throws Exception {
-    Weather weather = new Weather(1, 14, USUAL);
-    java.util.Arrays.fill(weather.perBeat, 1);
-    weather.calm(20 * SECOND);
-    assertThat(weather.parts[5].fraction()).isCloseTo(1 / 14.0, within(1e-9));
-    weather.perBeat[5] = 8;
-    weather.calm(25 * SECOND);
-    // Thirteen weigh four each, as usual, and one sixteen.
-    assertThat(weather.parts[5].fraction())
+  void processWithManyMoreClientsHasUpToFourTimesTheDefaultWeight() throws Exception {
+    FaultyNetwork network = new FaultyNetwork(1, 14, DEFAULTS);
+    java.util.Arrays.fill(network.clientsPerTick, 1);
+    network.runFaultFree(20 * SECOND_MICROS);
+    assertThat(network.shares[5].fraction()).isCloseTo(1 / 14.0, within(1e-9));
+    network.clientsPerTick[5] = 8;
+    network.runFaultFree(25 * SECOND_MICROS);
+    // Thirteen processes have the default weight of four, and one has sixteen.
+    assertThat(network.shares[5].fraction())
         .isCloseTo(0.25 / 14 + 0.75 * 16 / (13 * 4 + 16), within(1e-9));
-    assertThat(weather.used()).isCloseTo(1, within(1e-9));
-    weather.perBeat[5] = 1;
-    weather.calm(25 * SECOND);
-    assertThat(weather.parts[5].fraction()).isCloseTo(1 / 14.0, within(1e-9));
-    assertThat(weather.most).isLessThanOrEqualTo(1 + 1e-9);
+    assertThat(network.totalShare()).isCloseTo(1, within(1e-9));
+    network.clientsPerTick[5] = 1;
+    network.runFaultFree(25 * SECOND_MICROS);
+    assertThat(network.shares[5].fraction()).isCloseTo(1 / 14.0, within(1e-9));
+    assertThat(network.maxTotalShare).isLessThanOrEqualTo(1 + 1e-9);
   }
 
   @Test
-  void whoLeavesGivesItsSeatBackAtOnce() throws Exception {
-    Weather weather = new Weather(1, 5, USUAL);
-    weather.calm(10 * SECOND);
-    weather.wants[2] = false;
-    weather.calm(SECOND / 2);
-    assertThat(weather.parts[0].participants()).isEqualTo(4);
-    assertThat(weather.parts[2].hasLease()).isFalse();
+  void drainingProcessReleasesItsLeaseAtOnce() throws Exception {
+    FaultyNetwork network = new FaultyNetwork(1, 5, DEFAULTS);
+    network.runFaultFree(10 * SECOND_MICROS);
+    network.wantsLease[2] = false;
+    network.runFaultFree(SECOND_MICROS / 2);
+    assertThat(network.shares[0].participants()).isEqualTo(4);
+    assertThat(network.shares[2].hasLease()).isFalse();
   }
 
   @Test
-  void whoIsCutOffFallsBackToTheBaseWithinAnAnswersTime() throws Exception {
-    Weather weather = new Weather(1, 7, USUAL);
-    weather.calm(10 * SECOND);
-    weather.calm = true;
+  void partitionedProcessFallsBackToTheBaseShareWithinTheValidityPeriod() throws Exception {
+    FaultyNetwork network = new FaultyNetwork(1, 7, DEFAULTS);
+    network.runFaultFree(10 * SECOND_MICROS);
+    network.faultFree = true;
     for (int a = 0; a < 7; a++) {
       for (int b = 0; b < 7; b++) {
-        weather.cutUntil[a][b] = a < 3 == b < 3 ? 0 : Long.MAX_VALUE;
+        network.partitionedUntil[a][b] = a < 3 == b < 3 ? 0 : Long.MAX_VALUE;
       }
     }
     for (int i = 0; i < 1_400; i++) {
-      weather.step();
+      network.step();
     }
-    assertThat(weather.parts[0].fraction()).isCloseTo(0.25 / 7, within(1e-9));
+    assertThat(network.shares[0].fraction()).isCloseTo(0.25 / 7, within(1e-9));
     for (int i = 0; i < 2_600; i++) {
-      weather.step();
+      network.step();
     }
-    assertThat(weather.parts[6].fraction()).isCloseTo(0.25 / 7 + 0.75 / 4, within(1e-9));
-    assertThat(weather.most).isLessThanOrEqualTo(1 + 1e-9);
+    assertThat(network.shares[6].fraction()).isCloseTo(0.25 / 7 + 0.75 / 4, within(1e-9));
+    assertThat(network.maxTotalShare).isLessThanOrEqualTo(1 + 1e-9);
   }
 
-  private static DrainPermit asked(Weather weather, int process) {
-    return weather.processes[process].pollDrainPermit(
-        weather.now, weather.others(process), weather.from(process));
+  private static DrainPermit pollPermit(FaultyNetwork network, int process) {
+    return network.processes[process].pollDrainPermit(
+        network.now, network.others(process), network.outboxOf(process));
   }
 
-  private static DrainPermit ask(Weather weather, int process) {
-    return weather.processes[process].requestDrainPermit(
-        weather.now, weather.others(process), weather.from(process));
+  private static DrainPermit requestPermit(FaultyNetwork network, int process) {
+    return network.processes[process].requestDrainPermit(
+        network.now, network.others(process), network.outboxOf(process));
   }
 
   @Test
-  void oneLeavesAtATimeAndIsToldOfOnlyWhileItDoes() throws Exception {
-    Weather weather = new Weather(1, 5, USUAL);
-    weather.calm(10 * SECOND);
-    ask(weather, 1);
-    weather.calm(SECOND / 10);
-    assertThat(asked(weather, 1)).isEqualTo(DrainPermit.GO);
-    weather.wants[1] = false;
-    assertThat(ask(weather, 3)).isEqualTo(new DrainPermit(DrainPermit.Status.OTHER_DRAINS, 1));
-    weather.calm(5 * SECOND);
-    ask(weather, 3);
-    weather.calm(SECOND / 10);
-    assertThat(asked(weather, 3)).isEqualTo(DrainPermit.GO);
+  void oneProcessDrainsAtATimeAndIsNamedOnlyWhileItsPermitLasts() throws Exception {
+    FaultyNetwork network = new FaultyNetwork(1, 5, DEFAULTS);
+    network.runFaultFree(10 * SECOND_MICROS);
+    requestPermit(network, 1);
+    network.runFaultFree(SECOND_MICROS / 10);
+    assertThat(pollPermit(network, 1)).isEqualTo(DrainPermit.GRANTED);
+    network.wantsLease[1] = false;
+    assertThat(requestPermit(network, 3))
+        .isEqualTo(new DrainPermit(DrainPermit.Status.OTHER_DRAINS, 1));
+    network.runFaultFree(5 * SECOND_MICROS);
+    requestPermit(network, 3);
+    network.runFaultFree(SECOND_MICROS / 10);
+    assertThat(pollPermit(network, 3)).isEqualTo(DrainPermit.GRANTED);
   }
 
   @Test
-  void nobodyLeavesWhereTooFewCouldCarryIt() throws Exception {
-    Weather weather = new Weather(1, 5, USUAL);
-    weather.dead[3] = true;
-    weather.dead[4] = true;
-    weather.calm(10 * SECOND);
-    assertThat(ask(weather, 0).status()).isEqualTo(DrainPermit.Status.TOO_FEW_LEASES);
-    weather.dead[2] = true;
-    weather.calm(5 * SECOND);
-    assertThat(ask(weather, 0).status()).isEqualTo(DrainPermit.Status.NO_MAJORITY);
+  void permitIsRefusedWhenTooFewProcessesHaveALease() throws Exception {
+    FaultyNetwork network = new FaultyNetwork(1, 5, DEFAULTS);
+    network.stopped[3] = true;
+    network.stopped[4] = true;
+    network.runFaultFree(10 * SECOND_MICROS);
+    assertThat(requestPermit(network, 0).status()).isEqualTo(DrainPermit.Status.TOO_FEW_LEASES);
+    network.stopped[2] = true;
+    network.runFaultFree(5 * SECOND_MICROS);
+    assertThat(requestPermit(network, 0).status()).isEqualTo(DrainPermit.Status.NO_MAJORITY);
   }
 
-  /** It hears the others only after it has gone on, when the turn may be another's. */
+  /** The answers arrive only after the process has resumed, when another may hold the permit. */
   @Test
-  void whoIsStoppedWhileItAsksDoesNotLeaveAfterwards() throws Exception {
-    Weather weather = new Weather(1, 5, USUAL);
-    weather.calm(10 * SECOND);
-    ask(weather, 1);
-    weather.away[1] = weather.now + 10 * SECOND;
-    weather.calm(9 * SECOND);
-    ask(weather, 2);
-    weather.calm(SECOND / 10);
-    assertThat(asked(weather, 2)).isEqualTo(DrainPermit.GO);
-    weather.calm(2 * SECOND);
-    assertThat(asked(weather, 1).status()).isEqualTo(DrainPermit.Status.NO_MAJORITY);
+  void processPausedDuringItsRequestGetsNoPermitAfterwards() throws Exception {
+    FaultyNetwork network = new FaultyNetwork(1, 5, DEFAULTS);
+    network.runFaultFree(10 * SECOND_MICROS);
+    requestPermit(network, 1);
+    network.pausedUntil[1] = network.now + 10 * SECOND_MICROS;
+    network.runFaultFree(9 * SECOND_MICROS);
+    requestPermit(network, 2);
+    network.runFaultFree(SECOND_MICROS / 10);
+    assertThat(pollPermit(network, 2)).isEqualTo(DrainPermit.GRANTED);
+    network.runFaultFree(2 * SECOND_MICROS);
+    assertThat(pollPermit(network, 1).status()).isEqualTo(DrainPermit.Status.NO_MAJORITY);
   }
 
-  /** In any weather two that are let go are at least as far apart as a leaving takes. */
+  /** Two grants to different processes are at least as far apart as a drain takes. */
   @Test
-  void twoThatAreLetGoAreFourSecondsApartInAnyWeather() throws Exception {
-    int let = 0;
+  void permitsOfTwoProcessesAreFourSecondsApartUnderFaults() throws Exception {
+    int granted = 0;
     for (int seed = 1; seed <= 40; seed++) {
-      Weather weather = new Weather(seed, 5, USUAL);
-      long last = 0;
-      int leaver = -1;
-      while (weather.now < 127 * SECOND) {
-        weather.step();
-        int i = weather.random.nextInt(5);
-        if (!weather.dead[i] && weather.away[i] <= weather.now) {
-          DrainPermit leave = asked(weather, i);
-          if (leave == null && weather.random.nextInt(100) == 0) {
-            ask(weather, i);
-          } else if (leave == DrainPermit.GO) {
-            // One that is let go may ask again: the turn is its own.
-            if (i != leaver) {
-              assertThat(weather.now - last).isGreaterThan(4 * SECOND);
+      FaultyNetwork network = new FaultyNetwork(seed, 5, DEFAULTS);
+      long lastGrantAt = 0;
+      int holder = -1;
+      while (network.now < 127 * SECOND_MICROS) {
+        network.step();
+        int i = network.random.nextInt(5);
+        if (!network.stopped[i] && network.pausedUntil[i] <= network.now) {
+          DrainPermit permit = pollPermit(network, i);
+          if (permit == null && network.random.nextInt(100) == 0) {
+            requestPermit(network, i);
+          } else if (permit == DrainPermit.GRANTED) {
+            // The holder may request the permit again.
+            if (i != holder) {
+              assertThat(network.now - lastGrantAt).isGreaterThan(4 * SECOND_MICROS);
             }
-            last = weather.now;
-            leaver = i;
-            let++;
+            lastGrantAt = network.now;
+            holder = i;
+            granted++;
           }
         }
       }
     }
-    assertThat(let).isGreaterThan(10);
+    assertThat(granted).isGreaterThan(10);
   }
 
-  /** What a keeper of rank 0 answers to one of rank 2, after these have come to it from rank 1. */
-  private static LeaseMessage answered(LeaseMessage.Kind asks, LeaseMessage.Kind... came)
+  /** Returns the answer of a grantor of rank 0 to rank 2, after the given messages of rank 1. */
+  private static LeaseMessage grantorAnswer(LeaseMessage.Kind request, LeaseMessage.Kind... earlier)
       throws Exception {
-    long now = 20 * SECOND;
-    LeaseParticipant keeper = new LeaseParticipant(USUAL, 0, 5, 70, now - 10 * SECOND);
-    InetSocketAddress one =
+    long now = 20 * SECOND_MICROS;
+    LeaseParticipant grantor = new LeaseParticipant(DEFAULTS, 0, 5, 70, now - 10 * SECOND_MICROS);
+    InetSocketAddress first =
         new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, 0, 0, 2}), 7070);
-    InetSocketAddress other =
+    InetSocketAddress second =
         new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, 0, 0, 3}), 7070);
-    List<LeaseMessage> said = new ArrayList<>();
-    // The first asks and gives back, and then asks anew; what it gave back comes once more, late.
+    List<LeaseMessage> sent = new ArrayList<>();
+    // Rank 1 requests and releases, and requests again; then a copy of its release arrives late.
     int[] sequences = {3, 3, 4, 3};
-    for (int i = 0; i < came.length; i++) {
-      keeper.receive(
+    for (int i = 0; i < earlier.length; i++) {
+      grantor.receive(
           now + i,
-          one,
-          new LeaseMessage(came[i], 71, 1, 5, sequences[i], new BitSet()),
+          first,
+          new LeaseMessage(earlier[i], 71, 1, 5, sequences[i], new BitSet()),
           (to, message) -> {});
     }
-    keeper.receive(
-        now + came.length,
-        other,
-        new LeaseMessage(asks, 72, 2, 5, 9, new BitSet()),
-        (to, message) -> said.add(message));
-    return said.get(0);
+    grantor.receive(
+        now + earlier.length,
+        second,
+        new LeaseMessage(request, 72, 2, 5, 9, new BitSet()),
+        (to, message) -> sent.add(message));
+    return sent.get(0);
   }
 
   @Test
-  void aSeatThatIsTakenAgainIsNotGivenBackByALateDatagram() throws Exception {
+  void lateReleaseDoesNotEndARenewedLease() throws Exception {
     LeaseMessage answer =
-        answered(
+        grantorAnswer(
             LeaseMessage.Kind.ASK,
             LeaseMessage.Kind.ASK,
             LeaseMessage.Kind.GIVE_BACK,
             LeaseMessage.Kind.ASK,
             LeaseMessage.Kind.GIVE_BACK);
     assertThat(answer.ranks().get(1)).isTrue();
-    answer = answered(LeaseMessage.Kind.ASK, LeaseMessage.Kind.ASK, LeaseMessage.Kind.GIVE_BACK);
+    answer =
+        grantorAnswer(LeaseMessage.Kind.ASK, LeaseMessage.Kind.ASK, LeaseMessage.Kind.GIVE_BACK);
     assertThat(answer.ranks().get(1)).isFalse();
   }
 
   @Test
-  void aTurnThatIsTakenAgainIsNotGivenBackByALateDatagram() throws Exception {
+  void lateReleaseDoesNotEndARenewedPermit() throws Exception {
     LeaseMessage answer =
-        answered(
+        grantorAnswer(
             LeaseMessage.Kind.LEAVE,
             LeaseMessage.Kind.LEAVE,
             LeaseMessage.Kind.STAYS,
             LeaseMessage.Kind.LEAVE,
             LeaseMessage.Kind.STAYS);
     assertThat(answer.kind()).isEqualTo(LeaseMessage.Kind.OTHER_LEAVES);
-    answer = answered(LeaseMessage.Kind.LEAVE, LeaseMessage.Kind.LEAVE, LeaseMessage.Kind.STAYS);
+    answer =
+        grantorAnswer(LeaseMessage.Kind.LEAVE, LeaseMessage.Kind.LEAVE, LeaseMessage.Kind.STAYS);
     assertThat(answer.kind()).isEqualTo(LeaseMessage.Kind.GO);
   }
 
-  /** Whatever comes is read or refused, and nothing that is read is beyond its bounds. */
+  /** Any datagram is decoded or rejected, and all decoded fields are within their bounds. */
   @Test
-  void readsAnythingWithoutFailing() {
+  void decodesOrRejectsAnyDatagram() {
     SplittableRandom random = new SplittableRandom(5);
     LeaseCodec codec = new LeaseCodec("leith");
-    BitSet seats = new BitSet();
-    seats.set(3);
-    byte[] good = codec.encode(new LeaseMessage(LeaseMessage.Kind.HELD, 7, 2, 14, 9, seats));
-    int read = 0;
+    BitSet ranks = new BitSet();
+    ranks.set(3);
+    byte[] valid = codec.encode(new LeaseMessage(LeaseMessage.Kind.HELD, 7, 2, 14, 9, ranks));
+    int decoded = 0;
     for (int i = 0; i < 200_000; i++) {
-      byte[] bytes = good.clone();
+      byte[] bytes = valid.clone();
       int at = 3 + random.nextInt(bytes.length - 7);
       bytes[at] = (byte) random.nextInt(256);
       java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
@@ -561,11 +579,11 @@
         LeaseMessage message = codec.decode(bytes);
         assertThat(message.rank()).isBetween(0, message.rankCount() - 1);
         assertThat(message.ranks().length()).isLessThanOrEqualTo(message.rankCount());
-        read++;
+        decoded++;
       } catch (brassbank.membership.wire.InvalidDatagramException e) {
         assertThat(e.reason()).isNotNull();
       }
     }
-    assertThat(read).isBetween(10_000, 190_000);
+    assertThat(decoded).isBetween(10_000, 190_000);
   }
 }
--- a/src/test/java/brassbank/subsets/SubsetTest.java
+++ b/src/test/java/brassbank/subsets/SubsetTest.java
@@ -12,38 +12,38 @@
 import org.junit.jupiter.api.Test;
 
 class SubsetTest {
-  private static final int ASKERS = 8;
+  private static final int PROXIES_PER_HOST = 8;
 
   private static List<Peer> peers(String name, int count, int zones) {
     return IntStream.range(0, count).mapToObj(i -> new Peer(name + i, "z" + i % zones)).toList();
   }
 
-  /** Who asks each host, where all see the same. */
-  private static Map<String, Set<String>> askers(List<Peer> proxies, List<Peer> hosts) {
-    Map<String, Set<String>> askers = new HashMap<>();
-    hosts.forEach(host -> askers.put(host.name(), new HashSet<>()));
+  /** Returns the proxies that select each host if all proxies have the same view. */
+  private static Map<String, Set<String>> proxiesByHost(List<Peer> proxies, List<Peer> hosts) {
+    Map<String, Set<String>> byHost = new HashMap<>();
+    hosts.forEach(host -> byHost.put(host.name(), new HashSet<>()));
     for (Peer self : proxies) {
-      for (String host : new Subset(self, proxies, ASKERS).select(hosts)) {
-        askers.get(host).add(self.name());
+      for (String host : new Subset(self, proxies, PROXIES_PER_HOST).select(hosts)) {
+        byHost.get(host).add(self.name());
       }
     }
-    return askers;
+    return byHost;
   }
 
-  private static long pairs(Map<String, Set<String>> askers) {
-    return askers.values().stream().mapToLong(Set::size).sum();
+  private static long pairCount(Map<String, Set<String>> byHost) {
+    return byHost.values().stream().mapToLong(Set::size).sum();
   }
 
   @Test
-  void eachHostIsAskedBySoManyAndThreeInFourOfItsZone() {
+  void eachHostIsSelectedByTheSetNumberOfProxiesAndThreeInFourAreOfItsZone() {
     for (int count : new int[] {14, 56}) {
       List<Peer> proxies = peers("n", count, 2);
       List<Peer> hosts = peers("s-", 60, 2);
-      Map<String, Set<String>> askers = askers(proxies, hosts);
+      Map<String, Set<String>> byHost = proxiesByHost(proxies, hosts);
       for (Peer host : hosts) {
-        Set<String> by = askers.get(host.name());
-        assertThat(by).hasSize(ASKERS);
-        assertThat(proxies.stream().filter(p -> by.contains(p.name())))
+        Set<String> selecting = byHost.get(host.name());
+        assertThat(selecting).hasSize(PROXIES_PER_HOST);
+        assertThat(proxies.stream().filter(p -> selecting.contains(p.name())))
             .filteredOn(p -> p.zone().equals(host.zone()))
             .hasSize(6);
       }
@@ -51,63 +51,65 @@
   }
 
   @Test
-  void oneProxyMoreOrLessChangesItsOwnPairsAndAsManyOthers() {
+  void removingAProxyReplacesOnlyItsOwnPairs() {
     List<Peer> proxies = peers("n", 56, 2);
     List<Peer> hosts = peers("s-", 60, 2);
-    Map<String, Set<String>> before = askers(proxies, hosts);
+    Map<String, Set<String>> before = proxiesByHost(proxies, hosts);
     double changed = 0;
-    for (Peer gone : proxies) {
-      List<Peer> rest = new ArrayList<>(proxies);
-      rest.remove(gone);
-      Map<String, Set<String>> after = askers(rest, hosts);
+    for (Peer removed : proxies) {
+      List<Peer> remaining = new ArrayList<>(proxies);
+      remaining.remove(removed);
+      Map<String, Set<String>> after = proxiesByHost(remaining, hosts);
       for (Peer host : hosts) {
-        Set<String> was = new HashSet<>(before.get(host.name()));
-        was.remove(gone.name());
-        assertThat(after.get(host.name())).as("nobody else is sent away").containsAll(was);
-        Set<String> either = new HashSet<>(before.get(host.name()));
-        either.removeAll(after.get(host.name()));
-        changed += 2.0 * either.size();
+        Set<String> kept = new HashSet<>(before.get(host.name()));
+        kept.remove(removed.name());
+        assertThat(after.get(host.name())).as("the other proxies keep the host").containsAll(kept);
+        Set<String> replaced = new HashSet<>(before.get(host.name()));
+        replaced.removeAll(after.get(host.name()));
+        changed += 2.0 * replaced.size();
       }
     }
-    assertThat(changed / proxies.size() / pairs(before)).isEqualTo(2.0 / 56);
+    assertThat(changed / proxies.size() / pairCount(before)).isEqualTo(2.0 / 56);
   }
 
   @Test
-  void whileViewsDifferOnlyTheirNumberCounts() {
+  void proxiesPerHostAreBoundedByTheNumberOfDifferentViews() {
     List<Peer> proxies = peers("n", 56, 2);
     List<Peer> hosts = peers("s-", 60, 2);
     List<List<Peer>> views =
         List.of(proxies, proxies.subList(0, 30), proxies.subList(20, 56), proxies.subList(0, 56));
-    Map<String, Integer> asked = new HashMap<>();
+    Map<String, Integer> selections = new HashMap<>();
     for (int i = 0; i < proxies.size(); i++) {
       Peer self = proxies.get(i);
       List<Peer> view = views.get(i % views.size());
       if (view.contains(self)) {
-        new Subset(self, view, ASKERS).select(hosts).forEach(h -> asked.merge(h, 1, Integer::sum));
+        new Subset(self, view, PROXIES_PER_HOST)
+            .select(hosts)
+            .forEach(host -> selections.merge(host, 1, Integer::sum));
       }
     }
-    assertThat(asked.values()).allMatch(count -> count <= 3 * ASKERS);
+    assertThat(selections.values()).allMatch(count -> count <= 3 * PROXIES_PER_HOST);
   }
 
   @Test
-  void hasEightHostsByAndLargeWhereThereAreFew() {
+  void selectsAtLeastEightHostsOnAverageWhenHostsAreFew() {
     List<Peer> proxies = peers("n", 56, 2);
     List<Peer> hosts = peers("s-", 12, 2);
-    assertThat(Subset.proxiesPerHost(ASKERS, 56, 12)).isEqualTo(38);
+    assertThat(Subset.proxiesPerHost(PROXIES_PER_HOST, 56, 12)).isEqualTo(38);
     assertThat(proxies)
-        .allMatch(self -> !new Subset(self, proxies, ASKERS).select(hosts).isEmpty());
-    assertThat(Subset.proxiesPerHost(ASKERS, 3, 60)).isEqualTo(3);
+        .allMatch(self -> !new Subset(self, proxies, PROXIES_PER_HOST).select(hosts).isEmpty());
+    assertThat(Subset.proxiesPerHost(PROXIES_PER_HOST, 3, 60)).isEqualTo(3);
   }
 
-  /** What is remembered of hosts makes no difference to what is chosen. */
+  /** The cached rankings of hosts do not affect the selection. */
   @Test
-  void choosesTheSameWhateverWasListedBefore() {
+  void selectionDoesNotDependOnEarlierHostLists() {
     List<Peer> proxies = peers("n", 14, 2);
     List<Peer> hosts = peers("s-", 60, 2);
-    Subset used = new Subset(proxies.get(3), proxies, ASKERS);
-    used.select(hosts.subList(0, 20));
-    used.select(List.of(new Peer("s-7", "elsewhere")));
-    assertThat(used.select(hosts))
-        .isEqualTo(new Subset(proxies.get(3), proxies, ASKERS).select(hosts));
+    Subset subset = new Subset(proxies.get(3), proxies, PROXIES_PER_HOST);
+    subset.select(hosts.subList(0, 20));
+    subset.select(List.of(new Peer("s-7", "elsewhere")));
+    assertThat(subset.select(hosts))
+        .isEqualTo(new Subset(proxies.get(3), proxies, PROXIES_PER_HOST).select(hosts));
   }
 }
