--- a/src/main/java/brassbank/decide/Decider.java
+++ b/src/main/java/brassbank/decide/Decider.java
@@ -483,7 +483,7 @@
 
   /**
    * Gives a flow that is not served its final answer. The module chooses the answer: where a
-   * forward may have run, the client must not be told that a retry is harmless, unless it is.
+   * forward may have run, the answer must not promise that a retry is harmless, unless it is.
    */
   private void answerUnserved(FlowEntry entry) {
     if (entry.flow.resumeTarget() == null) {
--- a/src/main/java/brassbank/decide/FlowEntry.java
+++ b/src/main/java/brassbank/decide/FlowEntry.java
@@ -26,8 +26,14 @@
   final Balancer.Settings settings;
 
   Stage stage = Stage.PENDING;
+
+  /** The number of forwards so far. */
   int forwardCount;
+
+  /** The target of the last forward. */
   Target target;
+
+  /** When the last forward was sent. */
   long sentAtMicros;
 
   /** When the first forward that may have run was sent; Long.MAX_VALUE if there is none. */
--- a/src/main/java/brassbank/decide/FlowTable.java
+++ b/src/main/java/brassbank/decide/FlowTable.java
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Returns the flows that a drain may dismiss: pending ones first, since this proxy does not serve
+   * Returns the flows that a drain may close: pending ones first, since this proxy does not serve
    * them, then established ones. Flows with an outstanding forward are left out.
    */
   List<FlowEntry> drainOrder() {
--- a/src/main/java/brassbank/decide/ResponseDelays.java
+++ b/src/main/java/brassbank/decide/ResponseDelays.java
@@ -43,12 +43,12 @@
    *
    * @param millis the time from the relayed request to the response
    */
-  boolean shouldReport(long now, String target, double millis) {
+  boolean shouldReport(long nowMicros, String target, double millis) {
     Delay delay = delays.computeIfAbsent(target, name -> new Delay());
-    boolean slow = millis > slowThresholdMillis;
-    if (slow ? now - delay.reportedAtMicros >= MIN_REPORT_INTERVAL_MICROS : delay.isSlow) {
-      delay.reportedAtMicros = now;
-      delay.isSlow = slow;
+    boolean isSlow = millis > slowThresholdMillis;
+    if (isSlow ? nowMicros - delay.reportedAtMicros >= MIN_REPORT_INTERVAL_MICROS : delay.isSlow) {
+      delay.reportedAtMicros = nowMicros;
+      delay.isSlow = isSlow;
       return true;
     }
     return false;
--- a/src/main/java/brassbank/forward/Dispatcher.java
+++ b/src/main/java/brassbank/forward/Dispatcher.java
@@ -112,11 +112,9 @@
   /** Submits a new flow, whose answer is passed to the client. */
   public void submit(Flow flow, Client client) {
     if (net.isAtCapacity(flowsAwaitingTarget)) {
-      // Without a descriptor for a target the flow cannot be forwarded, so it is refused while
-      // there
-      // is still a descriptor to answer with. Each waiting flow counts with the descriptor that it
-      // will need; otherwise flows accepted while all targets fail hit the limit together once the
-      // targets recover.
+      // Without a descriptor for a target the flow cannot be forwarded, so it is refused while one
+      // is left to answer with. Each waiting flow counts with the descriptor that it will need;
+      // otherwise flows accepted while all targets fail hit the limit together afterwards.
       client.refuse(0);
       return;
     }
@@ -146,7 +144,7 @@
 
   /**
    * Reports an event to the facade and carries out its decisions. Called twice for each relayed
-   * line that is answered, hence without the lambda of {@link #decide}.
+   * line that is answered, and therefore without allocating a lambda for {@link #decide}.
    */
   public void report(NetworkEvent event) {
     List<Decision> decided = List.of();
@@ -270,18 +268,18 @@
     private boolean isAwaitingTarget;
 
     /** The events for relayed lines, created with the first line and reused for every other. */
-    private NetworkEvent.RequestRelayed requestRelayed;
+    private NetworkEvent.RequestRelayed requestEvent;
 
-    private NetworkEvent.ResponseRelayed responseRelayed;
+    private NetworkEvent.ResponseRelayed responseEvent;
 
     /** The outcome if the target closes the connection now, as its last line announced it. */
     private Outcome closeOutcome = Outcome.RESET;
 
-    Session(Flow opened, Client client) {
-      this.flow = opened.id();
-      this.practice = opened.tenant();
+    Session(Flow submitted, Client client) {
+      this.flow = submitted.id();
+      this.practice = submitted.tenant();
       this.client = client;
-      this.isResumed = opened.resumeTarget() != null;
+      this.isResumed = submitted.resumeTarget() != null;
     }
 
     /** Records whether the flow awaits a target and will need a descriptor for it. */
@@ -296,21 +294,20 @@
       setAwaitingTarget(false);
       target = decided.target().name();
       forward = new Forward(net, flow, decided.target(), () -> openingLine(decided), this);
-      // The connect times out 1 ms before the forward, so that the outcome is a failed connect,
-      // which
+      // The connect times out 1 ms before the forward. The outcome is then a failed connect, which
       // proves that the attempt never ran, and not a time-out.
-      long left =
+      long remainingMicros =
           Math.min(decided.answerDeadlineMicros() - MICROS_PER_MILLI, decided.sendDeadlineMicros())
               - clock.now();
-      forward.start(Math.min(connectMicros, Math.max(0, left)));
+      forward.start(Math.min(connectMicros, Math.max(0, remainingMicros)));
     }
 
     /** Returns the first line for the target, or null if it must no longer be sent. */
     private String openingLine(Decision.Forward decided) {
       long now = clock.now();
-      boolean late =
+      boolean isTooLate =
           now > decided.sendDeadlineMicros() || !(isResumed || decider.isServing(target));
-      return late
+      return isTooLate
           ? null
           : client.openingLine(
               Math.max(0, (decided.answerDeadlineMicros() - now) / MICROS_PER_MILLI));
@@ -332,16 +329,16 @@
 
     @Override
     public void requestRelayed() {
-      if (requestRelayed == null) {
-        requestRelayed = new NetworkEvent.RequestRelayed(flow);
-        responseRelayed = new NetworkEvent.ResponseRelayed(requestRelayed.flow());
+      if (requestEvent == null) {
+        requestEvent = new NetworkEvent.RequestRelayed(flow);
+        responseEvent = new NetworkEvent.ResponseRelayed(requestEvent.flow());
       }
-      report(requestRelayed);
+      report(requestEvent);
     }
 
     @Override
     public void responseRelayed() {
-      report(responseRelayed);
+      report(responseEvent);
     }
 
     @Override
--- a/src/main/java/brassbank/forward/Prober.java
+++ b/src/main/java/brassbank/forward/Prober.java
@@ -26,7 +26,10 @@
 final class Prober {
   private static final Log LOG = Log.of("probe");
 
-  /** The timeout of a probe, which a silent machine would never answer. */
+  /**
+   * The timeout of a probe. A longer wait would add no information, and a silent machine never
+   * answers.
+   */
   private static final long TIMEOUT_MICROS = 250_000;
 
   private static final byte[] STATS_REQUEST = "STATS\r\n".getBytes(StandardCharsets.US_ASCII);
--- a/src/main/java/brassbank/lifecycle/DrainSchedule.java
+++ b/src/main/java/brassbank/lifecycle/DrainSchedule.java
@@ -21,8 +21,9 @@
   static final long KILL_MARGIN_MICROS = 600 * MICROS_PER_MILLI;
 
   /**
-   * How long after a request for standby the last client is moved. All clients must be gone within
-   * 4 s; the final line may wait 0.5 s as above, and the rest is a reserve for a starved processor.
+   * How long after a request for standby the last client is moved. All clients must have left
+   * within 4 s; the final line may wait 0.5 s as above, and the rest is a reserve for a starved
+   * processor.
    */
   static final long STANDBY_LIMIT_MICROS = 3_000 * MICROS_PER_MILLI;
 
