--- a/src/main/java/brassbank/membership/Membership.java
+++ b/src/main/java/brassbank/membership/Membership.java
@@ -30,6 +30,7 @@
   /** Additional receivers per tick while the queued updates exceed one datagram. */
   private static final int MAX_EXTRA_FANOUT = 5;
 
+  /** Assumed number of updates in one datagram. */
   private static final int UPDATES_PER_DATAGRAM = 20;
 
   /** Interval of pings to dead members, which detect that a network partition has healed. */
@@ -41,11 +42,19 @@
   /** Limit on the pings that report a suspicion or a death to the member concerned. */
   private static final int MAX_NOTIFICATIONS_PER_TICK = 10;
 
-  /** Acks that arrive after the probe has failed still count as round-trip samples this long. */
+  /**
+   * How long a probe is kept after its ping was sent, so that a late ack still counts as a
+   * round-trip sample.
+   */
   private static final long LATE_ACK_WINDOW_MICROS = 4 * SECOND_MICROS;
 
+  /** Limit on the answers to other members. */
   private static final int MAX_ANSWERS_PER_SECOND = 1_000;
 
+  /**
+   * Limit on the bytes of whole views sent; beyond it a request is answered with queued updates
+   * only.
+   */
   private static final int MAX_VIEW_BYTES_PER_SECOND = 128 * 1024;
 
   /** Upper bound of the first delay between attempts to contact the seeds. */
@@ -70,6 +79,7 @@
    */
   private static final long NAME_RETRY_MICROS = 60 * SECOND_MICROS;
 
+  /** Maximum number of addresses of earlier members that a displaced process keeps. */
   private static final int MAX_LAST_KNOWN_ADDRESSES = 32;
 
   /**
@@ -881,7 +891,7 @@
    * remember the previous process of this name, whose clock was ahead: then this process takes the
    * name over, with an incarnation that supersedes it. Or another running process has the name and
    * takes it back: after {@link #MAX_NAME_CONFLICTS} such conflicts this process yields the name,
-   * and takes it again only when the other process is reported dead or gone.
+   * and takes it again only when the other process is reported dead or to have left.
    */
   private void resolveNameConflict(Update update, Outbox out) {
     if (activeMicros - nameConflictAt > NAME_CONFLICT_WINDOW_MICROS) {
@@ -907,7 +917,7 @@
     announce(new Incarnation(update.incarnation().startTime() + 1, 0), out);
   }
 
-  /** Forgets all other members: a displaced process has an empty view and probes no member. */
+  /** Forgets all other members: a displaced process is not a member and probes no member. */
   private void yieldName(Outbox out) {
     probes.clear();
     relayedPings.clear();
--- a/src/main/java/brassbank/membership/MembershipConfig.java
+++ b/src/main/java/brassbank/membership/MembershipConfig.java
@@ -14,8 +14,7 @@
  * @param settings the protocol parameters
  * @param baseShare the fraction of the fleet's budgets that is divided evenly by the configured
  *     fleet size; NaN if the whole budget is, and no share depends on the live members
- * @param minProxiesPerHost the minimum number of proxies that connect to each host; 0 if all
- *     proxies do
+ * @param minProxiesPerHost the minimum number of proxies that probe each host; 0 if all proxies do
  */
 public record MembershipConfig(
     String fleet,
@@ -50,7 +49,7 @@
         fleet, listen, advertised, seeds, settings, share, minProxiesPerHost);
   }
 
-  /** Returns whether each proxy connects to a subset of the hosts. */
+  /** Returns whether each proxy probes a subset of the hosts. */
   public boolean usesSubsets() {
     return minProxiesPerHost > 0;
   }
@@ -63,7 +62,7 @@
   /**
    * Returns a copy with both addresses set.
    *
-   * @param clients the address for clients, the default for {@code listen}
+   * @param clients the address on which clients connect, the default for {@code listen}
    */
   public MembershipConfig withDefaultAddress(InetSocketAddress clients) {
     InetSocketAddress listenAddress = listen == null ? clients : listen;
--- a/src/main/java/brassbank/shares/DrainPermit.java
+++ b/src/main/java/brassbank/shares/DrainPermit.java
@@ -9,6 +9,7 @@
   static final DrainPermit PENDING = new DrainPermit(Status.PENDING, -1);
   static final DrainPermit GRANTED = new DrainPermit(Status.GRANTED, -1);
 
+  /** The state of the request. */
   public enum Status {
     /** The grantors' answers are not yet known. */
     PENDING,
@@ -22,7 +23,7 @@
     NO_MAJORITY
   }
 
-  static DrainPermit of(Status answer) {
-    return new DrainPermit(answer, -1);
+  static DrainPermit of(Status status) {
+    return new DrainPermit(status, -1);
   }
 }
--- a/src/main/java/brassbank/shares/LeaseMessage.java
+++ b/src/main/java/brassbank/shares/LeaseMessage.java
@@ -48,7 +48,7 @@
     /** Grants the requester's lease and lists all leases that the sender has granted. */
     HELD,
     /**
-     * Refuses the lease: another process of the requester's rank holds it, or the sender is no
+     * Refuses the lease: another process of the requester's rank holds it, or the sender is not a
      * grantor.
      */
     TAKEN,
--- a/src/main/java/brassbank/shares/LeaseParticipant.java
+++ b/src/main/java/brassbank/shares/LeaseParticipant.java
@@ -216,7 +216,7 @@
     return known;
   }
 
-  /** Returns the address from which this rank was last heard, or null. */
+  /** Returns the address from which a message of this rank last arrived, or null. */
   public InetSocketAddress addressOfRank(int wantedRank) {
     return ranksByAddress.entrySet().stream()
         .filter(entry -> entry.getValue() == wantedRank)
@@ -288,7 +288,8 @@
   private void handleLeaseRequest(
       long now, InetSocketAddress from, LeaseMessage message, LeaseOutbox out) {
     if (rank >= MAX_GRANTORS) {
-      // The message carries this rank, from which the requester finds that it is no grantor.
+      // The message carries this rank, by which the requester sees that this process is not a
+      // grantor.
       out.send(from, message(Kind.TAKEN, message.sequence(), new BitSet()));
     } else if (grantor.grantsLeases(now)) {
       out.send(
--- a/src/main/java/brassbank/subsets/Subset.java
+++ b/src/main/java/brassbank/subsets/Subset.java
@@ -56,12 +56,12 @@
   public Subset(Peer self, List<Peer> proxies, int minProxiesPerHost) {
     if (minProxiesPerHost < 1 || !proxies.contains(self)) {
       throw new IllegalArgumentException(
-          self
-              + " is not among "
+          "self must be among the proxies and the minimum at least 1: "
+              + self
+              + ", "
               + proxies
-              + ", or "
-              + minProxiesPerHost
-              + " proxies per host is below 1");
+              + ", "
+              + minProxiesPerHost);
     }
     this.self = self;
     this.proxies = List.copyOf(proxies);
--- a/src/main/java/brassbank/subsets/package-info.java
+++ b/src/main/java/brassbank/subsets/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Selects the subset of stream hosts to which a proxy of a large fleet connects and on which it
- * places sessions first, from the live proxies and the hosts that discovery reports. The package is
- * pure. docs/subsets.md compares the alternatives and has the rule and its bound.
+ * Selects the stream hosts that a proxy of a large fleet probes and on which it places sessions
+ * first, from the live proxies and the hosts that discovery reports. The package is pure.
+ * docs/subsets.md compares the alternatives and has the rule and its bound.
  */
 package brassbank.subsets;
