--- a/src/jmh/java/ashspar/LetOutBenchmark.java
+++ b/src/jmh/java/ashspar/WaitingRoomBenchmark.java
@@ -29,7 +29,7 @@
 @Warmup(iterations = 10, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
-public class LetOutBenchmark {
+public class WaitingRoomBenchmark {
 
   /** How many were let out by how many answers: as many, or the figure tells something else. */
   @State(Scope.Thread)
--- a/src/main/java/ashspar/Balancer.java
+++ b/src/main/java/ashspar/Balancer.java
@@ -1,7 +1,7 @@
 package ashspar;
 
-import ashspar.limits.Ending;
 import ashspar.limits.LimitsSnapshot;
+import ashspar.limits.SetupOutcome;
 import java.util.List;
 import java.util.Set;
 
@@ -121,22 +121,22 @@
 
   /** How an attempt or a probe has ended. */
   enum Status {
-    ERROR(false, Ending.ERROR),
-    OK(false, Ending.CALLED_OFF),
-    FULL(true, Ending.REFUSED),
-    TIMEOUT(false, Ending.TIMED_OUT),
-    CONNECT_FAILED(true, Ending.UNREACHED),
-    RESET(false, Ending.BROKE),
-    CANCELLED(false, Ending.CALLED_OFF),
-    MOOT(true, Ending.UNREACHED);
+    ERROR(false, SetupOutcome.ERROR),
+    OK(false, SetupOutcome.CALLED_OFF),
+    FULL(true, SetupOutcome.REFUSED),
+    TIMEOUT(false, SetupOutcome.TIMED_OUT),
+    CONNECT_FAILED(true, SetupOutcome.UNREACHED),
+    RESET(false, SetupOutcome.BROKE),
+    CANCELLED(false, SetupOutcome.CALLED_OFF),
+    MOOT(true, SetupOutcome.UNREACHED);
 
     /** True where this ending proves that the attempt never ran. */
     public final boolean neverRan;
 
     /** What it is to the limits. */
-    final Ending setupOutcome;
+    final SetupOutcome setupOutcome;
 
-    Status(boolean neverRan, Ending ending) {
+    Status(boolean neverRan, SetupOutcome ending) {
       this.neverRan = neverRan;
       this.setupOutcome = ending;
     }
--- a/src/main/java/ashspar/Fleet.java
+++ b/src/main/java/ashspar/ServerList.java
@@ -3,7 +3,7 @@
 import ashspar.Balancer.ListKind;
 import ashspar.Balancer.ServerEntry;
 import ashspar.Balancer.State;
-import ashspar.limits.Groups;
+import ashspar.limits.AffinityGroups;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -11,38 +11,38 @@
 import java.util.Map;
 
 /** The list of servers as discovery tells it: joins, restarts, drains and ends. */
-final class Fleet {
+final class ServerList {
   private static final long SAME_START = 100 * Node.MS; // clocks are mapped anew each time
 
   private final Node node;
-  private boolean listed;
+  private boolean hasServers;
 
-  Fleet(Node node) {
+  ServerList(Node node) {
     this.node = node;
   }
 
   /** A list has come: what it says is taken over, and those that join get their weights. */
-  void take(ListKind kind, List<ServerEntry> entries) {
+  void apply(ListKind kind, List<ServerEntry> entries) {
     boolean joined = false;
     Map<String, Server> missing = new HashMap<>(kind == ListKind.DELTA ? Map.of() : node.servers);
     for (ServerEntry entry : entries) {
       missing.remove(entry.id());
-      joined |= entry(entry);
+      joined |= applyEntry(entry);
     }
-    for (Server s : List.copyOf(node.ready)) {
+    for (Server s : List.copyOf(node.readyServers)) {
       if (missing.containsKey(s.id)) {
         remove(s);
       }
     }
-    if (!listed && !node.ready.isEmpty()) {
-      listed = true;
-      firstTurns();
+    if (!hasServers && !node.readyServers.isEmpty()) {
+      hasServers = true;
+      scheduleFirstTurns();
     } else if (joined) {
       node.weights.recompute();
     }
   }
 
-  private boolean entry(ServerEntry entry) {
+  private boolean applyEntry(ServerEntry entry) {
     Server s = node.servers.get(entry.id());
     if (entry.state() == State.GONE) {
       if (s != null) {
@@ -51,63 +51,65 @@
       return false;
     }
     if (s == null) {
-      s = new Server(entry.id(), node.limits.join(entry.id()));
+      s = new Server(entry.id(), node.limits.newServer(entry.id()));
       node.servers.put(s.id, s);
     }
-    s.own = node.own == null || node.own.contains(s.id);
+    s.inSubset = node.subset == null || node.subset.contains(s.id);
     s.zone = entry.zone();
     s.cell = entry.cell();
     s.size = entry.size() > 0 && entry.size() < 1e9 ? entry.size() : s.size;
-    boolean restarted = entry.startedAtMicros() > s.since + SAME_START;
-    s.since = entry.startedAtMicros();
+    boolean restarted = entry.startedAtMicros() > s.startedAt + SAME_START;
+    s.startedAt = entry.startedAtMicros();
     if (entry.state() == State.DRAINING) {
-      leave(s, State.DRAINING);
+      withdraw(s, State.DRAINING);
       return false;
     }
     if (s.state == State.READY && !restarted) {
       return false;
     }
     if (s.state != State.READY) {
-      node.ready.add(s);
-      node.limits.ready(s.limits, true);
+      node.readyServers.add(s);
+      node.limits.setReady(s.limits, true);
     }
     s.state = State.READY;
     s.quiesced = false;
-    s.reportAt = Long.MIN_VALUE / 2;
+    s.reportedAt = Long.MIN_VALUE / 2;
     s.index = 1;
-    node.admission.started(s);
-    s.limits.started(node.admission.warmth(s) < 1, node.sized() ? s.size : 0);
+    node.admission.serverStarted(s);
+    s.limits.started(node.admission.warmth(s) < 1, node.hasNominalSizes() ? s.size : 0);
     s.weight = 0;
-    node.wheels.commit(s, node.weights.meanWeight() * node.weights.nearness(s));
-    node.wheels.enqueue(s);
+    node.roundRobin.setWeight(s, node.weights.meanWeight() * node.weights.zoneFactor(s));
+    node.roundRobin.schedule(s);
     return true;
   }
 
   private void remove(Server s) {
-    leave(s, State.GONE);
+    withdraw(s, State.GONE);
     node.servers.remove(s.id);
   }
 
-  private void leave(Server s, State state) {
-    node.ready.remove(s);
-    node.limits.ready(s.limits, false);
+  private void withdraw(Server s, State state) {
+    node.readyServers.remove(s);
+    node.limits.setReady(s.limits, false);
     s.state = state;
-    node.wheels.unpark(s);
-    node.wheels.retire(s);
+    node.roundRobin.unpark(s);
+    node.roundRobin.remove(s);
   }
 
   /** Nodes begin at evenly spaced places of one common order, so that their first turns differ. */
-  private void firstTurns() {
-    List<Server> order = new ArrayList<>(node.ready);
-    order.sort(Comparator.comparingInt((Server s) -> Groups.number(s.id)).thenComparing(s -> s.id));
+  private void scheduleFirstTurns() {
+    List<Server> order = new ArrayList<>(node.readyServers);
+    order.sort(
+        Comparator.comparingInt((Server s) -> AffinityGroups.orderingHash(s.id))
+            .thenComparing(s -> s.id));
     node.weights.meanSize = order.stream().mapToDouble(s -> s.size).average().orElse(1);
     double start = node.settings.rank() / (double) node.settings.nodeCount();
     for (int i = 0; i < order.size(); i++) {
       Server s = order.get(i);
       double place = (i + 0.5) / order.size() - start;
-      s.weight = s.size / node.weights.meanSize * node.weights.nearness(s);
-      node.wheels.begin(s, place - Math.floor(place));
+      s.weight = s.size / node.weights.meanSize * node.weights.zoneFactor(s);
+      node.roundRobin.setFirstTurn(s, place - Math.floor(place));
     }
-    node.wheels.rebuild();
+    node.roundRobin.rescheduleAll();
   }
 }
--- a/src/main/java/ashspar/limits/Groups.java
+++ b/src/main/java/ashspar/limits/AffinityGroups.java
@@ -12,18 +12,18 @@
  *
  * <p>Calls cost constant time. For one thread at a time.
  */
-public final class Groups {
+public final class AffinityGroups {
   /**
    * How much more a server is liked that holds the group, against all that random weights differ.
    */
-  private static final double HOLDS = 0.75;
+  private static final double HOLDER_AFFINITY = 0.75;
 
-  private final int server;
+  private final int serverHash;
   private final Map<String, Integer> counts = new HashMap<>();
 
   /** The groups of one server, which every node must know by the same id. */
-  public Groups(String serverId) {
-    server = serverId.hashCode();
+  public AffinityGroups(String serverId) {
+    serverHash = serverId.hashCode();
   }
 
   /**
@@ -31,17 +31,17 @@
    *
    * @param seen the part that this node sees of who holds it, from above 0 to 1
    */
-  double liking(String group, double seen) {
+  double affinity(String group, double seen) {
     if (group == null) {
       return 0;
     }
-    double holds = HOLDS * seen;
-    return (1 - holds) * weight(group) + (counts.containsKey(group) ? holds : 0);
+    double holds = HOLDER_AFFINITY * seen;
+    return (1 - holds) * rendezvousWeight(group) + (counts.containsKey(group) ? holds : 0);
   }
 
   /** A number from 0 to 1 that a server and a group have together (the finalizer of SplitMix64). */
-  private double weight(String group) {
-    long mix = (group.hashCode() * 0x9E3779B97F4A7C15L) ^ (server * 0xC2B2AE3D27D4EB4FL);
+  private double rendezvousWeight(String group) {
+    long mix = (group.hashCode() * 0x9E3779B97F4A7C15L) ^ (serverHash * 0xC2B2AE3D27D4EB4FL);
     mix = (mix ^ (mix >>> 30)) * 0xBF58476D1CE4E5B9L;
     mix = (mix ^ (mix >>> 27)) * 0x94D049BB133111EBL;
     return ((mix ^ (mix >>> 31)) >>> 11) * 0x1.0p-53;
@@ -55,7 +55,7 @@
   /**
    * Whether this node holds just one connection of this group here; false where it has no group.
    */
-  public boolean isLone(String group) {
+  public boolean isLastConnection(String group) {
     return group != null && counts.getOrDefault(group, 0) == 1;
   }
 
@@ -64,13 +64,13 @@
     return counts.size();
   }
 
-  public void joined(String group) {
+  public void connectionAdded(String group) {
     if (group != null) {
       counts.merge(group, 1, Integer::sum);
     }
   }
 
-  public void left(String group) {
+  public void connectionRemoved(String group) {
     if (group != null) {
       counts.computeIfPresent(group, (g, count) -> count > 1 ? count - 1 : null);
     }
@@ -81,20 +81,22 @@
    * ordinary path and in a full fleet, and the mean loads between which that grows. Who was early
    * waits longer for the next turn, so that all get their share.
    */
-  private static final double EARLY_LEAST = 0.1;
+  private static final double MIN_TURNS_EARLY = 0.1;
 
-  private static final double EARLY = 8;
-  private static final double EARLY_FROM = 0.4;
-  private static final double EARLY_FULL = 0.7;
+  private static final double MAX_TURNS_EARLY = 8;
+  private static final double EARLY_GROWTH_FROM_LOAD = 0.4;
+  private static final double EARLY_GROWTH_TO_LOAD = 0.7;
 
   /** By how many turns, where the servers' mean load is this. */
-  public static double early(double meanLoad) {
-    double load = (meanLoad - EARLY_FROM) / (EARLY_FULL - EARLY_FROM);
-    return EARLY_LEAST + (EARLY - EARLY_LEAST) * (load > 0 ? Math.min(1, load) : 0);
+  public static double maxTurnsEarly(double meanLoad) {
+    double load =
+        (meanLoad - EARLY_GROWTH_FROM_LOAD) / (EARLY_GROWTH_TO_LOAD - EARLY_GROWTH_FROM_LOAD);
+    return MIN_TURNS_EARLY
+        + (MAX_TURNS_EARLY - MIN_TURNS_EARLY) * (load > 0 ? Math.min(1, load) : 0);
   }
 
   /** A number that all nodes have for a server, for an order that no one has to agree on. */
-  public static int number(String server) {
+  public static int orderingHash(String server) {
     int hash = server.hashCode() * 0x9E3779B1;
     return hash ^ (hash >>> 15);
   }
--- a/src/main/java/ashspar/limits/Division.java
+++ b/src/main/java/ashspar/limits/BudgetDivision.java
@@ -6,10 +6,10 @@
  *
  * <p>Times are microseconds. For one thread at a time.
  */
-public final class Division {
+public final class BudgetDivision {
   private int rank;
-  private int nodes = 1;
-  private boolean told;
+  private int participants = 1;
+  private boolean update;
   private double part;
   private double base;
   private int turn;
@@ -20,7 +20,7 @@
   /** The numbers of the settings, which hold until something is told. */
   public void configure(int ownRank, int nodeCount) {
     rank = ownRank;
-    nodes = nodeCount;
+    participants = nodeCount;
   }
 
   /**
@@ -30,24 +30,24 @@
    * @param nextTurn which of those that share it is, {@code nextOf} so many
    * @return whether it is another than before
    */
-  public boolean told(
+  public boolean update(
       long now, double nextPart, double nextBase, int nextTurn, int nextOf, long nextUntil) {
-    double was = spacing(now);
-    told = true;
+    double was = inverseShare(now);
+    update = true;
     part = nextPart;
     base = nextBase;
     turn = nextTurn;
     of = nextOf;
     until = nextUntil;
     lapsed = now >= until;
-    return spacing(now) != was;
+    return inverseShare(now) != was;
   }
 
   /**
    * Tells once that the part has ended: when it was to end, and not when that is noticed, since a
    * process may have been stopped. Long.MAX_VALUE otherwise.
    */
-  public long ended(long now) {
+  public long takeExpiry(long now) {
     if (lapsed || now < until) {
       return Long.MAX_VALUE;
     }
@@ -56,21 +56,21 @@
   }
 
   /** How many nodes share the fleet, as far as this one is told. */
-  public int nodes(long now) {
-    return !told || now >= until ? nodes : of;
+  public int participants(long now) {
+    return !update || now >= until ? participants : of;
   }
 
   /** The inverse of this node's part of the fleet's budgets. */
-  public double spacing(long now) {
-    return told ? 1 / (now < until ? part : base) : nodes;
+  public double inverseShare(long now) {
+    return update ? 1 / (now < until ? part : base) : participants;
   }
 
   /** This node's places at a cold server of this number. */
   public ColdShare coldShare(long now, int number) {
-    if (!told) {
-      return new ColdShare(rank + number, nodes);
+    if (!update) {
+      return new ColdShare(rank + number, participants);
     }
-    double spacing = spacing(now);
+    double spacing = inverseShare(now);
     return new ColdShare(Math.floorMod(turn + number, of) * spacing / of, spacing);
   }
 }
--- a/src/main/java/ashspar/limits/ColdShare.java
+++ b/src/main/java/ashspar/limits/ColdShare.java
@@ -14,12 +14,12 @@
  */
 public final class ColdShare {
   /** A place of this node's from before its share changed, or below zero. */
-  private double before = -1;
+  private double earlierSlot = -1;
 
-  private double first;
+  private double firstSlot;
   private double spacing;
-  private double taken = -1;
-  private double owed;
+  private double lastSlotTaken = -1;
+  private double owedCost;
 
   /**
    * @param turn this node's rank, put on by a number that all nodes have for the server, so that
@@ -38,7 +38,7 @@
     if (!(first >= 0 && spacing >= 1)) {
       throw new IllegalArgumentException("no share: " + first + ", " + spacing);
     }
-    this.first = first;
+    this.firstSlot = first;
     this.spacing = spacing;
   }
 
@@ -48,11 +48,11 @@
    *
    * @param age the server's when the share changed, which may be before now
    */
-  public void deal(Warming warming, double age, double nextSpacing) {
-    double up = up(warming, age);
-    before = last(up);
-    double next = before < first ? first : before + spacing;
-    first = up + (next - up) / spacing * nextSpacing;
+  public void changeSpacing(RampUp warming, double age, double nextSpacing) {
+    double up = lastSlotDue(warming, age);
+    earlierSlot = lastOwnSlotDue(up);
+    double next = earlierSlot < firstSlot ? firstSlot : earlierSlot + spacing;
+    firstSlot = up + (next - up) / spacing * nextSpacing;
     spacing = nextSpacing;
   }
 
@@ -62,49 +62,55 @@
    * @param age the server's
    * @param valid for how long a place holds
    */
-  public boolean free(Warming warming, double age, double valid) {
-    double last = last(up(warming, age));
-    return last > taken && age - warming.reached(last + 1.0) <= valid;
+  public boolean hasSlot(RampUp warming, double age, double valid) {
+    double last = lastOwnSlotDue(lastSlotDue(warming, age));
+    return last > lastSlotTaken && age - warming.ageWhenDue(last + 1.0) <= valid;
   }
 
   /** Takes the place; what a connection costs beyond a mean one is paid with places to come. */
-  public void take(Warming warming, double age, double cost) {
-    taken = Math.max(taken, last(up(warming, age)));
-    owed += Math.max(0, cost - 1);
-    while (owed >= 1) {
-      owed--;
-      taken += spacing;
+  public void takeSlot(RampUp warming, double age, double cost) {
+    lastSlotTaken = Math.max(lastSlotTaken, lastOwnSlotDue(lastSlotDue(warming, age)));
+    owedCost += Math.max(0, cost - 1);
+    while (owedCost >= 1) {
+      owedCost--;
+      lastSlotTaken += spacing;
     }
   }
 
   /** The last place that has come up, whoever's it is. */
-  private static double up(Warming warming, double age) {
-    return Math.floor(warming.places(age)) - 1;
+  private static double lastSlotDue(RampUp warming, double age) {
+    return Math.floor(warming.slotsDue(age)) - 1;
   }
 
   /** The last of this node's places that has come up; below zero where none has. */
-  private double last(double up) {
-    return up < first ? before : first + Math.floor((up - first) / spacing) * spacing;
+  private double lastOwnSlotDue(double up) {
+    return up < firstSlot
+        ? earlierSlot
+        : firstSlot + Math.floor((up - firstSlot) / spacing) * spacing;
   }
 
   /**
    * What a server that warms up may be sent by all nodes.
    *
-   * @param rate places a second once it is warm
-   * @param least share of its capacity at its start, above 0
-   * @param seconds until it is warm, above 0
+   * @param warmSlotsPerSecond places a second once it is warm
+   * @param initialCapacity share of its capacity at its start, above 0
+   * @param lengthSeconds until it is warm, above 0
    */
-  public record Warming(double rate, double least, double seconds) {
+  public record RampUp(double warmSlotsPerSecond, double initialCapacity, double lengthSeconds) {
     /** Places up to an age in seconds: the integral of the rate. */
-    double places(double age) {
-      return rate * (least * age + (1 - least) * age * age / (2 * seconds));
+    double slotsDue(double age) {
+      return warmSlotsPerSecond
+          * (initialCapacity * age + (1 - initialCapacity) * age * age / (2 * lengthSeconds));
     }
 
     /** The age by which so many places have come up. */
-    double reached(double places) {
-      double slope = (1 - least) / seconds;
-      double root = Math.sqrt(least * least + 2 * slope * places / rate);
-      return slope > 0 ? (root - least) / slope : places / rate / least;
+    double ageWhenDue(double places) {
+      double slope = (1 - initialCapacity) / lengthSeconds;
+      double root =
+          Math.sqrt(initialCapacity * initialCapacity + 2 * slope * places / warmSlotsPerSecond);
+      return slope > 0
+          ? (root - initialCapacity) / slope
+          : places / warmSlotsPerSecond / initialCapacity;
     }
   }
 }
--- a/src/main/java/ashspar/limits/FleetLimit.java
+++ b/src/main/java/ashspar/limits/FleetLimit.java
@@ -15,20 +15,20 @@
  */
 public final class FleetLimit {
   /** Servers heard of lately, from which the middle one speaks for the fleet. */
-  private static final int QUORUM = 3;
+  private static final int MIN_SERVERS = 3;
 
   /** Slower than this by the middle server is a common cause; below it, it is the day's noise. */
-  private static final double COMMON = 3;
+  private static final double COMMON_CAUSE_SLOWDOWN = 3;
 
   /** A limit at its floor still tries: one for each server, or this many. */
-  private static final int FLOOR = 2;
+  private static final int MIN_SETUPS = 2;
 
-  private int taken;
+  private int setupsInProgress;
   private double slowdown = 1;
 
   /** Takes the servers' slowdowns, each 1 or more, of those heard of lately. */
   public void measure(double[] slowdowns) {
-    if (slowdowns.length < QUORUM) {
+    if (slowdowns.length < MIN_SERVERS) {
       slowdown = 1;
       return;
     }
@@ -39,33 +39,37 @@
 
   /** How many times slower the whole fleet is than at its best; 1 where there is no such cause. */
   public double slowdown() {
-    return slowdown >= COMMON ? slowdown : 1;
+    return slowdown >= COMMON_CAUSE_SLOWDOWN ? slowdown : 1;
   }
 
   /** Set-ups that may be under way in the whole fleet, out of what its servers allow together. */
   public int allowed(int together) {
     return (int)
-        Math.max(FLOOR, Math.min(together, COMMON * together / Math.max(COMMON, slowdown)));
+        Math.max(
+            MIN_SETUPS,
+            Math.min(
+                together,
+                COMMON_CAUSE_SLOWDOWN * together / Math.max(COMMON_CAUSE_SLOWDOWN, slowdown)));
   }
 
   /** Whether one more set-up may go. */
-  public boolean free(int together) {
-    return taken < allowed(together);
+  public boolean hasFreeSlot(int together) {
+    return setupsInProgress < allowed(together);
   }
 
   /** Set-ups under way. */
-  public int taken() {
-    return taken;
+  public int setupsInProgress() {
+    return setupsInProgress;
   }
 
-  public void take() {
-    taken++;
+  public void acquire() {
+    setupsInProgress++;
   }
 
-  public void giveBack() {
-    if (taken == 0) {
+  public void release() {
+    if (setupsInProgress == 0) {
       throw new IllegalStateException("no place is taken");
     }
-    taken--;
+    setupsInProgress--;
   }
 }
--- a/src/main/java/ashspar/limits/LoadEstimate.java
+++ b/src/main/java/ashspar/limits/LoadEstimate.java
@@ -9,54 +9,54 @@
  * be, which is too much where the node has just started and knows few of them; and what connections
  * say of their own load, over the size of the server.
  *
- * <p>A connection that brings a server a new group costs it {@link #GROUP} connections more.
+ * <p>A connection that brings a server a new group costs it {@link #GROUP_COST} connections more.
  *
  * <p>Loads are as in reports, load asked over what the server can do; sizes are in cores where the
  * site tells nominal ones. For one thread at a time.
  */
 public final class LoadEstimate {
   /** What a group costs a server that holds any of it, in mean connections. */
-  public static final double GROUP = 3;
+  public static final double GROUP_COST = 3;
 
   /** A group that this node holds at a server is held there by others too, or others are. */
-  private static final double GROUPS_SEEN = 1.3;
+  private static final double UNSEEN_GROUPS_FACTOR = 1.3;
 
   /** Connections a server at least, by which its load is shared out: few tell little. */
-  private static final double LEAST_EACH = 5;
+  private static final double MIN_CONNECTIONS_PER_SERVER = 5;
 
   /** Load of a usual connection, in cores, until one tells its own: 15 to 24 fill a core. */
-  private static final double USUAL = 0.055;
+  private static final double DEFAULT_CORES = 0.055;
 
-  private static final double USUAL_MOST = 0.2;
+  private static final double MAX_CORES = 0.2;
 
-  private static final double USUAL_LEAST = USUAL / 4;
+  private static final double MIN_CORES = DEFAULT_CORES / 4;
 
   /** A connection is set up first, which is work too: so many times its own load. */
-  private static final double WITH_SETUP = 1.5;
+  private static final double SETUP_FACTOR = 1.5;
 
   /** Weight of one note of a connection's load in its class's mean. */
-  private static final double STEP = 0.05;
+  private static final double LOAD_SMOOTHING = 0.05;
 
-  private final Map<String, Double> classes = new HashMap<>();
-  private double told;
-  private double meanOne = Double.NaN;
+  private final Map<String, Double> coresByClass = new HashMap<>();
+  private double recordLoad;
+  private double meanLoadPerConnection = Double.NaN;
 
   /** A connection has told its load, in cores. */
-  public void told(String requestClass, double cores) {
-    double old = classes.getOrDefault(requestClass, cores);
-    classes.put(requestClass, old + STEP * (cores - old));
-    told = told == 0 ? cores : told + STEP * (cores - told);
+  public void recordLoad(String requestClass, double cores) {
+    double old = coresByClass.getOrDefault(requestClass, cores);
+    coresByClass.put(requestClass, old + LOAD_SMOOTHING * (cores - old));
+    recordLoad = recordLoad == 0 ? cores : recordLoad + LOAD_SMOOTHING * (cores - recordLoad);
   }
 
   /** Load of a class's connections against that of all, 1 where none has told. */
-  public double against(String requestClass) {
-    Double own = classes.get(requestClass);
-    return own == null || told == 0 ? 1 : Math.min(10, Math.max(0.1, own / told));
+  public double relativeLoad(String requestClass) {
+    Double own = coresByClass.get(requestClass);
+    return own == null || recordLoad == 0 ? 1 : Math.min(10, Math.max(0.1, own / recordLoad));
   }
 
   /** Load of a mean connection, in cores. */
-  public double cores() {
-    return told > 0 ? Math.min(USUAL_MOST, told) : USUAL;
+  public double meanCores() {
+    return recordLoad > 0 ? Math.min(MAX_CORES, recordLoad) : DEFAULT_CORES;
   }
 
   /**
@@ -64,9 +64,10 @@
    * loads or sizes are in units of another kind, and what reports show counts: that is too much
    * load for each where a node has just started and holds few.
    */
-  public double fill(double size, double meanSize) {
-    double shown = Double.isNaN(meanOne) ? USUAL : meanOne * meanSize;
-    return size / (cores() < USUAL_LEAST ? Math.max(USUAL_LEAST, shown) : cores());
+  public double connectionsToFill(double size, double meanSize) {
+    double shown =
+        Double.isNaN(meanLoadPerConnection) ? DEFAULT_CORES : meanLoadPerConnection * meanSize;
+    return size / (meanCores() < MIN_CORES ? Math.max(MIN_CORES, shown) : meanCores());
   }
 
   /**
@@ -78,8 +79,8 @@
    * @param servers that are ready
    */
   public void measure(double meanLoad, double connections, double groups, int servers) {
-    double each = (connections + GROUP * GROUPS_SEEN * groups) / Math.max(1, servers);
-    meanOne = meanLoad / Math.max(LEAST_EACH, each);
+    double each = (connections + GROUP_COST * UNSEEN_GROUPS_FACTOR * groups) / Math.max(1, servers);
+    meanLoadPerConnection = meanLoad / Math.max(MIN_CONNECTIONS_PER_SERVER, each);
   }
 
   /**
@@ -91,11 +92,11 @@
    * @param size the server's, in cores; 0 where sizes tell nothing
    * @param meanSize the mean of the servers' sizes
    */
-  public double adds(double cost, boolean newGroup, int alike, double size, double meanSize) {
-    double one = Double.isNaN(meanOne) ? 0 : meanOne;
+  public double addedLoad(double cost, boolean newGroup, int alike, double size, double meanSize) {
+    double one = Double.isNaN(meanLoadPerConnection) ? 0 : meanLoadPerConnection;
     if (size > 0) {
-      one = Math.min(one * meanSize / size, WITH_SETUP * cores() / size);
+      one = Math.min(one * meanSize / size, SETUP_FACTOR * meanCores() / size);
     }
-    return one * (cost * alike + (newGroup ? GROUP : 0));
+    return one * (cost * alike + (newGroup ? GROUP_COST : 0));
   }
 }
--- a/src/main/java/ashspar/limits/Outliers.java
+++ b/src/main/java/ashspar/limits/OutlierDetector.java
@@ -7,44 +7,44 @@
  * a stated part of the fleet rests at once: when more fail, the cause is not theirs, and sending
  * nowhere serves nobody.
  *
- * <p>Times are microseconds. Calls cost constant time, {@link #fleet} apart. For one thread at a
- * time.
+ * <p>Times are microseconds. Calls cost constant time, {@link #setServerCount} apart. For one
+ * thread at a time.
  */
-public final class Outliers {
+public final class OutlierDetector {
   /** The largest part of the fleet that may rest at once; at least one server may, of two. */
-  public static final double SHARE = 0.34;
+  public static final double MAX_EJECTED_SHARE = 0.34;
 
   /** First and longest rest. */
-  public static final long FIRST = 2_000_000;
+  public static final long MIN_EJECTION_MICROS = 2_000_000;
 
-  public static final long LONGEST = 16_000_000;
+  public static final long MAX_EJECTION_MICROS = 16_000_000;
 
   /** A trial whose outcome is not heard of in this time is given up, and another one is let out. */
-  private static final long TRIAL = 5_000_000;
+  private static final long TRIAL_TIMEOUT_MICROS = 5_000_000;
 
   /** One server's record. */
   public final class Record {
-    private long restUntil = Long.MIN_VALUE / 2;
+    private long ejectedUntil = Long.MIN_VALUE / 2;
     private long failedAt = Long.MIN_VALUE / 2;
-    private long rest = FIRST;
-    private double streak;
-    private boolean listed;
-    private boolean resting;
-    private boolean answered;
+    private long ejectionMicros = MIN_EJECTION_MICROS;
+    private double failures;
+    private boolean setListed;
+    private boolean isEjected;
+    private boolean probeAnswered;
     private long trialAt = Long.MIN_VALUE / 2;
 
     /** Whether the server may be sent to now, be it as its single trial. */
-    public boolean mayTry(long now) {
-      return !resting || (now >= trialFrom() && now - trialAt >= TRIAL);
+    public boolean mayReceive(long now) {
+      return !isEjected || (now >= trialAllowedAt() && now - trialAt >= TRIAL_TIMEOUT_MICROS);
     }
 
-    private long trialFrom() {
-      return answered ? failedAt + rest / 4 : restUntil;
+    private long trialAllowedAt() {
+      return probeAnswered ? failedAt + ejectionMicros / 4 : ejectedUntil;
     }
 
     /** An attempt goes to the server. */
-    public void sent(long now) {
-      if (resting) {
+    public void recordSent(long now) {
+      if (isEjected) {
         trialAt = now;
       }
     }
@@ -54,23 +54,23 @@
      * are forgotten: one that fails three attempts of four was well again after each fourth, and
      * was never let rest.
      */
-    public void succeeded() {
-      double kept = streak / 2;
-      end();
-      streak = kept;
+    public void recordSuccess() {
+      double kept = failures / 2;
+      reset();
+      failures = kept;
     }
 
     /**
      * The server has answered a probe. That ends no rest, since a server may answer probes and lose
      * requests; but its trial comes sooner, and a rest outlasts its cause by little.
      */
-    public void probed(long now) {
-      answered = resting;
+    public void recordProbeAnswer(long now) {
+      probeAnswered = isEjected;
     }
 
     /** Whether an answered probe would bring the trial nearer. */
     public boolean awaitsProbe() {
-      return resting && !answered;
+      return isEjected && !probeAnswered;
     }
 
     /**
@@ -79,79 +79,83 @@
      *
      * @return how long the server rests now because of this failure, 0 if it does not
      */
-    public long failed(long now, int from) {
-      boolean trial = resting && trialAt > failedAt;
-      if (!listed || (resting && !trial)) {
+    public long recordFailure(long now, int from) {
+      boolean trial = isEjected && trialAt > failedAt;
+      if (!setListed || (isEjected && !trial)) {
         return 0;
       }
-      streak++;
-      if (!trial && (streak < from || !mayRest())) {
+      failures++;
+      if (!trial && (failures < from || !mayEject())) {
         return 0;
       }
       // A server that failed soon after its last rest goes on failing.
-      rest = trial || now - restUntil < rest ? Math.min(LONGEST, 2 * rest) : FIRST;
-      if (!resting) {
-        resting = true;
-        atRest++;
+      ejectionMicros =
+          trial || now - ejectedUntil < ejectionMicros
+              ? Math.min(MAX_EJECTION_MICROS, 2 * ejectionMicros)
+              : MIN_EJECTION_MICROS;
+      if (!isEjected) {
+        isEjected = true;
+        ejectedCount++;
       }
       failedAt = now;
-      restUntil = now + rest;
-      answered = false;
+      ejectedUntil = now + ejectionMicros;
+      probeAnswered = false;
       trialAt = Long.MIN_VALUE / 2;
-      return rest;
+      return ejectionMicros;
     }
 
     /** The trial ended without news of the server: another may go. */
-    public void trialVoid() {
+    public void cancelTrial() {
       trialAt = Long.MIN_VALUE / 2;
     }
 
-    public boolean resting() {
-      return resting;
+    public boolean isEjected() {
+      return isEjected;
     }
 
     /**
      * The server is of the fleet from now on, or no longer. One that has left breaks what it still
      * holds: a rest that nothing ends would take the others' share of rests for good.
      */
-    public void listed(boolean on) {
+    public void setListed(boolean on) {
       if (!on) {
-        end();
+        reset();
       }
-      listed = on;
+      setListed = on;
     }
 
     /** The server has started anew. */
-    public void end() {
-      if (resting) {
-        resting = false;
-        atRest--;
+    public void reset() {
+      if (isEjected) {
+        isEjected = false;
+        ejectedCount--;
       }
-      streak = 0;
-      answered = false;
+      failures = 0;
+      probeAnswered = false;
       trialAt = Long.MIN_VALUE / 2;
     }
   }
 
-  private int servers;
-  private int atRest;
+  private int serverCount;
+  private int ejectedCount;
 
-  /** A record for a server, which counts from {@link Record#listed} on. */
-  public Record join() {
+  /** A record for a server, which counts from {@link Record#setListed} on. */
+  public Record newRecord() {
     return new Record();
   }
 
   /** How many servers there are. */
-  public void fleet(int size) {
-    servers = size;
+  public void setServerCount(int size) {
+    serverCount = size;
   }
 
   /** Servers that rest, or await their trial. */
-  public int atRest() {
-    return atRest;
+  public int ejectedCount() {
+    return ejectedCount;
   }
 
-  private boolean mayRest() {
-    return atRest < Math.max(servers >= 2 ? 1 : 0, (int) (SHARE * servers));
+  private boolean mayEject() {
+    return ejectedCount
+        < Math.max(serverCount >= 2 ? 1 : 0, (int) (MAX_EJECTED_SHARE * serverCount));
   }
 }
--- a/src/main/java/ashspar/limits/Elsewhere.java
+++ b/src/main/java/ashspar/limits/PeerPlacements.java
@@ -13,15 +13,15 @@
  * costs constant time, a look back as much as there are changes since then. For one thread at a
  * time.
  */
-public final class Elsewhere {
+public final class PeerPlacements {
   /** Changes kept at most: no report is older than a few seconds, and the rest counts as old. */
-  private static final int MOST = 512;
+  private static final int MAX_CHANGES = 512;
 
   private final ArrayDeque<long[]> changes = new ArrayDeque<>();
   private long total;
 
   /** Nothing has been placed yet. */
-  public Elsewhere() {
+  public PeerPlacements() {
     changes.add(new long[] {Long.MIN_VALUE, 0});
   }
 
@@ -38,7 +38,7 @@
       last[1] = total;
       return;
     }
-    if (changes.size() == MOST) {
+    if (changes.size() == MAX_CHANGES) {
       changes.removeFirst();
     }
     changes.addLast(new long[] {now, total});
--- a/src/main/java/ashspar/limits/Returns.java
+++ b/src/main/java/ashspar/limits/ReconnectingClients.java
@@ -15,54 +15,54 @@
  *
  * <p>Times are microseconds. Calls cost constant time. For one thread at a time.
  */
-public final class Returns {
+public final class ReconnectingClients {
   /** Clients return within two seconds of a break; their keys are kept a little longer. */
-  private static final long KEPT = 4_000_000;
+  private static final long KEY_RETENTION_MICROS = 4_000_000;
 
   /** Keys kept at most: the oldest makes room. */
-  private static final int MOST = 4_096;
+  private static final int MAX_TRACKED_KEYS = 4_096;
 
   /**
    * Returns of other nodes' clients that one client sent away here accounts for, per other node.
    */
-  private static final double SENT_AWAY = 1.5;
+  private static final double RECONNECTS_PER_CLOSE = 1.5;
 
-  private final Map<String, Long> keys =
+  private final Map<String, Long> lastSeenByKey =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-          return size() > MOST;
+          return size() > MAX_TRACKED_KEYS;
         }
       };
 
-  private double sentAway;
-  private long sentAt;
+  private double closedByServer;
+  private long closedAt;
 
   /**
    * A connection of this node has ended, of the client with this key, or null where it has none.
    */
-  public void held(String key, long now) {
+  public void connectionEnded(String key, long now) {
     remember(key, now);
   }
 
   /** A server has ended a connection of this node, while there are so many other nodes. */
-  public void sentAway(int others, long now) {
-    fade(now);
-    sentAway += SENT_AWAY * others;
+  public void closedByServer(int others, long now) {
+    expire(now);
+    closedByServer += RECONNECTS_PER_CLOSE * others;
   }
 
   /** Whether a client that returns was another node's, and its load has left room; asked once. */
-  public boolean leftRoom(String key, long now) {
-    Long last = key == null ? Long.valueOf(now) : keys.get(key);
+  public boolean freedCapacity(String key, long now) {
+    Long last = key == null ? Long.valueOf(now) : lastSeenByKey.get(key);
     remember(key, now);
-    if (last != null && now - last < KEPT) {
+    if (last != null && now - last < KEY_RETENTION_MICROS) {
       return false;
     }
-    fade(now);
-    if (sentAway >= 1) {
-      sentAway--;
+    expire(now);
+    if (closedByServer >= 1) {
+      closedByServer--;
       return false;
     }
     return true;
@@ -70,15 +70,15 @@
 
   private void remember(String key, long now) {
     if (key != null) {
-      keys.remove(key);
-      keys.put(key, now);
+      lastSeenByKey.remove(key);
+      lastSeenByKey.put(key, now);
     }
   }
 
-  private void fade(long now) {
-    if (now - sentAt >= KEPT) {
-      sentAway = 0;
+  private void expire(long now) {
+    if (now - closedAt >= KEY_RETENTION_MICROS) {
+      closedByServer = 0;
     }
-    sentAt = now;
+    closedAt = now;
   }
 }
--- a/src/main/java/ashspar/limits/RetryBudget.java
+++ b/src/main/java/ashspar/limits/RetryBudget.java
@@ -12,33 +12,33 @@
  */
 public final class RetryBudget {
   /** The span over which attempts are held against requests. */
-  public static final long SPAN = 10_000_000;
+  public static final long WINDOW_MICROS = 10_000_000;
 
   /** Attempts past the first, as a share of the requests of a span. */
-  public static final double SHARE = 0.25;
+  public static final double MAX_REPEAT_SHARE = 0.25;
 
   /**
    * So many may be made in a span where there are few requests: a limit at its floor still tries.
    */
-  public static final int FLOOR = 3;
+  public static final int MIN_REPEATS_PER_WINDOW = 3;
 
   /** What a served flow pays into the bucket, in attempts. */
-  private static final double PER_SERVED = 0.5;
+  private static final double CREDIT_PER_SERVED = 0.5;
 
   /** What time pays in, in attempts a second: without it, an outage's end was never noticed. */
-  private static final double PER_SECOND = 0.5;
+  private static final double CREDIT_PER_SECOND = 0.5;
 
-  private static final double BUCKET = 30;
+  private static final double MAX_CREDIT = 30;
 
   /** Parts of a span; one more is kept, so that the sum covers a whole span at any time. */
-  private static final int PARTS = 10;
+  private static final int SLICES = 10;
 
-  private static final long PART = SPAN / PARTS;
+  private static final long SLICE_MICROS = WINDOW_MICROS / SLICES;
 
-  private final int[] requests = new int[PARTS + 1];
-  private final int[] repeats = new int[PARTS + 1];
-  private long part = Long.MIN_VALUE;
-  private double bucket = BUCKET / 2;
+  private final int[] requests = new int[SLICES + 1];
+  private final int[] repeats = new int[SLICES + 1];
+  private long slice = Long.MIN_VALUE;
+  private double credit = MAX_CREDIT / 2;
   private long filledAt;
   private int requestSum;
   private int repeatSum;
@@ -50,65 +50,66 @@
   }
 
   /** A request has come in, a client's own repeat included. */
-  public void request(long now) {
+  public void recordRequest(long now) {
     advance(now);
     requests[index()]++;
     requestSum++;
   }
 
   /** A flow has been served. */
-  public void served(long now) {
+  public void recordServed(long now) {
     advance(now);
-    bucket = Math.min(BUCKET, bucket + PER_SERVED);
+    credit = Math.min(MAX_CREDIT, credit + CREDIT_PER_SERVED);
   }
 
   /** Whether an attempt past the first may be made now. */
   public boolean allows(long now) {
     advance(now);
-    return bucket >= 1 && repeatSum < most();
+    return credit >= 1 && repeatSum < maxRepeats();
   }
 
   /** Pays for an attempt past the first; {@link #allows} must have said so. */
-  public void pay(long now) {
+  public void spend(long now) {
     advance(now);
-    bucket -= 1;
+    credit -= 1;
     repeats[index()]++;
     repeatSum++;
   }
 
   /** Attempts past the first that may still be made now. */
-  public int left(long now) {
+  public int available(long now) {
     advance(now);
-    return (int) Math.max(0, Math.min(bucket, most() - repeatSum));
+    return (int) Math.max(0, Math.min(credit, maxRepeats() - repeatSum));
   }
 
-  private double most() {
+  private double maxRepeats() {
     // The oldest part leaves the span before the newest is full: it is not counted on.
-    return Math.max(FLOOR, Math.floor(SHARE * (requestSum - requests[oldest()])));
+    return Math.max(
+        MIN_REPEATS_PER_WINDOW, Math.floor(MAX_REPEAT_SHARE * (requestSum - requests[oldest()])));
   }
 
   private int index() {
-    return (int) Math.floorMod(part, (long) PARTS + 1);
+    return (int) Math.floorMod(slice, (long) SLICES + 1);
   }
 
   private int oldest() {
-    return (int) Math.floorMod(part + 1, (long) PARTS + 1);
+    return (int) Math.floorMod(slice + 1, (long) SLICES + 1);
   }
 
   private void advance(long now) {
     double seconds = Math.max(0, now - filledAt) / 1e6;
-    bucket = Math.min(BUCKET, bucket + seconds * PER_SECOND);
+    credit = Math.min(MAX_CREDIT, credit + seconds * CREDIT_PER_SECOND);
     filledAt = Math.max(filledAt, now);
-    long to = Math.floorDiv(now, PART);
-    if (part == Long.MIN_VALUE || to - part > PARTS) {
+    long to = Math.floorDiv(now, SLICE_MICROS);
+    if (slice == Long.MIN_VALUE || to - slice > SLICES) {
       Arrays.fill(requests, 0);
       Arrays.fill(repeats, 0);
       requestSum = 0;
       repeatSum = 0;
-      part = to;
+      slice = to;
     }
-    while (part < to) {
-      part++;
+    while (slice < to) {
+      slice++;
       requestSum -= requests[index()];
       repeatSum -= repeats[index()];
       requests[index()] = 0;
--- a/src/main/java/ashspar/limits/ServerLimits.java
+++ b/src/main/java/ashspar/limits/ServerLimits.java
@@ -9,78 +9,80 @@
    * Load up to which a server takes the worthiest requests, and those of next to no worth. Above it
    * its messages come late: what it takes then is served badly, and so is all that it holds.
    */
-  public static final double CEILING = 0.75;
+  public static final double MAX_LOAD = 0.75;
 
-  public static final double CEILING_LEAST = 0.6;
+  public static final double MAX_LOAD_LOWEST_VALUE = 0.6;
 
   /** A report older than this tells nothing. */
-  private static final long OVERDUE = 12_000_000;
+  private static final long REPORT_EXPIRY_MICROS = 12_000_000;
 
   /** Failures in a row from which a server rests, by what they tell of it. */
-  private static final int AT_ONCE = 1;
+  private static final int FAILURES_HARD = 1;
 
-  private static final int SILENT = 2;
+  private static final int FAILURES_TIMEOUT = 2;
 
   /** One flow's errors are its own. */
-  private static final int ERRORS = 3;
+  private static final int FAILURES_ERROR = 3;
 
   public final SetupLimit setups = new SetupLimit(false);
-  public final Groups groups;
-  public final Outliers.Record record;
-  private final PlacedLoad added = new PlacedLoad();
-  private final NoRoom noRoom;
-  private double reported = Double.NaN;
+  public final AffinityGroups groups;
+  public final OutlierDetector.Record outlierRecord;
+  private final PlacedLoad unreportedLoad = new PlacedLoad();
+  private final NoCapacityCache noCapacityCache;
+  private double recordReport = Double.NaN;
   private long reportedAt = Long.MIN_VALUE / 2;
   private double size;
   private double warmth = 1;
-  private final Elsewhere elsewhere;
-  private long elsewhereShown;
+  private final PeerPlacements peerPlacements;
+  private long reportedPlacements;
 
   /** What one connection of this node, placed anywhere, tells of those that others place here. */
-  private double elsewhereEach;
+  private double peerLoadPerPlacement;
 
-  ServerLimits(String id, Outliers outliers, NoRoom noRoom, Elsewhere elsewhere) {
-    this.elsewhere = elsewhere;
-    elsewhereShown = elsewhere.total();
-    groups = new Groups(id);
-    record = outliers.join();
-    this.noRoom = noRoom;
+  ServerLimits(
+      String id, OutlierDetector outliers, NoCapacityCache noRoom, PeerPlacements elsewhere) {
+    this.peerPlacements = elsewhere;
+    reportedPlacements = elsewhere.total();
+    groups = new AffinityGroups(id);
+    outlierRecord = outliers.newRecord();
+    this.noCapacityCache = noRoom;
   }
 
   /** The server has started anew; its size is in cores, 0 where sizes tell nothing of them. */
   public void started(boolean cold, double cores) {
     setups.restarted(cold);
-    added.clear();
-    elsewhereShown = elsewhere.total();
-    record.end();
-    reported = Double.NaN;
+    unreportedLoad.clear();
+    reportedPlacements = peerPlacements.total();
+    outlierRecord.reset();
+    recordReport = Double.NaN;
     size = cores;
     warmth = 1;
   }
 
   /** A report has come, with the load and another value, either of which may be NaN. */
-  public void reported(long now, double load, double other) {
-    reported = load;
+  public void recordReport(long now, double load, double other) {
+    recordReport = load;
     reportedAt = now;
-    added.reported(now, load, other);
-    elsewhereShown = elsewhere.totalAt(added.settledTo());
-    noRoom.changed(this);
+    unreportedLoad.recordReport(now, load, other);
+    reportedPlacements = peerPlacements.totalAt(unreportedLoad.settledTo());
+    noCapacityCache.serverChanged(this);
   }
 
   /** The load that the server is taken to have: what was reported, and what no report shows. */
   public double load(long now) {
-    boolean told = !Double.isNaN(reported) && now - reportedAt <= OVERDUE;
-    return (told ? reported : 0) + added();
+    boolean told = !Double.isNaN(recordReport) && now - reportedAt <= REPORT_EXPIRY_MICROS;
+    return (told ? recordReport : 0) + unreportedLoad();
   }
 
   /** What no report shows yet of what all nodes have added; negative where more has ended. */
-  public double added() {
-    return added.sum() + (elsewhere.total() - elsewhereShown) * elsewhereEach;
+  public double unreportedLoad() {
+    return unreportedLoad.total()
+        + (peerPlacements.total() - reportedPlacements) * peerLoadPerPlacement;
   }
 
   /** Measured anew: what others add here for each connection that this node places anywhere. */
-  void othersAdd(double each) {
-    elsewhereEach = each;
+  void setPeerLoadPerPlacement(double each) {
+    peerLoadPerPlacement = each;
   }
 
   /** Size in cores, 0 where unknown. */
@@ -89,23 +91,23 @@
   }
 
   /** The share of its size that it has by now; a report counts load against that share, too. */
-  public void warm(double share) {
+  public void setWarmth(double share) {
     warmth = share;
   }
 
   /** Size in cores that it has by now, 0 where unknown. */
-  double sizeNow() {
+  double currentSize() {
     return size * warmth;
   }
 
   /** Whether a set-up may go to the server now, be it of the worthiest. */
-  public boolean open(long now) {
-    return record.mayTry(now) && setups.free(now) && load(now) < CEILING;
+  public boolean isOpen(long now) {
+    return outlierRecord.mayReceive(now) && setups.hasFreeSlot(now) && load(now) < MAX_LOAD;
   }
 
   /** Whether there is room for a request of this worth that needs no more than any other. */
-  boolean room(long now, double value) {
-    return room(now, value, 0);
+  boolean hasCapacity(long now, double value) {
+    return hasCapacity(now, value, 0);
   }
 
   /**
@@ -114,26 +116,27 @@
    * @param value what it is worth against the worthiest, 0 to 1
    * @param extra room that it needs beyond that of any other
    */
-  boolean room(long now, double value, double extra) {
-    return load(now) + extra < CEILING_LEAST + (CEILING - CEILING_LEAST) * Math.sqrt(value);
+  boolean hasCapacity(long now, double value, double extra) {
+    return load(now) + extra
+        < MAX_LOAD_LOWEST_VALUE + (MAX_LOAD - MAX_LOAD_LOWEST_VALUE) * Math.sqrt(value);
   }
 
   /** Load that is added, or with a negative load taken, without this node's connections. */
-  void add(long now, double load) {
-    added.add(now, load);
+  void addLoad(long now, double load) {
+    unreportedLoad.add(now, load);
   }
 
   /** A connection of this node stands at the server, or has been sent there. */
-  void joined(long now, double load, String group) {
-    added.add(now, load);
-    groups.joined(group);
+  void connectionAdded(long now, double load, String group) {
+    unreportedLoad.add(now, load);
+    groups.connectionAdded(group);
   }
 
   /** A connection of this node is gone from the server, with what it added. */
-  void left(long now, double load, String group) {
-    added.add(now, -load);
-    groups.left(group);
-    noRoom.changed(this);
+  void connectionRemoved(long now, double load, String group) {
+    unreportedLoad.add(now, -load);
+    groups.connectionRemoved(group);
+    noCapacityCache.serverChanged(this);
   }
 
   /**
@@ -142,13 +145,13 @@
    *
    * @return how long the server rests now because of it, in microseconds; 0 if it does not
    */
-  public long failed(long now, Ending how) {
+  public long recordFailure(long now, SetupOutcome how) {
     return switch (how) {
-      case REFUSED, BROKE -> record.failed(now, AT_ONCE);
-      case TIMED_OUT -> record.failed(now, SILENT);
-      case ERROR -> record.failed(now, ERRORS);
+      case REFUSED, BROKE -> outlierRecord.recordFailure(now, FAILURES_HARD);
+      case TIMED_OUT -> outlierRecord.recordFailure(now, FAILURES_TIMEOUT);
+      case ERROR -> outlierRecord.recordFailure(now, FAILURES_ERROR);
       case UNREACHED, CALLED_OFF -> {
-        record.trialVoid();
+        outlierRecord.cancelTrial();
         yield 0;
       }
     };
--- a/src/main/java/ashspar/limits/Ending.java
+++ b/src/main/java/ashspar/limits/SetupOutcome.java
@@ -1,7 +1,7 @@
 package ashspar.limits;
 
 /** How a set-up ended that was not answered with a connection. */
-public enum Ending {
+public enum SetupOutcome {
   /** The server turned it away. */
   REFUSED,
   /** The server could not be reached: it never ran. */
--- a/src/main/java/ashspar/limits/Shedding.java
+++ b/src/main/java/ashspar/limits/Shedding.java
@@ -10,20 +10,20 @@
 /** Which connections to move off a server that is asked for more than it can do. Pure. */
 public final class Shedding {
   /** Load from which connections are moved, and what is left where others have room. */
-  private static final double MOVE_AT = 0.9;
+  private static final double SHED_ABOVE = 0.9;
 
-  private static final double MOVE_TO = 0.85;
+  private static final double SHED_TO = 0.85;
 
   /**
    * Load from which a server's messages come too late for all that it holds, and what is left then
    * even if nobody has room: some are served by nobody for a while, so that the rest are.
    */
-  private static final double TOO_MUCH = 0.95;
+  private static final double OVERLOAD = 0.95;
 
-  private static final double BEARABLE = 0.8;
+  private static final double SHED_OVERLOAD_TO = 0.8;
 
   /** Most of a server's connections, as a share, that one look moves. */
-  private static final double MOST = 0.8;
+  private static final double MAX_SHED_SHARE = 0.8;
 
   private Shedding() {}
 
@@ -33,13 +33,13 @@
    * @param load of the server, as reported
    * @param spare room at the others, in loads of this one
    */
-  public static double share(double load, double spare) {
-    if (!(load > MOVE_AT)) {
+  public static double excessShare(double load, double spare) {
+    if (!(load > SHED_ABOVE)) {
       return 0;
     }
-    double excess = Math.min(load - MOVE_TO, spare);
-    excess = Math.max(excess, load > TOO_MUCH ? load - BEARABLE : 0);
-    return Math.max(0, Math.min(MOST, excess / load));
+    double excess = Math.min(load - SHED_TO, spare);
+    excess = Math.max(excess, load > OVERLOAD ? load - SHED_OVERLOAD_TO : 0);
+    return Math.max(0, Math.min(MAX_SHED_SHARE, excess / load));
   }
 
   /**
@@ -48,7 +48,7 @@
    *
    * @param chance numbers from 0 to 1
    */
-  public static <C> List<C> choose(
+  public static <C> List<C> chooseConnections(
       Collection<C> open,
       double share,
       ToDoubleFunction<C> load,
--- a/src/main/java/ashspar/limits/Reach.java
+++ b/src/main/java/ashspar/limits/SubsetScope.java
@@ -11,7 +11,7 @@
  *
  * <p>Times are microseconds. For one thread at a time.
  */
-public final class Reach {
+public final class SubsetScope {
   /** How far. */
   public enum Extent {
     OWN,
@@ -20,16 +20,16 @@
   }
 
   /** The tier that holds all that is left. */
-  public static final int LAST = 3;
+  public static final int LAST_TIER = 3;
 
   /** So long nothing must have been missing before less is asked. */
-  static final long NARROWS = 4_000_000;
+  static final long NARROW_AFTER_MICROS = 4_000_000;
 
   /** Share of servers that must take more, below which further ones are looked for. */
-  private static final double ENOUGH = 0.5;
+  private static final double MIN_AVAILABLE_SHARE = 0.5;
 
   private Extent extent = Extent.OWN;
-  private long missedAt = Long.MIN_VALUE / 2;
+  private long lastShortageAt = Long.MIN_VALUE / 2;
 
   /** What the node looks at now. */
   public Extent extent() {
@@ -43,20 +43,21 @@
 
   /**
    * Which of them come first: 0 its own in its zone, then what answers there, then the same of
-   * other zones, and last, as {@link #LAST}, what may be gone without anybody's having noticed.
+   * other zones, and last, as {@link #LAST_TIER}, what may be gone without anybody's having
+   * noticed.
    */
-  public static int tier(boolean own, boolean near, boolean answers) {
+  public static int tierOf(boolean own, boolean near, boolean answers) {
     if (near && own) {
       return 0;
     }
-    return own || answers ? near ? 1 : 2 : LAST;
+    return own || answers ? near ? 1 : 2 : LAST_TIER;
   }
 
   /**
    * The last tier that may be tried: nobody crosses to another zone before the rest of his own was
    * asked, which takes a request that meets it some milliseconds.
    */
-  public int tiers() {
+  public int lastTier() {
     return extent.ordinal() + 1;
   }
 
@@ -65,12 +66,12 @@
    *
    * @return whether further servers are to be asked now
    */
-  public boolean missed(long now, int tier) {
-    boolean wider = tier < LAST - 1 && tier >= extent.ordinal();
+  public boolean recordNoCapacity(long now, int tier) {
+    boolean wider = tier < LAST_TIER - 1 && tier >= extent.ordinal();
     if (wider) {
       extent = Extent.values()[tier + 1];
     }
-    missedAt = tier < LAST ? now : missedAt;
+    lastShortageAt = tier < LAST_TIER ? now : lastShortageAt;
     return wider;
   }
 
@@ -80,16 +81,16 @@
    * @param all the servers; none where all are the node's own, whatever they do
    * @param takes whether it answers and takes more
    */
-  public <T> void look(
+  public <T> void adjust(
       long now, List<T> all, Predicate<T> own, Predicate<T> near, Predicate<T> takes) {
     if (all.isEmpty()) {
       extent = Extent.OWN;
-    } else if (few(all, own, takes)) {
-      extent = extent != Extent.OWN && few(all, near, takes) ? Extent.ALL : widened();
-      missedAt = now;
-    } else if (extent != Extent.OWN && now - missedAt >= NARROWS) {
+    } else if (tooFewAvailable(all, own, takes)) {
+      extent = extent != Extent.OWN && tooFewAvailable(all, near, takes) ? Extent.ALL : widened();
+      lastShortageAt = now;
+    } else if (extent != Extent.OWN && now - lastShortageAt >= NARROW_AFTER_MICROS) {
       extent = Extent.values()[extent.ordinal() - 1];
-      missedAt = now;
+      lastShortageAt = now;
     }
   }
 
@@ -97,8 +98,8 @@
     return extent == Extent.OWN ? Extent.ZONE : extent;
   }
 
-  private static <T> boolean few(List<T> all, Predicate<T> of, Predicate<T> takes) {
+  private static <T> boolean tooFewAvailable(List<T> all, Predicate<T> of, Predicate<T> takes) {
     long count = all.stream().filter(of).count();
-    return count == 0 || all.stream().filter(of.and(takes)).count() < ENOUGH * count;
+    return count == 0 || all.stream().filter(of.and(takes)).count() < MIN_AVAILABLE_SHARE * count;
   }
 }
--- a/src/main/java/ashspar/limits/TenantShares.java
+++ b/src/main/java/ashspar/limits/TenantShares.java
@@ -15,7 +15,7 @@
   private static final double SLACK = 1.25;
 
   /** Below so many own connections a count says nothing. */
-  private static final int LEAST = 4;
+  private static final int MIN_CONNECTIONS = 4;
 
   private static final class Tenant {
     double share;
@@ -24,36 +24,36 @@
   }
 
   private final Map<String, Tenant> tenants = new HashMap<>();
-  private double nodes = 1;
-  private double overWorth = 1;
+  private double inverseShare = 1;
+  private double overShareValue = 1;
 
   /**
-   * Forgets the shares, not the connections: new ones follow through {@link #tenant}.
+   * Forgets the shares, not the connections: new ones follow through {@link #configureTenant}.
    *
    * @param nodeCount how many nodes share, or the inverse of this one's part
    */
   public void configure(double nodeCount, double worthOverShare) {
-    nodes = nodeCount;
-    overWorth = worthOverShare;
+    inverseShare = nodeCount;
+    overShareValue = worthOverShare;
     tenants.values().forEach(t -> t.connections = 0);
   }
 
   /** This node's part of what tenants may hold has changed, to the inverse of this. */
-  public void divide(double nodeCount) {
-    nodes = nodeCount;
+  public void setInverseShare(double nodeCount) {
+    inverseShare = nodeCount;
   }
 
   /**
    * A tenant's share of the service, and what that is in connections of all nodes; 0: not known.
    */
-  public void tenant(String name, double share, double connections) {
+  public void configureTenant(String name, double share, double connections) {
     Tenant tenant = tenants.computeIfAbsent(name, n -> new Tenant());
     tenant.share = share;
     tenant.connections = connections;
   }
 
   /** A connection of the tenant stands from here on. One that is not known is counted nowhere. */
-  public void opened(String name) {
+  public void connectionOpened(String name) {
     Tenant tenant = name == null ? null : tenants.get(name);
     if (tenant != null) {
       tenant.open++;
@@ -61,7 +61,7 @@
   }
 
   /** A connection of the tenant has ended. */
-  public void closed(String name) {
+  public void connectionClosed(String name) {
     Tenant tenant = name == null ? null : tenants.get(name);
     if (tenant != null && tenant.open > 0) {
       tenant.open--;
@@ -69,17 +69,17 @@
   }
 
   /** Whether the settings name the tenant: any other name is but text of some client's. */
-  public boolean known(String name) {
+  public boolean isConfigured(String name) {
     return name != null && tenants.containsKey(name);
   }
 
   /** Whether one more connection of the tenant would be over its share. */
-  public boolean over(String name) {
+  public boolean isOverShare(String name) {
     Tenant tenant = name == null ? null : tenants.get(name);
     return tenant != null
         && tenant.connections > 0
-        && tenant.open >= LEAST
-        && (tenant.open + 1) * nodes > SLACK * tenant.connections;
+        && tenant.open >= MIN_CONNECTIONS
+        && (tenant.open + 1) * inverseShare > SLACK * tenant.connections;
   }
 
   /** The tenant's share; an unknown one's is that of the smallest known, or 1. */
@@ -96,7 +96,7 @@
   }
 
   /** What a connection over its tenant's share is worth, as a part of its class's worth. */
-  public double overWorth() {
-    return overWorth;
+  public double overShareValue() {
+    return overShareValue;
   }
 }
--- a/src/test/java/ashspar/HardCasesTest.java
+++ b/src/test/java/ashspar/FaultScenariosTest.java
@@ -6,9 +6,9 @@
 import ashspar.Balancer.SizeMeaning;
 import ashspar.Balancer.Status;
 import ashspar.Balancer.Tenant;
-import ashspar.ToyFleet.Host;
-import ashspar.ToyFleet.Node;
-import ashspar.ToyFleet.Sent;
+import ashspar.StubFleet.Host;
+import ashspar.StubFleet.Node;
+import ashspar.StubFleet.Sent;
 import ashspar.limits.LimitsSnapshot;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,29 +18,29 @@
 import org.junit.jupiter.api.Test;
 
 /** The bad hours that the limits are for, each played on a few toy hosts or on a script. */
-class HardCasesTest {
-  private static final long MS = ToyFleet.MS;
-  private static final long SECOND = ToyFleet.SECOND;
+class FaultScenariosTest {
+  private static final long MS = StubFleet.MS;
+  private static final long SECOND = StubFleet.SECOND;
   private static final long AIM = 300 * MS;
-  private static final long IN_TIME = ToyFleet.DEADLINE;
+  private static final long IN_TIME = StubFleet.DEADLINE;
 
-  private static Script.Setup setup(int nodes) {
-    Script.Setup setup = new Script.Setup();
+  private static PolicyDriver.Setup setup(int nodes) {
+    PolicyDriver.Setup setup = new PolicyDriver.Setup();
     setup.nodes = nodes;
     setup.sizes = SizeMeaning.NOMINAL;
     setup.maxRetryAfter = 2 * SECOND;
     return setup;
   }
 
-  private static double served(ToyFleet fleet, long from, long to, long within) {
+  private static double served(StubFleet fleet, long from, long to, long within) {
     return fleet.served(from, to, within, f -> true);
   }
 
-  private static List<Sent> sent(ToyFleet fleet, Predicate<Sent> which) {
+  private static List<Sent> sent(StubFleet fleet, Predicate<Sent> which) {
     return fleet.sent.stream().filter(which).toList();
   }
 
-  private static double most(ToyFleet fleet, ToDoubleFunction<LimitsSnapshot> figure) {
+  private static double most(StubFleet fleet, ToDoubleFunction<LimitsSnapshot> figure) {
     double most = 0;
     for (Node node : fleet.nodes) {
       most = Math.max(most, figure.applyAsDouble(node.policy.limits()));
@@ -50,9 +50,9 @@
 
   @Test
   void sixtyClientsThatReturnAtOnceToTwoNearHostsWaitForNoSetupAndSpillToTheFarZone() {
-    Script.Setup setup = setup(1);
+    PolicyDriver.Setup setup = setup(1);
     setup.crossZonePrice = 0.01;
-    ToyFleet fleet = new ToyFleet(setup, 2, 3);
+    StubFleet fleet = new StubFleet(setup, 2, 3);
     for (int i = 0; i < 60; i++) {
       fleet.ask("t" + i % 4, 60 * SECOND, false, true);
     }
@@ -65,7 +65,7 @@
 
   @Test
   void aStoreThatIsFiveTimesSlowerRestsNoHostAndLeavesNoPauseBehind() {
-    ToyFleet fleet = new ToyFleet(setup(2), 5, 0);
+    StubFleet fleet = new StubFleet(setup(2), 5, 0);
     fleet.run(10 * SECOND, 20, 4 * SECOND);
     long from = fleet.now;
     fleet.storeSlowdown = 5;
@@ -85,7 +85,7 @@
 
   @Test
   void aHostThatAnswersProbesAndLosesEverySetupCostsFewAttemptsAndReturns() {
-    ToyFleet fleet = new ToyFleet(setup(1), 5, 0);
+    StubFleet fleet = new StubFleet(setup(1), 5, 0);
     fleet.run(8 * SECOND, 20, 4 * SECOND);
     long from = fleet.now;
     fleet.host(0).loses = true;
@@ -103,13 +103,13 @@
 
   @Test
   void aPracticeAtFiveTimesItsShareHarmsNoOther() {
-    Script.Setup setup = setup(2);
+    PolicyDriver.Setup setup = setup(2);
     List<Tenant> tenants = new ArrayList<>();
     for (int t = 0; t < 4; t++) {
       tenants.add(new Tenant("t" + t, 1, 0, 20));
     }
     setup.tenants = tenants;
-    ToyFleet fleet = new ToyFleet(setup, 3, 0);
+    StubFleet fleet = new StubFleet(setup, 3, 0);
     fleet.run(6 * SECOND, 8, 6 * SECOND);
     long from = fleet.now;
     for (int i = 0; i < 200; i++) {
@@ -132,7 +132,7 @@
 
   @Test
   void afterAllHostsWereGoneForTenSecondsTheyAreServedAgainSoonAndAttemptsStayedFew() {
-    ToyFleet fleet = new ToyFleet(setup(2), 5, 0);
+    StubFleet fleet = new StubFleet(setup(2), 5, 0);
     fleet.run(8 * SECOND, 10, 5 * SECOND);
     fleet.hosts.values().forEach(fleet::down);
     fleet.run(10 * SECOND, 10, 5 * SECOND);
@@ -149,7 +149,7 @@
 
   @Test
   void aColdHostThatJoinsInASurgeIsNotPushedOver() {
-    ToyFleet fleet = new ToyFleet(setup(3), 3, 0);
+    StubFleet fleet = new StubFleet(setup(3), 3, 0);
     fleet.run(6 * SECOND, 15, 4 * SECOND);
     Host cold = fleet.join(9);
     for (int i = 0; i < 40; i++) {
@@ -172,7 +172,7 @@
 
   @Test
   void aDrainInASurgeGetsNothingNewAndItsClientsAreServedElsewhere() {
-    ToyFleet fleet = new ToyFleet(setup(2), 5, 0);
+    StubFleet fleet = new StubFleet(setup(2), 5, 0);
     fleet.run(6 * SECOND, 15, 5 * SECOND);
     for (int i = 0; i < 40; i++) {
       fleet.ask("t0", 4 * SECOND, false, true);
@@ -186,7 +186,7 @@
 
   @Test
   void nodesThatSeeTheSameSignalDoNotSwingTogether() {
-    ToyFleet fleet = new ToyFleet(setup(2), 6, 0);
+    StubFleet fleet = new StubFleet(setup(2), 6, 0);
     fleet.host(0).cores = 0.5;
     fleet.run(8 * SECOND, 40, 3 * SECOND);
     fleet.host(0).cores = 3;
@@ -206,7 +206,7 @@
 
   @Test
   void aLimitAtItsFloorStillTriesAndLearnsThatTheHostIsWell() {
-    ToyFleet fleet = new ToyFleet(setup(1), 1, 0);
+    StubFleet fleet = new StubFleet(setup(1), 1, 0);
     fleet.run(6 * SECOND, 2, SECOND);
     long from = fleet.now;
     fleet.host(0).loses = true;
@@ -224,7 +224,7 @@
 
   @Test
   void tenThousandWaitInOrderAndCostLittleTime() {
-    Script script = Script.settled(new Script.Setup(), 20);
+    PolicyDriver script = PolicyDriver.settled(new PolicyDriver.Setup(), 20);
     for (int i = 0; i < 20; i++) {
       script.probed("s" + i, Status.OK, 0.95, 0);
     }
@@ -257,7 +257,7 @@
 
   @Test
   void steadyChurnNeverMakesAnIdleHostLookFull() {
-    Script script = Script.settled(new Script.Setup(), 8);
+    PolicyDriver script = PolicyDriver.settled(new PolicyDriver.Setup(), 8);
     script.loads = s -> 0.1;
     script.takes = MS;
     for (int i = 0; i < 3_000; i++) {
--- a/src/test/java/ashspar/Script.java
+++ b/src/test/java/ashspar/PolicyDriver.java
@@ -20,7 +20,7 @@
 import java.util.function.ToDoubleFunction;
 
 /** Drives a policy by hand: keeps the clock and the timers and writes down every action. */
-final class Script implements Balancer.Actions {
+final class PolicyDriver implements Balancer.Actions {
   static final long MS = 1_000;
   static final long SECOND = 1_000_000;
 
@@ -59,11 +59,11 @@
   long now = 10 * SECOND;
   final Balancer balancer;
 
-  Script(Settings settings) {
+  PolicyDriver(Settings settings) {
     this(Policy::new, settings, 7);
   }
 
-  Script(Factory factory, Settings settings, long seed) {
+  PolicyDriver(Factory factory, Settings settings, long seed) {
     balancer = factory.create(now, settings, seed, this);
   }
 
@@ -157,8 +157,8 @@
    * A node past the pace of its first seconds, which has heard of every server, of a load of 0.1;
    * from here on the test answers what is asked, and reports are stale.
    */
-  static Script settled(Setup setup, int servers) {
-    Script script = new Script(setup.settings());
+  static PolicyDriver settled(Setup setup, int servers) {
+    PolicyDriver script = new PolicyDriver(setup.settings());
     script.list(servers);
     script.settle();
     return script;
--- a/src/test/java/ashspar/PolicyTest.java
+++ b/src/test/java/ashspar/PolicyTest.java
@@ -23,20 +23,20 @@
 
 /** The policy on short scripts: the mechanism, and one test for each failure found. */
 class PolicyTest {
-  private static final long MS = Script.MS;
-  private static final long SECOND = Script.SECOND;
+  private static final long MS = PolicyDriver.MS;
+  private static final long SECOND = PolicyDriver.SECOND;
 
-  private static Script script() {
-    return new Script(new Script.Setup().settings());
+  private static PolicyDriver script() {
+    return new PolicyDriver(new PolicyDriver.Setup().settings());
   }
 
-  private static Script settled(int servers) {
-    return Script.settled(new Script.Setup(), servers);
+  private static PolicyDriver settled(int servers) {
+    return PolicyDriver.settled(new PolicyDriver.Setup(), servers);
   }
 
   @Test
   void equalWeightsTakeTurns() {
-    Script script = settled(5);
+    PolicyDriver script = settled(5);
     for (int i = 1; i <= 10; i++) {
       script.place(i, 0.1);
     }
@@ -51,10 +51,10 @@
   void nodesBeginAtDifferentServers() {
     Set<String> first = new HashSet<>();
     for (int rank = 0; rank < 8; rank++) {
-      Script.Setup setup = new Script.Setup();
+      PolicyDriver.Setup setup = new PolicyDriver.Setup();
       setup.rank = rank;
       setup.nodes = 8;
-      Script script = Script.settled(setup, 8);
+      PolicyDriver script = PolicyDriver.settled(setup, 8);
       script.place(1, 0.1);
       first.add(script.last(1).server());
     }
@@ -63,7 +63,7 @@
 
   @Test
   void aPlacementWaitsForTheProbesOfTheNextInTurn() {
-    Script script = settled(6);
+    PolicyDriver script = settled(6);
     script.request(1);
     assertTrue(script.sends.isEmpty());
     assertEquals(3, script.probes.size());
@@ -73,7 +73,7 @@
 
   @Test
   void anUnansweredProbeHoldsAPlacementForSomeMillisecondsOnly() {
-    Script script = settled(6);
+    PolicyDriver script = settled(6);
     script.request(1);
     script.pass(100 * MS);
     assertEquals(1, script.sends.size());
@@ -81,7 +81,7 @@
 
   @Test
   void lighterServersGetMoreTurns() {
-    Script script = settled(2);
+    PolicyDriver script = settled(2);
     script.loads = s -> s.equals("s0") ? 0.2 : 0.6;
     script.takes = 5 * MS;
     int light = 0;
@@ -96,7 +96,7 @@
 
   @Test
   void aProbeTimeOutQuiescesUntilOneIsAnswered() {
-    Script script = settled(2);
+    PolicyDriver script = settled(2);
     script.takes = 5 * MS;
     script.probed("s0", Status.TIMEOUT, 0, 0);
     for (int i = 1; i <= 4; i++) {
@@ -118,7 +118,7 @@
 
   @Test
   void allQuiescedStillPlaces() {
-    Script script = settled(3);
+    PolicyDriver script = settled(3);
     for (int i = 0; i < 3; i++) {
       script.probed("s" + i, Status.TIMEOUT, 0, 0);
     }
@@ -129,7 +129,7 @@
 
   @Test
   void noServerKnownIsHeldThenRefusedInTime() {
-    Script script = script();
+    PolicyDriver script = script();
     script.request(1);
     script.pass(1790 * MS);
     assertTrue(script.refused.isEmpty());
@@ -140,7 +140,7 @@
 
   @Test
   void aServerListedWhileARequestIsHeldTakesIt() {
-    Script script = script();
+    PolicyDriver script = script();
     script.request(1);
     script.pass(500 * MS);
     script.list(1);
@@ -150,11 +150,11 @@
 
   @Test
   void nothingNewGoesToADrainingOrRemovedServer() {
-    Script script = settled(3);
+    PolicyDriver script = settled(3);
     script.balancer.updateServers(
         script.now,
         ListKind.DELTA,
-        List.of(Script.server(0, State.DRAINING, 0), Script.server(1, State.GONE, 0)));
+        List.of(PolicyDriver.server(0, State.DRAINING, 0), PolicyDriver.server(1, State.GONE, 0)));
     for (int i = 1; i <= 6; i++) {
       script.open(i);
       assertEquals("s2", script.last(i).server());
@@ -167,18 +167,18 @@
 
   @Test
   void aRemovedServerThatReturnsIsUsedAgain() {
-    Script script = script();
+    PolicyDriver script = script();
     script.list(1);
     script.balancer.updateServers(script.now, ListKind.FULL, List.of());
     script.balancer.updateServers(
-        script.now, ListKind.DELTA, List.of(Script.server(0, State.READY, 0)));
+        script.now, ListKind.DELTA, List.of(PolicyDriver.server(0, State.READY, 0)));
     script.place(1, 0.1);
     assertEquals("s0", script.last(1).server());
   }
 
   @Test
   void aProvenRefusalIsTriedElsewhere() {
-    Script script = settled(3);
+    PolicyDriver script = settled(3);
     script.place(1, 0.1);
     String first = script.last(1).server();
     script.outcome(1, Status.FULL, false);
@@ -187,9 +187,9 @@
 
   @Test
   void aSingleShotThatMayHaveRunIsNeitherSentAgainNorRefused() {
-    Script.Setup setup = new Script.Setup();
+    PolicyDriver.Setup setup = new PolicyDriver.Setup();
     setup.effect = Repeatability.SINGLE_SHOT;
-    Script script = Script.settled(setup, 3);
+    PolicyDriver script = PolicyDriver.settled(setup, 3);
     script.place(1, 0.1);
     script.outcome(1, Status.RESET, false);
     script.pass(3 * SECOND);
@@ -200,11 +200,11 @@
 
   @Test
   void aGuardedRequestIsRepeatedWithinItsZoneOnly() {
-    Script.Setup setup = new Script.Setup();
+    PolicyDriver.Setup setup = new PolicyDriver.Setup();
     setup.effect = Repeatability.GUARDED;
     setup.group = DeduplicationScope.ZONE;
     for (int i = 1; i <= 6; i++) {
-      Script script = new Script(Policy::new, setup.settings(), i);
+      PolicyDriver script = new PolicyDriver(Policy::new, setup.settings(), i);
       script.list(6);
       script.settle();
       script.place(i, 0.1);
@@ -221,15 +221,15 @@
     // 60 nodes, one cold server each has just heard of: light connections must not rush to it.
     int sent = 0;
     for (int rank = 0; rank < 60; rank++) {
-      Script.Setup setup = new Script.Setup();
+      PolicyDriver.Setup setup = new PolicyDriver.Setup();
       setup.rank = rank;
       setup.nodes = 60;
       setup.probes = false;
-      Script script = new Script(Policy::new, setup.settings(), rank);
+      PolicyDriver script = new PolicyDriver(Policy::new, setup.settings(), rank);
       script.list(10);
       script.request(1, 1800 * MS, 1000);
       script.balancer.updateServers(
-          script.now, ListKind.DELTA, List.of(Script.server(77, State.READY, script.now)));
+          script.now, ListKind.DELTA, List.of(PolicyDriver.server(77, State.READY, script.now)));
       for (int i = 2; i <= 4; i++) {
         script.request(i, 1800 * MS, 100);
         script.pass(300 * MS);
@@ -241,16 +241,16 @@
 
   @Test
   void aColdServerIsDueWithoutWaitingForATurnInALargeFleet() {
-    Script.Setup setup = new Script.Setup();
+    PolicyDriver.Setup setup = new PolicyDriver.Setup();
     setup.probes = false;
-    Script script = new Script(setup.settings());
+    PolicyDriver script = new PolicyDriver(setup.settings());
     script.list(100);
     for (int i = 1; i <= 200; i++) {
       script.request(i);
       script.pass(20 * MS);
     }
     script.balancer.updateServers(
-        script.now, ListKind.DELTA, List.of(Script.server(500, State.READY, script.now)));
+        script.now, ListKind.DELTA, List.of(PolicyDriver.server(500, State.READY, script.now)));
     for (int i = 201; i <= 400; i++) {
       script.request(i);
       script.pass(20 * MS);
@@ -261,7 +261,7 @@
 
   @Test
   void errorsOfManyFlowsAreRepeatedWithinTheBudgetAndPauseNothing() {
-    Script script = settled(10);
+    PolicyDriver script = settled(10);
     script.loads = s -> 0.1;
     script.takes = 5 * MS;
     script.ends = Status.ERROR;
@@ -283,7 +283,7 @@
    */
   @Test
   void oneFlowsErrorsDoNotPauseTheNode() {
-    Script script = settled(10);
+    PolicyDriver script = settled(10);
     script.place(1, 0.1);
     for (int i = 0; i < 3; i++) {
       script.outcome(1, Status.ERROR, false);
@@ -295,7 +295,7 @@
   /** A draining server answers ERR before the list tells: each placement probed it once more. */
   @Test
   void aServerWhoseProbeFailsRestsFromProbesAndPlacements() {
-    Script script = settled(2);
+    PolicyDriver script = settled(2);
     script.request(1);
     script.probes.clear();
     script.probed("s0", Status.ERROR, 0, 0);
@@ -314,7 +314,7 @@
   /** A server that shed its connections was sent to again each 2 s, and broke those too. */
   @Test
   void aServerThatGoesOnBreakingConnectionsCoolsDownForLonger() {
-    Script script = settled(3);
+    PolicyDriver script = settled(3);
     script.loads = s -> 0.1;
     script.takes = 5 * MS;
     List<Long> broken = new ArrayList<>();
@@ -337,12 +337,12 @@
   /** A server lost requests and answered probes: each cost its client the whole deadline. */
   @Test
   void anUnansweredAttemptIsCutLongBeforeTheDeadlineAndItsServerRests() {
-    Script script = settled(3);
+    PolicyDriver script = settled(3);
     int lost = 0;
     for (int i = 1; i <= 20; i++) {
       script.request(i, 10 * SECOND, 0);
       script.answerProbes(Status.OK, 0.1);
-      Script.Sent sent = script.last(i);
+      PolicyDriver.Sent sent = script.last(i);
       assertTrue(sent.abandonAt() - sent.at() < 3 * SECOND / 2, "waits for " + sent);
       if (sent.server().equals("s0")) {
         lost++;
@@ -369,7 +369,7 @@
    */
   @Test
   void aServerThatSendsSetupsAwayRestsLikeOneThatRefusesThem() {
-    Script script = settled(2);
+    PolicyDriver script = settled(2);
     int sentAway = 0;
     for (int i = 1; i <= 8; i++) {
       script.place(i, 0.1);
@@ -388,7 +388,7 @@
    */
   @Test
   void anAttemptThatTheDeadlineLeftNoTimeTellsNothingOfItsServer() {
-    Script script = settled(2);
+    PolicyDriver script = settled(2);
     for (int i = 1; i <= 4; i++) {
       script.request(i, 20 * MS, 0);
       script.answerProbes(Status.OK, 0.1);
@@ -402,7 +402,7 @@
 
   @Test
   void aHeldRequestIsAnsweredEvenWhileAProbeIsOut() {
-    Script script = settled(3);
+    PolicyDriver script = settled(3);
     script.request(1);
     script.answerProbes(Status.FULL, 0);
     for (int i = 0; i < 40; i++) {
@@ -414,7 +414,7 @@
 
   @Test
   void aFullProbeTellsOfOverloadAndRelievesTheServer() {
-    Script script = settled(1);
+    PolicyDriver script = settled(1);
     script.fill(40);
     script.probed("s0", Status.FULL, 0, 0);
     assertTrue(!script.moved.isEmpty() && script.moved.size() < 36, "" + script.moved.size());
@@ -422,7 +422,7 @@
 
   @Test
   void oneSlowNoteIsAStallAndTwoAreStrain() {
-    Script script = settled(1);
+    PolicyDriver script = settled(1);
     script.fill(40);
     script.balancer.connectionMeasured(script.now, 1, 0, "s0", MeasurementKind.DELAY, 500);
     assertTrue(script.moved.isEmpty());
@@ -434,7 +434,7 @@
   @Test
   void absurdReportsMakeNoAbsurdWeights() {
     double[] absurd = {Double.NaN, Double.POSITIVE_INFINITY, -1, 0, 1e300, Double.MIN_VALUE};
-    Script script = settled(6);
+    PolicyDriver script = settled(6);
     script.takes = 5 * MS;
     for (int i = 1; i <= 60; i++) {
       script.request(i);
@@ -452,7 +452,7 @@
 
   @Test
   void lateEventsForForgottenIdsAreIgnored() {
-    Script script = settled(2);
+    PolicyDriver script = settled(2);
     script.place(1, 0.1);
     script.outcome(1, Status.OK, true);
     int before = script.all.size();
@@ -467,10 +467,10 @@
 
   @Test
   void crossingsThatCostTakeFewerTurnsAndStillSome() {
-    Script.Setup setup = new Script.Setup();
+    PolicyDriver.Setup setup = new PolicyDriver.Setup();
     setup.probes = false;
     setup.crossZonePrice = 0.01;
-    Script script = Script.settled(setup, 8);
+    PolicyDriver script = PolicyDriver.settled(setup, 8);
     script.takes = 5 * MS;
     for (int i = 1; i <= 100; i++) {
       script.request(i);
@@ -483,7 +483,7 @@
   @Test
   void anOverloadedFleetHoldsAndRefusesInsteadOfFillingUp() {
     // Found in incidents: servers taken to be usable up to 0.95 were all late, and none recovered.
-    Script script = settled(6);
+    PolicyDriver script = settled(6);
     int sent = 0;
     for (int i = 1; i <= 60; i++) {
       script.request(i);
@@ -500,7 +500,7 @@
   /** What finds no place waits, and none who waits is overtaken by one who has come later. */
   @Test
   void aFullFleetHoldsInTheWaitingRoomAndLetsOutInTurn() {
-    Script script = settled(6);
+    PolicyDriver script = settled(6);
     script.loads = s -> 0.95;
     for (int i = 0; i < 6; i++) {
       script.probed("s" + i, Status.OK, 0.95, 0);
@@ -523,13 +523,13 @@
 
   @Test
   void aRestartUnderTheSameIdIsColdAgain() {
-    Script.Setup setup = new Script.Setup();
+    PolicyDriver.Setup setup = new PolicyDriver.Setup();
     setup.probes = false;
     setup.nodes = 50;
-    Script script = new Script(setup.settings());
+    PolicyDriver script = new PolicyDriver(setup.settings());
     script.list(2);
     script.balancer.updateServers(
-        script.now, ListKind.DELTA, List.of(Script.server(0, State.READY, script.now)));
+        script.now, ListKind.DELTA, List.of(PolicyDriver.server(0, State.READY, script.now)));
     for (int i = 1; i <= 20; i++) {
       script.request(i);
       script.pass(10 * MS);
@@ -540,7 +540,7 @@
 
   @Test
   void aResumedConnectionIsHeldWithoutSendingAndEndsWithItsOutcome() {
-    Script script = script();
+    PolicyDriver script = script();
     script.list(2);
     Balancer.Request old = new Balancer.Request(5, "k", "view", null, 0, 0, false, false, false);
     script.balancer.connectionResumed(script.now, old, "s1");
@@ -556,9 +556,9 @@
 
   @Test
   void aServersStateIsGoneWithItAndItsConnectionsStillEnd() {
-    Script script = settled(1);
+    PolicyDriver script = settled(1);
     script.open(1);
-    script.balancer.updateServers(script.now, ListKind.FULL, Script.servers(0));
+    script.balancer.updateServers(script.now, ListKind.FULL, PolicyDriver.servers(0));
     script.outcome(1, Status.RESET, true);
     script.request(1);
     assertEquals(1, script.attempts.get(1L), "the id was forgotten and no server is left");
@@ -566,7 +566,7 @@
 
   @Test
   void garbageFromPeersDoesNoHarm() {
-    Script script = settled(2);
+    PolicyDriver script = settled(2);
     script.balancer.peerMessageReceived(script.now, -5, new byte[0]);
     script.balancer.peerMessageReceived(script.now, 900, new byte[] {-1, 0, 127});
     script.place(1, 0.1);
@@ -575,9 +575,9 @@
 
   @Test
   void whatHasEndedIsForgotten() {
-    Script.Setup setup = new Script.Setup();
+    PolicyDriver.Setup setup = new PolicyDriver.Setup();
     setup.probes = false;
-    Script script = Script.settled(setup, 4);
+    PolicyDriver script = PolicyDriver.settled(setup, 4);
     for (int i = 1; i <= 300; i++) {
       script.request(i);
       switch (i % 4) {
@@ -598,7 +598,7 @@
 
   @Test
   void aStormOfTimeOutsIsOneLineInFiveSeconds() {
-    Script script = settled(20);
+    PolicyDriver script = settled(20);
     for (int i = 0; i < 20; i++) {
       script.probed("s" + i, Status.TIMEOUT, 0, 0);
     }
@@ -609,7 +609,7 @@
 
   @Test
   void brokenContractsAreNamed() {
-    Script script = script();
+    PolicyDriver script = script();
     script.list(1);
     script.request(1);
     Throwable twice = assertThrows(IllegalArgumentException.class, () -> script.request(1));
@@ -622,9 +622,9 @@
 
   @Test
   void askingIsSpreadAndBacksOff() {
-    Script.Setup setup = new Script.Setup();
+    PolicyDriver.Setup setup = new PolicyDriver.Setup();
     setup.asks = true;
-    Script script = new Script(setup.settings());
+    PolicyDriver script = new PolicyDriver(setup.settings());
     script.list(2);
     script.pass(2 * SECOND);
     assertEquals(List.of(true), script.watches);
@@ -641,9 +641,9 @@
 
   @Test
   void settingsNeverSeenBeforeStartAndPlace() {
-    Script.Setup[] setups = new Script.Setup[6];
+    PolicyDriver.Setup[] setups = new PolicyDriver.Setup[6];
     for (int i = 0; i < setups.length; i++) {
-      setups[i] = new Script.Setup();
+      setups[i] = new PolicyDriver.Setup();
     }
     setups[0].probes = false;
     setups[1].fields = List.of();
@@ -651,8 +651,8 @@
     setups[3].peers = true;
     setups[4].maxAttempts = 1;
     setups[5].coldShare = 0;
-    for (Script.Setup setup : setups) {
-      Script script = Script.settled(setup, 1);
+    for (PolicyDriver.Setup setup : setups) {
+      PolicyDriver script = PolicyDriver.settled(setup, 1);
       script.request(1);
       script.pass(SECOND);
       assertEquals("s0", script.last(1).server());
@@ -662,7 +662,7 @@
   /** A host that slowed down kept its connections: no note told of it, and no placement looked. */
   @Test
   void aStaleReportIsRenewedOfAServerThatHoldsConnections() {
-    Script script = settled(2);
+    PolicyDriver script = settled(2);
     script.open(1);
     script.answerProbes(Status.OK, 0.5);
     script.pass(SECOND);
@@ -674,7 +674,7 @@
   /** An answer takes some ms, so that at the second tick it was just not stale: 3 s went by. */
   @Test
   void aStaleReportIsRenewedAtEverySecondTick() {
-    Script script = settled(1);
+    PolicyDriver script = settled(1);
     script.open(1);
     int probes = 0;
     for (long passed = 0; passed < 12 * SECOND; passed += 5 * MS) {
@@ -689,9 +689,9 @@
   @Test
   void aRefusalInAFullFleetComesInTimeAndTellsWhenToReturn() {
     for (long most : new long[] {0, 40 * MS, 2 * SECOND}) {
-      Script.Setup setup = new Script.Setup();
+      PolicyDriver.Setup setup = new PolicyDriver.Setup();
       setup.maxRetryAfter = most;
-      Script script = Script.settled(setup, 2);
+      PolicyDriver script = PolicyDriver.settled(setup, 2);
       script.loads = s -> 0.95;
       for (int i = 1; i <= 5; i++) {
         script.request(i);
--- a/src/test/java/ashspar/RuleRecorder.java
+++ b/src/test/java/ashspar/RandomizedRuleCheck.java
@@ -26,7 +26,7 @@
  * A random day for one module: makes events, plays outcomes, and checks the four rules on every
  * action. A broken rule is an {@link AssertionError} that names it.
  */
-final class RuleRecorder implements Balancer.Actions {
+final class RandomizedRuleCheck implements Balancer.Actions {
   private static final long MS = 1_000;
   private static final int SERVERS = 12;
 
@@ -73,18 +73,18 @@
   int sends;
   int answers;
 
-  RuleRecorder(Script.Factory factory, Settings settings, long seed) {
+  RandomizedRuleCheck(PolicyDriver.Factory factory, Settings settings, long seed) {
     this.settings = settings;
     this.type = settings.classes().get(0);
     this.random = new SplittableRandom(seed);
     this.balancer = factory.create(now, settings, seed, this);
-    List<ServerEntry> first = Script.servers(SERVERS);
+    List<ServerEntry> first = PolicyDriver.servers(SERVERS);
     first.forEach(e -> listed.put(e.id(), e));
     balancer.updateServers(now, ListKind.CACHED, first);
     for (int i = 0; i < 4; i++) {
       Owed o = new Owed();
       o.request = new Request(nextId++, "k", "g" + i, type.name(), "t1", 0, 0, false, false, true);
-      ServerEntry server = i == 0 ? Script.server(99, State.READY, 0) : first.get(i);
+      ServerEntry server = i == 0 ? PolicyDriver.server(99, State.READY, 0) : first.get(i);
       Try t = new Try(server, now);
       o.tries.add(t);
       owed.put(o.request.id(), o);
@@ -164,7 +164,7 @@
     if (old != null && old.state() == state) {
       return;
     }
-    ServerEntry entry = Script.server(number, state, since);
+    ServerEntry entry = PolicyDriver.server(number, state, since);
     if (state == State.READY) {
       toldGone.remove(id);
       coldSends.put(id, new ArrayList<>());
@@ -271,7 +271,7 @@
   /** Never more is out than the limits allow, at the server nor in the fleet. */
   private void places(Policy policy, String server) {
     SetupLimit setups = policy.node.servers.get(server).limits.setups;
-    check(setups.taken(now) <= setups.allowed(), "set-ups beyond the limit of " + server);
+    check(setups.slotsTaken(now) <= setups.allowed(), "set-ups beyond the limit of " + server);
     LimitsSnapshot fleet = policy.limits();
     check(fleet.setupsInProgress() <= fleet.setupsAllowed(), "set-ups beyond the limit: " + fleet);
   }
@@ -283,15 +283,18 @@
     LimitsSnapshot over = balancer.limits();
     check(node.requests.isEmpty() && node.openConnections == 0, "held: " + node.requests.size());
     check(over.setupsInProgress() == 0 && over.waiting() == 0, "not given back: " + over);
-    long resting = node.ready.stream().filter(s -> s.limits.record.resting()).count();
+    long resting =
+        node.readyServers.stream().filter(s -> s.limits.outlierRecord.isEjected()).count();
     check(
         over.ejectedServers() == resting,
         "at rest " + over.ejectedServers() + ", of the ready " + resting);
     for (Server s : node.servers.values()) {
-      check(s.limits.setups.taken(now) == 0, "places still taken at " + s.id);
-      check(s.limits.groups.size() == 0 && s.open.isEmpty(), "groups still held at " + s.id);
-      s.limits.reported(now, random.nextDouble(), 0);
-      check(Math.abs(s.limits.added()) < 1e-9, "added at " + s.id + ": " + s.limits.added());
+      check(s.limits.setups.slotsTaken(now) == 0, "places still taken at " + s.id);
+      check(s.limits.groups.size() == 0 && s.connections.isEmpty(), "groups still held at " + s.id);
+      s.limits.recordReport(now, random.nextDouble(), 0);
+      check(
+          Math.abs(s.limits.unreportedLoad()) < 1e-9,
+          "added at " + s.id + ": " + s.limits.unreportedLoad());
     }
   }
 
--- a/src/test/java/ashspar/RulesTest.java
+++ b/src/test/java/ashspar/RulesTest.java
@@ -13,8 +13,8 @@
 
 /** The four rules on random days, and the proof that the checks see a module that breaks them. */
 class RulesTest {
-  private static Script.Setup setup(Repeatability effect, DeduplicationScope group) {
-    Script.Setup setup = new Script.Setup();
+  private static PolicyDriver.Setup setup(Repeatability effect, DeduplicationScope group) {
+    PolicyDriver.Setup setup = new PolicyDriver.Setup();
     setup.effect = effect;
     setup.group = group;
     setup.tenants = List.of(new Tenant("t1", 0.5, 0, 4), new Tenant("t2", 0.5, 0, 40));
@@ -25,8 +25,8 @@
   @CsvSource({"FREE, ALL", "GUARDED, ALL", "GUARDED, ZONE", "GUARDED, CELL", "SINGLE_SHOT, ALL"})
   void theRulesHoldOnRandomDays(Repeatability effect, DeduplicationScope group) {
     for (long seed = 1; seed <= 8; seed++) {
-      RuleRecorder day =
-          new RuleRecorder(Policy::new, setup(effect, group).settings(), seed * 1_000_003);
+      RandomizedRuleCheck day =
+          new RandomizedRuleCheck(Policy::new, setup(effect, group).settings(), seed * 1_000_003);
       day.play(1500);
       day.checkAllGivenBack();
       assertTrue(day.sends > 120, "the day had " + day.sends + " sends");
@@ -35,9 +35,9 @@
 
   private static AssertionError broken(
       Repeatability effect, DeduplicationScope group, FaultyBalancer.Fault fault) {
-    Script.Factory factory =
+    PolicyDriver.Factory factory =
         (now, settings, seed, actions) -> new FaultyBalancer(fault, settings, actions);
-    RuleRecorder day = new RuleRecorder(factory, setup(effect, group).settings(), 5);
+    RandomizedRuleCheck day = new RandomizedRuleCheck(factory, setup(effect, group).settings(), 5);
     return assertThrows(AssertionError.class, () -> day.play(1500));
   }
 
@@ -88,10 +88,10 @@
   }
 
   private static List<String> actions(int instances) {
-    Script first = null;
+    PolicyDriver first = null;
     for (int n = 0; n < instances; n++) {
-      Script script =
-          new Script(
+      PolicyDriver script =
+          new PolicyDriver(
               Policy::new, setup(Repeatability.FREE, DeduplicationScope.ALL).settings(), 99 + n);
       first = first == null ? script : first;
       script.list(8);
--- a/src/test/java/ashspar/ToyFleet.java
+++ b/src/test/java/ashspar/StubFleet.java
@@ -22,7 +22,7 @@
  * it was told to, one whose session broke within half a second; one that got no answer in time is
  * lost. Times are microseconds.
  */
-final class ToyFleet {
+final class StubFleet {
   static final long MS = 1_000;
   static final long SECOND = 1_000_000;
   static final long DEADLINE = 1800 * MS;
@@ -244,7 +244,7 @@
   long now = 10 * SECOND;
 
   /** Hosts s0 to s(n-1), the first {@code near} of them in the nodes' zone. */
-  ToyFleet(Script.Setup setup, int near, int far) {
+  StubFleet(PolicyDriver.Setup setup, int near, int far) {
     for (int i = 0; i < near + far; i++) {
       add(new Host(i, i < near ? "z1" : "z2"));
     }
--- a/src/test/java/ashspar/limits/ColdShareTest.java
+++ b/src/test/java/ashspar/limits/ColdShareTest.java
@@ -23,8 +23,8 @@
   /** Connections a second that keep the warm server full. */
   private static final double TURNOVER = 3;
 
-  private static final ColdShare.Warming WARMING =
-      new ColdShare.Warming(SAFETY * MULTIPLE * TURNOVER, LEAST, WARM_UP);
+  private static final ColdShare.RampUp WARMING =
+      new ColdShare.RampUp(SAFETY * MULTIPLE * TURNOVER, LEAST, WARM_UP);
 
   private static double capacity(double age) {
     return TURNOVER * (LEAST + (1 - LEAST) * Math.min(1, age / WARM_UP));
@@ -43,8 +43,8 @@
     for (double age = 0; age < WARM_UP; age += 0.01) {
       boolean storm = age >= quiet;
       for (ColdShare share : shares) {
-        if ((storm || random.nextInt(200) == 0) && share.free(WARMING, age, WINDOW)) {
-          share.take(WARMING, age, 1);
+        if ((storm || random.nextInt(200) == 0) && share.hasSlot(WARMING, age, WINDOW)) {
+          share.takeSlot(WARMING, age, 1);
           sent.add(age);
         }
       }
@@ -55,7 +55,7 @@
           .as("sent from %s s on", from)
           .isLessThanOrEqualTo(1 + MULTIPLE * capacity(from + WINDOW) * WINDOW);
     }
-    double all = WARMING.places(WARM_UP) - WARMING.places(quiet);
+    double all = WARMING.slotsDue(WARM_UP) - WARMING.slotsDue(quiet);
     assertThat((double) sent.stream().filter(at -> at >= quiet).count())
         .as("no share is lost to a remainder")
         .isGreaterThan(0.9 * all - nodes);
@@ -75,8 +75,8 @@
         // They rest for a while and then all want every place at once, as under a burst.
         boolean storm = age < 3 || age % 5 > 2;
         for (ColdShare share : shares) {
-          if (storm && share.free(WARMING, age, WINDOW)) {
-            share.take(WARMING, age, cost);
+          if (storm && share.hasSlot(WARMING, age, WINDOW)) {
+            share.takeSlot(WARMING, age, cost);
             sent.add(age);
           }
         }
@@ -95,7 +95,7 @@
 
   @Property(seed = "8", tries = 50)
   void aPlaceComesUpAtTheAgeThatItIsReachedBy(@ForAll @IntRange(min = 1, max = 60) int place) {
-    assertThat(WARMING.places(WARMING.reached(place))).isCloseTo(place, within(1e-6));
+    assertThat(WARMING.slotsDue(WARMING.ageWhenDue(place))).isCloseTo(place, within(1e-6));
   }
 
   @Property(seed = "9", tries = 20)
@@ -103,12 +103,12 @@
     ColdShare share = new ColdShare(0, 2);
     int taken = 0;
     for (double age = 0; age < WARM_UP; age += 0.01) {
-      if (share.free(WARMING, age, WINDOW)) {
-        share.take(WARMING, age, cost);
+      if (share.hasSlot(WARMING, age, WINDOW)) {
+        share.takeSlot(WARMING, age, cost);
         taken++;
       }
     }
-    assertThat(taken * (double) cost).isCloseTo(WARMING.places(WARM_UP) / 2, within(cost + 2.0));
+    assertThat(taken * (double) cost).isCloseTo(WARMING.slotsDue(WARM_UP) / 2, within(cost + 2.0));
   }
 
   /** The planted fault: each of fourteen nodes takes the whole budget for its own. */
@@ -122,8 +122,8 @@
     int sent = 0;
     for (double age = from; age < from + WINDOW; age += 0.01) {
       for (ColdShare share : shares) {
-        if (share.free(WARMING, age, WINDOW)) {
-          share.take(WARMING, age, 1);
+        if (share.hasSlot(WARMING, age, WINDOW)) {
+          share.takeSlot(WARMING, age, 1);
           sent++;
         }
       }
@@ -149,19 +149,19 @@
         double[] wants = random.doubles(nodes, 0.05, 1).toArray();
         double sum = java.util.Arrays.stream(wants).sum();
         for (int i = 0; i < nodes; i++) {
-          shares[i].deal(WARMING, age, sum / wants[i]);
+          shares[i].changeSpacing(WARMING, age, sum / wants[i]);
         }
       }
       for (ColdShare share : shares) {
-        if (share.free(WARMING, age, WINDOW)) {
-          share.take(WARMING, age, 1);
+        if (share.hasSlot(WARMING, age, WINDOW)) {
+          share.takeSlot(WARMING, age, 1);
           taken++;
         }
       }
-      assertThat(taken).isLessThanOrEqualTo((int) WARMING.places(age) + nodes);
+      assertThat(taken).isLessThanOrEqualTo((int) WARMING.slotsDue(age) + nodes);
     }
     assertThat(taken)
         .as("no place is lost to changes")
-        .isGreaterThan((int) (0.9 * WARMING.places(WARM_UP)) - nodes);
+        .isGreaterThan((int) (0.9 * WARMING.slotsDue(WARM_UP)) - nodes);
   }
 }
--- a/src/test/java/ashspar/limits/LimitsTest.java
+++ b/src/test/java/ashspar/limits/LimitsTest.java
@@ -49,29 +49,29 @@
     for (int i = 0; i < steps.length; i += 3) {
       now += steps[i + 2] * MS;
       if (steps[i] < 3) {
-        if (limit.free(now)) {
-          limit.take();
+        if (limit.hasFreeSlot(now)) {
+          limit.acquire();
           out++;
-          assertThat(limit.taken(now)).isLessThanOrEqualTo(limit.allowed());
+          assertThat(limit.slotsTaken(now)).isLessThanOrEqualTo(limit.allowed());
         }
       } else if (out > 0) {
         out--;
         switch (steps[i]) {
-          case 3 -> limit.cut(now, steps[i + 1] % 2 == 0);
+          case 3 -> limit.abandoned(now, steps[i + 1] % 2 == 0);
           case 4 -> limit.refused(now, steps[i + 1] % 2 == 0);
           case 5 -> limit.ended();
           default -> limit.answered(now, steps[i + 1] * MS, 1);
         }
       }
-      assertThat(limit.allowed()).isBetween(1, (int) SetupLimit.MOST);
-      assertThat(limit.taken(now)).isGreaterThanOrEqualTo(out);
+      assertThat(limit.allowed()).isBetween(1, (int) SetupLimit.MAX_LIMIT);
+      assertThat(limit.slotsTaken(now)).isGreaterThanOrEqualTo(out);
     }
     for (; out > 0; out--) {
-      limit.cut(now, true);
+      limit.abandoned(now, true);
     }
     now += 2 * SECOND;
-    assertThat(limit.taken(now)).as("what was cut is over by then").isZero();
-    assertThat(limit.free(now)).as("a limit at its floor still tries").isTrue();
+    assertThat(limit.slotsTaken(now)).as("what was cut is over by then").isZero();
+    assertThat(limit.hasFreeSlot(now)).as("a limit at its floor still tries").isTrue();
     assertThatThrownBy(limit::ended).isInstanceOf(IllegalStateException.class);
   }
 
@@ -84,8 +84,8 @@
     for (int phase = 0; phase < 3; phase++) {
       for (int i = 0; i < 30; i++) {
         int many = 0;
-        for (; limit.free(now); many++) {
-          limit.take();
+        for (; limit.hasFreeSlot(now); many++) {
+          limit.acquire();
         }
         now += 100 * MS;
         for (; many > 0; many--) {
@@ -112,30 +112,30 @@
       now += steps[i + 2] * MS;
       bucket = Math.min(30, bucket + 0.5 * steps[i + 2] / 1e3);
       if (steps[i] == 0) {
-        budget.served(now);
+        budget.recordServed(now);
         bucket = Math.min(30, bucket + 0.5);
       } else if (steps[i] == 1) {
         requests.add(now);
-        budget.request(now);
+        budget.recordRequest(now);
       } else {
-        int left = budget.left(now);
+        int left = budget.available(now);
         assertThat(budget.allows(now)).isEqualTo(left >= 1);
         if (left >= 1) {
-          budget.pay(now);
+          budget.spend(now);
           repeats.add(now);
           bucket--;
           assertThat(bucket).as("paid from what served flows filled").isGreaterThan(-1e-6);
         }
       }
-      long from = now - RetryBudget.SPAN;
+      long from = now - RetryBudget.WINDOW_MICROS;
       requests.removeIf(at -> at <= from);
       repeats.removeIf(at -> at <= from);
       if (!repeats.isEmpty() && repeats.peekLast() == now) {
         assertThat(repeats.size())
-            .isLessThanOrEqualTo((int) Math.max(3, RetryBudget.SHARE * requests.size()));
+            .isLessThanOrEqualTo((int) Math.max(3, RetryBudget.MAX_REPEAT_SHARE * requests.size()));
       }
     }
-    assertThat(budget.left(now + 20 * SECOND)).as("an outage's end is noticed").isPositive();
+    assertThat(budget.available(now + 20 * SECOND)).as("an outage's end is noticed").isPositive();
   }
 
   private record Waiting(int id, String tenant, double worth, long since) {}
@@ -149,9 +149,9 @@
     TenantShares shares = new TenantShares();
     shares.configure(1, 0.1);
     for (int t = 0; t < 4; t++) {
-      shares.tenant("t" + t, t + 1, t == 3 ? 4 : 0);
+      shares.configureTenant("t" + t, t + 1, t == 3 ? 4 : 0);
     }
-    Collections.nCopies(6, "t3").forEach(shares::opened);
+    Collections.nCopies(6, "t3").forEach(shares::connectionOpened);
     WaitingRoom<Waiting> room = new WaitingRoom<>(40, shares);
     Map<Integer, WaitingRoom<Waiting>.Ticket> tickets = new HashMap<>();
     List<Waiting> waiting = new ArrayList<>();
@@ -164,7 +164,7 @@
       if (steps[i] < 4) {
         String tenant = "t" + steps[i + 1] % 4;
         Waiting next = new Waiting(i, tenant, steps[i + 1] < 4 ? 1 : 0.3, now);
-        Waiting out = room.toTurnAway(next, tenant, next.worth());
+        Waiting out = room.chooseToReject(next, tenant, next.worth());
         assertThat(out == null).isEqualTo(waiting.size() < 40);
         if (out != null) {
           for (Waiting other : waiting) {
@@ -182,7 +182,8 @@
         }
       } else if (steps[i] < 8) {
         Waiting[] taken = new Waiting[1];
-        boolean aged = exits % WaitingRoom.AGED == WaitingRoom.AGED - 1;
+        boolean aged =
+            exits % WaitingRoom.OLDEST_FIRST_INTERVAL == WaitingRoom.OLDEST_FIRST_INTERVAL - 1;
         boolean any = room.offer(w -> (taken[0] = w) != null, 8, now);
         assertThat(any).isEqualTo(!waiting.isEmpty());
         if (any) {
@@ -191,7 +192,7 @@
           waiting.remove(gone);
           tickets.remove(gone.id());
           for (Waiting other : waiting) {
-            boolean over = shares.over(other.tenant());
+            boolean over = shares.isOverShare(other.tenant());
             boolean sameKind =
                 other.tenant().equals(gone.tenant()) && other.worth() == gone.worth();
             assertThat(sameKind && other.id() < gone.id()).as("overtaken by its like").isFalse();
@@ -202,7 +203,7 @@
             }
             if (!over) {
               assertThat(passed.merge(other.id(), 1, Integer::sum))
-                  .isLessThanOrEqualTo(WaitingRoom.AGED * 41);
+                  .isLessThanOrEqualTo(WaitingRoom.OLDEST_FIRST_INTERVAL * 41);
             }
           }
         }
@@ -217,15 +218,15 @@
   }
 
   private static double value(TenantShares shares, Waiting w) {
-    return shares.over(w.tenant()) ? 0.1 * w.worth() : w.worth();
+    return shares.isOverShare(w.tenant()) ? 0.1 * w.worth() : w.worth();
   }
 
   /** Among equals each tenant is let out in the measure of its share, whoever asks for more. */
   @Example
   void tenantsLeaveInTheMeasureOfTheirShares() {
     TenantShares shares = new TenantShares();
-    shares.tenant("small", 1, 0);
-    shares.tenant("large", 3, 0);
+    shares.configureTenant("small", 1, 0);
+    shares.configureTenant("large", 3, 0);
     WaitingRoom<String> room = new WaitingRoom<>(600, shares);
     for (int i = 0; i < 600; i++) {
       String tenant = i < 450 ? "small" : "large";
@@ -241,17 +242,17 @@
     }
     // One in eight goes by its waiting time: those are the small one's, which came first.
     assertThat(large).isBetween(95, 120);
-    assertThat(room.wait("small", 1, now))
+    assertThat(room.expectedWait("small", 1, now))
         .as("440 ahead, 50 a second")
         .isBetween(7 * SECOND, 13 * SECOND);
-    assertThat(room.wait("small", 2, now)).as("nobody is worth as much").isZero();
+    assertThat(room.expectedWait("small", 2, now)).as("nobody is worth as much").isZero();
   }
 
   /** A tenant is what a client's line says: made-up names must buy neither turns nor looks. */
   @Example
   void tenantsThatTheSettingsDoNotNameShareOneQueue() {
     TenantShares shares = new TenantShares();
-    shares.tenant("named", 1, 0);
+    shares.configureTenant("named", 1, 0);
     WaitingRoom<String> room = new WaitingRoom<>(2_000, shares);
     for (int i = 0; i < 2_000; i++) {
       String tenant = i % 2 == 0 ? "named" : "made-up-" + i;
@@ -274,12 +275,12 @@
   /** Against a plain look at all servers, whatever changes at one of them. */
   @Property(seed = "6", tries = 100)
   void whereThereIsSurelyNoRoomThereIsNone(@ForAll @IntRange(max = 1 << 20) int s) {
-    Limits<String> limits = new Limits<>(0);
+    NodeLimits<String> limits = new NodeLimits<>(0);
     List<ServerLimits> servers = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      servers.add(limits.join("s" + i));
-      limits.ready(servers.get(i), true);
-      servers.get(i).reported(0, 0.8, 0);
+      servers.add(limits.newServer("s" + i));
+      limits.setReady(servers.get(i), true);
+      servers.get(i).recordReport(0, 0.8, 0);
     }
     int[] out = new int[20];
     int sure = 0;
@@ -287,25 +288,26 @@
     for (int i = 0; i < steps.length; i += 3) {
       long now = i * MS;
       ServerLimits server = servers.get(steps[i + 1]);
-      boolean room = server.open(now) && server.room(now, 1);
+      boolean room = server.isOpen(now) && server.hasCapacity(now, 1);
       if (steps[i] == 0) {
-        server.left(now, 0.02 * steps[i + 2], null);
+        server.connectionRemoved(now, 0.02 * steps[i + 2], null);
       } else if (steps[i] == 1) {
-        server.reported(now, 0.62 + 0.02 * steps[i + 2], i);
+        server.recordReport(now, 0.62 + 0.02 * steps[i + 2], i);
       } else if (steps[i] == 2 && out[steps[i + 1]] > 0) {
         out[steps[i + 1]]--;
-        limits.ended(now, server, steps[i + 2] < 4 ? Ending.BROKE : Ending.REFUSED);
+        limits.setupEnded(
+            now, server, steps[i + 2] < 4 ? SetupOutcome.BROKE : SetupOutcome.REFUSED);
       } else if (steps[i] < 20 && room) {
         out[steps[i + 1]]++;
-        limits.sent(now, server, false);
-        limits.joined(now, server, 1, null, false);
+        limits.setupSent(now, server, false);
+        limits.connectionAdded(now, server, 1, null, false);
       } else if (steps[i] >= 20) {
         double value = steps[i + 2] % 3 == 0 ? 1 : 0.1 * steps[i + 2];
-        if (limits.noRoom.surely(now, value)) {
+        if (limits.noCapacityCache.isKnownFull(now, value)) {
           sure++;
-          assertThat(servers).noneMatch(x -> x.open(now) && x.room(now, value));
-        } else if (servers.stream().noneMatch(x -> x.open(now) && x.room(now, value))) {
-          limits.noRoom.found(value);
+          assertThat(servers).noneMatch(x -> x.isOpen(now) && x.hasCapacity(now, value));
+        } else if (servers.stream().noneMatch(x -> x.isOpen(now) && x.hasCapacity(now, value))) {
+          limits.noCapacityCache.recordNoCapacity(value);
         }
       }
     }
@@ -315,39 +317,43 @@
   @Property(seed = "4", tries = 200)
   void neverMoreThanTheirShareRestsAndEachIsTriedAgain(
       @ForAll @IntRange(min = 1, max = 12) int servers, @ForAll @IntRange(max = 1 << 20) int s) {
-    Outliers outliers = new Outliers();
-    outliers.fleet(servers);
-    Outliers.Record[] records = new Outliers.Record[servers];
-    Arrays.setAll(records, i -> outliers.join());
-    Arrays.stream(records).forEach(r -> r.listed(true));
-    int most = servers < 2 ? 0 : Math.max(1, (int) (Outliers.SHARE * servers));
+    OutlierDetector outliers = new OutlierDetector();
+    outliers.setServerCount(servers);
+    OutlierDetector.Record[] records = new OutlierDetector.Record[servers];
+    Arrays.setAll(records, i -> outliers.newRecord());
+    Arrays.stream(records).forEach(r -> r.setListed(true));
+    int most = servers < 2 ? 0 : Math.max(1, (int) (OutlierDetector.MAX_EJECTED_SHARE * servers));
     long now = 0;
     int[] steps = steps(s, 500, 9, servers, 300);
     for (int i = 0; i < steps.length; i += 3) {
       now += steps[i + 2] * MS;
-      Outliers.Record record = records[steps[i + 1]];
+      OutlierDetector.Record record = records[steps[i + 1]];
       switch (steps[i]) {
-        case 0 -> record.succeeded();
-        case 1 -> record.probed(now);
-        case 2 -> record.trialVoid();
-        case 3 -> record.end();
+        case 0 -> record.recordSuccess();
+        case 1 -> record.recordProbeAnswer(now);
+        case 2 -> record.cancelTrial();
+        case 3 -> record.reset();
         case 4, 5 -> {
-          if (record.mayTry(now)) {
-            record.sent(now);
-            assertThat(record.resting() && record.mayTry(now)).as("a single trial").isFalse();
+          if (record.mayReceive(now)) {
+            record.recordSent(now);
+            assertThat(record.isEjected() && record.mayReceive(now)).as("a single trial").isFalse();
           }
         }
         default -> {
-          long rest = record.failed(now, steps[i] % 3 + 1);
-          assertThat(rest == 0 || rest >= Outliers.FIRST && rest <= Outliers.LONGEST).isTrue();
+          long rest = record.recordFailure(now, steps[i] % 3 + 1);
+          assertThat(
+                  rest == 0
+                      || rest >= OutlierDetector.MIN_EJECTION_MICROS
+                          && rest <= OutlierDetector.MAX_EJECTION_MICROS)
+              .isTrue();
         }
       }
-      assertThat(outliers.atRest())
-          .isEqualTo((int) Arrays.stream(records).filter(r -> r.resting()).count())
+      assertThat(outliers.ejectedCount())
+          .isEqualTo((int) Arrays.stream(records).filter(r -> r.isEjected()).count())
           .isLessThanOrEqualTo(most);
     }
-    long later = now + Outliers.LONGEST + 5 * SECOND;
-    assertThat(records).allMatch(r -> r.mayTry(later));
+    long later = now + OutlierDetector.MAX_EJECTION_MICROS + 5 * SECOND;
+    assertThat(records).allMatch(r -> r.mayReceive(later));
   }
 
   @Property(seed = "5", tries = 100)
@@ -365,12 +371,14 @@
         open.add(life);
       }
       double standing = open.stream().mapToInt(l -> l).sum();
-      assertThat(placed.sum()).as("no report yet").isEqualTo(standing);
+      assertThat(placed.total()).as("no report yet").isEqualTo(standing);
     }
-    placed.reported(now + 10 * MS, 0.5, 0);
+    placed.recordReport(now + 10 * MS, 0.5, 0);
     now += 6 * SECOND + 10 * MS;
-    placed.reported(now, 0.5, 0);
-    assertThat(placed.sum()).as("even a report that does not change settles what is old").isZero();
+    placed.recordReport(now, 0.5, 0);
+    assertThat(placed.total())
+        .as("even a report that does not change settles what is old")
+        .isZero();
   }
 
   /**
@@ -378,11 +386,11 @@
    */
   @Example
   void aNodeThatHasStartedBeginsAtAPaceThatGrows() {
-    StartPace pace = new StartPace(0);
+    StartupPace pace = new StartupPace(0);
     int[] sent = new int[4];
     for (long now = 0; now < 4 * SECOND; now += 5 * MS) {
-      for (int i = 0; i < 20 && pace.free(now, 4); i++) {
-        pace.take();
+      for (int i = 0; i < 20 && pace.mayPlace(now, 4); i++) {
+        pace.recordPlacement();
         sent[(int) (now / SECOND)]++;
       }
     }
@@ -395,18 +403,18 @@
   /** What stands is what no report shows: connections that have ended are held against nobody. */
   @Example
   void steadyChurnIsNotHeldByTheStartsPace() {
-    Limits<String> limits = new Limits<>(0);
-    ServerLimits server = limits.join("s");
-    limits.ready(server, true);
+    NodeLimits<String> limits = new NodeLimits<>(0);
+    ServerLimits server = limits.newServer("s");
+    limits.setReady(server, true);
     for (long now = 0; now < SECOND; now += MS) {
-      assertThat(limits.open(now)).isTrue();
-      limits.sent(now, server, false);
-      limits.answered(now, server, MS);
-      limits.gone(now, "key", true);
+      assertThat(limits.canSetUp(now)).isTrue();
+      limits.setupSent(now, server, false);
+      limits.setupAnswered(now, server, MS);
+      limits.connectionEnded(now, "key", true);
     }
     int sent = 0;
-    for (; limits.open(SECOND); sent++) {
-      limits.sent(SECOND, server, false);
+    for (; limits.canSetUp(SECOND); sent++) {
+      limits.setupSent(SECOND, server, false);
     }
     assertThat(sent).as("those that stand are held").isBetween(1, 4);
   }
@@ -414,19 +422,19 @@
   /** A predecessor's connections are told before any report: moved, they left no room behind. */
   @Example
   void whatStoodBeforeAnythingWasMeasuredLeavesRoomWhenItEnds() {
-    Limits<String> limits = new Limits<>(0);
-    ServerLimits server = limits.join("s");
+    NodeLimits<String> limits = new NodeLimits<>(0);
+    ServerLimits server = limits.newServer("s");
     server.started(false, 4);
-    limits.ready(server, true);
+    limits.setReady(server, true);
     double[] added = new double[10];
     for (int i = 0; i < added.length; i++) {
-      added[i] = limits.joined(0, server, 1, "g" + i, true);
+      added[i] = limits.connectionAdded(0, server, 1, "g" + i, true);
       assertThat(added[i]).as("nothing is known yet").isNaN();
     }
     limits.measure(SECOND, 0.7, added.length, 1);
-    server.reported(SECOND, 0.7, 0);
+    server.recordReport(SECOND, 0.7, 0);
     for (int i = 0; i < added.length; i++) {
-      limits.left(2 * SECOND, server, added[i], "g" + i);
+      limits.connectionRemoved(2 * SECOND, server, added[i], "g" + i);
     }
     assertThat(server.load(2 * SECOND)).isLessThan(0.3);
   }
@@ -435,24 +443,26 @@
   @Example
   void whatManyOtherNodesPlaceMeanwhileIsSpreadOverAllServers() {
     for (int nodes : new int[] {4, 14}) {
-      Limits<String> limits = new Limits<>(0);
+      NodeLimits<String> limits = new NodeLimits<>(0);
       List<ServerLimits> servers = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
-        ServerLimits server = limits.join("s" + i);
+        ServerLimits server = limits.newServer("s" + i);
         server.started(false, 4);
-        limits.ready(server, true);
-        server.reported(0, 0.4, 0);
+        limits.setReady(server, true);
+        server.recordReport(0, 0.4, 0);
         servers.add(server);
       }
       limits.measure(0, 0.4, 160 / nodes, nodes);
-      double one = limits.joined(MS, servers.get(0), 1, null, false) / Math.min(4, nodes);
-      double added = servers.stream().mapToDouble(ServerLimits::added).sum();
+      double one = limits.connectionAdded(MS, servers.get(0), 1, null, false) / Math.min(4, nodes);
+      double added = servers.stream().mapToDouble(ServerLimits::unreportedLoad).sum();
       assertThat(added / one).as("all that the nodes add").isCloseTo(nodes, within(1e-6));
-      assertThat(servers.get(0).added() / one).as("of it here").isLessThan(5.5);
-      assertThat(servers.get(1).added() > 0).isEqualTo(nodes > 4);
+      assertThat(servers.get(0).unreportedLoad() / one).as("of it here").isLessThan(5.5);
+      assertThat(servers.get(1).unreportedLoad() > 0).isEqualTo(nodes > 4);
       for (ServerLimits server : servers) {
-        server.reported(4 * SECOND, 0.41, 0);
-        assertThat(server.added()).as("a later report shows it").isCloseTo(0, within(1e-9));
+        server.recordReport(4 * SECOND, 0.41, 0);
+        assertThat(server.unreportedLoad())
+            .as("a later report shows it")
+            .isCloseTo(0, within(1e-9));
       }
     }
   }
@@ -460,16 +470,16 @@
   /** One success in four made such a server well again each time: it was never let rest. */
   @Example
   void aServerThatFailsMostAttemptsRestsThoughSomeSucceed() {
-    Outliers outliers = new Outliers();
-    Outliers.Record record = outliers.join();
-    record.listed(true);
-    outliers.fleet(8);
+    OutlierDetector outliers = new OutlierDetector();
+    OutlierDetector.Record record = outliers.newRecord();
+    record.setListed(true);
+    outliers.setServerCount(8);
     int tries = 0;
-    for (long now = SECOND; !record.resting() && tries < 40; now += 100 * MS) {
+    for (long now = SECOND; !record.isEjected() && tries < 40; now += 100 * MS) {
       if (tries++ % 3 == 2) {
-        record.succeeded();
+        record.recordSuccess();
       } else {
-        record.failed(now, 3);
+        record.recordFailure(now, 3);
       }
     }
     assertThat(tries).as("attempts until it rests").isLessThan(10);
@@ -478,17 +488,18 @@
   /** Reports count load against what a cold server can do by now, and so does what is added. */
   @Example
   void whatIsAddedToAColdServerCountsAgainstWhatItHasByNow() {
-    Limits<String> limits = new Limits<>(0);
-    ServerLimits warm = limits.join("warm");
-    ServerLimits cold = limits.join("cold");
+    NodeLimits<String> limits = new NodeLimits<>(0);
+    ServerLimits warm = limits.newServer("warm");
+    ServerLimits cold = limits.newServer("cold");
     for (ServerLimits server : List.of(warm, cold)) {
       server.started(server == cold, 4);
-      limits.ready(server, true);
+      limits.setReady(server, true);
     }
-    cold.warm(0.2);
+    cold.setWarmth(0.2);
     limits.measure(0, 0.4, 40, 1);
-    double usual = limits.joined(MS, warm, 1, "group", false);
-    assertThat(limits.joined(MS, cold, 1, "group", false)).isCloseTo(5 * usual, within(1e-9));
+    double usual = limits.connectionAdded(MS, warm, 1, "group", false);
+    assertThat(limits.connectionAdded(MS, cold, 1, "group", false))
+        .isCloseTo(5 * usual, within(1e-9));
   }
 
   /** Nodes that each hold a group where chance put it agree on where its next connections go. */
@@ -497,18 +508,18 @@
     for (int nodes : new int[] {1, 14}) {
       Set<Integer> liked = new HashSet<>();
       for (int node = 0; node < 14; node++) {
-        Limits<String> limits = new Limits<>(0);
+        NodeLimits<String> limits = new NodeLimits<>(0);
         List<ServerLimits> servers = new ArrayList<>();
         for (int i = 0; i < 7; i++) {
-          servers.add(limits.join("s" + i));
-          limits.ready(servers.get(i), true);
+          servers.add(limits.newServer("s" + i));
+          limits.setReady(servers.get(i), true);
         }
         limits.measure(0, 0.4, 10, nodes);
-        limits.joined(0, servers.get(node % 7), 1, "group", true);
+        limits.connectionAdded(0, servers.get(node % 7), 1, "group", true);
         liked.add(
             IntStream.range(0, 7)
                 .boxed()
-                .max(Comparator.comparingDouble(i -> limits.liking(servers.get(i), "group")))
+                .max(Comparator.comparingDouble(i -> limits.affinity(servers.get(i), "group")))
                 .orElseThrow());
       }
       assertThat(liked.size()).isBetween(nodes == 1 ? 7 : 1, nodes == 1 ? 7 : 4);
@@ -518,20 +529,21 @@
   /** Units of sessions' loads may be others than those of sizes; reports know of neither. */
   @Example
   void aServersTurnoverIsNotLargerThanReportsShow() {
-    Limits<String> limits = new Limits<>(0);
-    ServerLimits server = limits.join("s");
+    NodeLimits<String> limits = new NodeLimits<>(0);
+    ServerLimits server = limits.newServer("s");
     server.started(false, 40);
-    limits.ready(server, true);
+    limits.setReady(server, true);
     for (int i = 0; i < 200; i++) {
-      limits.estimate.told("preview", 1e-6);
+      limits.loadEstimate.recordLoad("preview", 1e-6);
     }
     limits.measure(0, 0.5, 20, 1);
-    assertThat(limits.turnover(server)).isCloseTo(40 / limits.lives.mean(), within(0.1));
+    assertThat(limits.turnoverPerSecond(server))
+        .isCloseTo(40 / limits.lifetimes.meanSeconds(), within(0.1));
   }
 
   @Example
   void whatWasPlacedBeforeATimeIsKnownFromTheBeginningOn() {
-    Elsewhere elsewhere = new Elsewhere();
+    PeerPlacements elsewhere = new PeerPlacements();
     assertThat(elsewhere.totalAt(0)).isZero();
     for (int i = 1; i <= 600; i++) {
       elsewhere.add(i * MS, 1);
@@ -543,18 +555,18 @@
 
   @Example
   void livesAreMeasuredByTheTimeThatConnectionsStood() {
-    Lives lives = new Lives();
-    double usual = lives.mean();
+    ConnectionLifetimes lives = new ConnectionLifetimes();
+    double usual = lives.meanSeconds();
     for (int second = 0; second <= 300; second++) {
-      lives.count(second * SECOND, 20);
-      lives.ended(1);
+      lives.measure(second * SECOND, 20);
+      lives.recordEnded(1);
       if (second % 2 == 0) {
         // One that its server sent away: it had not ended by itself.
-        lives.ended(1);
-        lives.ended(-1);
+        lives.recordEnded(1);
+        lives.recordEnded(-1);
       }
     }
     assertThat(usual).isEqualTo(30);
-    assertThat(lives.mean()).as("20 stand, one ends each second").isBetween(19.0, 21.0);
+    assertThat(lives.meanSeconds()).as("20 stand, one ends each second").isBetween(19.0, 21.0);
   }
 }
