--- a/src/main/java/ashspar/ActiveRequest.java
+++ b/src/main/java/ashspar/ActiveRequest.java
@@ -8,27 +8,33 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** A request or connection this node holds. */
+/**
+ * A request that has no final answer yet, or the open connection that it became. Times are
+ * microseconds on the module's clock.
+ */
 final class ActiveRequest {
   final Request request;
   final RequestClass requestClass;
-  final int maxAttempts; // of the settings that it came under
+  final int maxAttempts; // from the settings in force when the request arrived
   long deadline;
   int attempts;
 
-  /** The server of the attempt that is out, or that holds the connection. */
+  /** The server of the attempt in progress or of the open connection, or null. */
   Server server;
 
   boolean established;
   int pendingProbes;
 
-  /** Its place in the waiting room, or null. */
+  /** The position in the waiting room, or null. */
   WaitingRoom<ActiveRequest>.Ticket ticket;
 
-  /** What it was taken to add to its server's load. */
+  /** The load that the request is assumed to add to its server. */
   double addedLoad;
 
-  /** Where and when the first attempt that may have run was sent. */
+  /**
+   * The server of the first attempt that may have run, and the time it was sent; null if there is
+   * none.
+   */
   Server mayHaveRunServer;
 
   long mayHaveRunSentAt;
@@ -36,35 +42,42 @@
   double load;
   final Set<Server> triedServers = new LinkedHashSet<>(2);
 
-  ActiveRequest(Request request, RequestClass type, int mostAttempts, long deadline) {
+  ActiveRequest(Request request, RequestClass requestClass, int maxAttempts, long deadline) {
     this.request = request;
-    this.requestClass = type;
-    this.maxAttempts = mostAttempts;
+    this.requestClass = requestClass;
+    this.maxAttempts = maxAttempts;
     this.deadline = deadline;
     this.load = request.loadHint();
   }
 
-  /** Rule 2: until when it may be sent; after an attempt that may have run, while it is dropped. */
+  /**
+   * Returns the time until which the request may be sent. After an attempt that may have run, a
+   * request whose repeats are recognized may only be sent within the deduplication window, and a
+   * single-shot request not at all.
+   */
   long sendDeadline() {
-    long dropped =
+    long repeatDeadline =
         requestClass.repeatability() == Repeatability.GUARDED
             ? mayHaveRunSentAt + requestClass.deduplicationWindowMicros()
             : mayHaveRunSentAt;
     return mayHaveRunServer == null || requestClass.repeatability() == Repeatability.FREE
         ? deadline
-        : Math.min(deadline, dropped);
+        : Math.min(deadline, repeatDeadline);
   }
 
-  /** Rule 2: after an attempt that may have run, only where its repeat is dropped, and in time. */
+  /**
+   * Returns whether the request may be sent to the server without the risk of running twice: no
+   * attempt may have run before, or the server still drops the duplicate.
+   */
   boolean isRepeatSafeAt(Server s, long now) {
     if (mayHaveRunServer == null || requestClass.repeatability() == Repeatability.FREE) {
       return true;
     }
-    boolean near =
+    boolean isInScope =
         requestClass.deduplicationScope() == DeduplicationScope.ALL
             || (s.zone != null && s.zone.equals(mayHaveRunServer.zone));
     return now < sendDeadline()
-        && near
+        && isInScope
         && (requestClass.deduplicationScope() != DeduplicationScope.CELL
             || s.cell == mayHaveRunServer.cell);
   }
--- a/src/main/java/ashspar/Balancer.java
+++ b/src/main/java/ashspar/Balancer.java
@@ -6,120 +6,163 @@
 import java.util.Set;
 
 /**
- * The decisions of one node: its whole interface, types included.
+ * The decision module of one node. This interface, with its nested types, is everything that an
+ * embedder needs.
  *
- * <p>The embedding node calls one method per event and carries out what the balancer asks for
- * through {@link Actions}. Time comes in with each event, in microseconds of a clock that never
- * goes back; randomness comes from the seed given at the start. A balancer keeps no thread, no
- * clock and no static state, so that the same events always give the same actions.
+ * <p>The embedding node calls one method per event and carries out the actions that the balancer
+ * requests through {@link Actions}. Each event carries the current time {@code now}, in
+ * microseconds of a monotonic clock; all randomness comes from the seed given at construction. A
+ * balancer has no threads, no clock and no static state, so the same sequence of events always
+ * produces the same actions.
  *
- * <p>A restart of the node is a new balancer. Every method must be called from one thread at a
- * time.
+ * <p>A balancer does not survive a restart of its node: the new process creates a new one.
+ * Instances are not thread-safe; calls must be serialized by the node.
  */
 public interface Balancer {
 
-  /** What discovery knows of the servers. Late by nature: it says that a process runs, no more. */
+  /**
+   * Updates the servers from a list of discovery. Discovery lags behind, and a listed server is
+   * only known to have a running process, not to be healthy.
+   */
   void updateServers(long now, ListKind kind, List<ServerEntry> entries);
 
-  /** A client's connection request has reached this node, which now owes it one final answer. */
+  /**
+   * Receives a client's connection request. From now on the node owes the client exactly one final
+   * answer.
+   */
   void requestReceived(long now, Request request);
 
-  /** A connection that was already routed through this node when it started. */
+  /**
+   * Registers a connection that was established before this balancer was created and that is still
+   * open.
+   */
   void connectionResumed(long now, Request request, String server);
 
-  /** The connection stands. From here on no deadline runs. */
+  /**
+   * Reports that a server has accepted the attempt, so that the connection is established. The
+   * request's deadline no longer applies.
+   */
   void connectionAccepted(long now, long id, int attempt, String server, long elapsed);
 
-  /** News of an open connection, or of the server that holds it. */
+  /** Reports a measurement of an open connection or of the server that holds it. */
   void connectionMeasured(
       long now, long id, int attempt, String server, MeasurementKind kind, double value);
 
-  /** How an attempt ended. Each attempt has exactly one outcome. */
+  /** Reports how an attempt ended. Each attempt has exactly one outcome. */
   void attemptEnded(long now, Outcome outcome);
 
-  /** The client has left, or its request is overdue: nothing more is owed. */
+  /**
+   * Reports that the client has disconnected or that its deadline has passed. No answer is owed any
+   * more.
+   */
   void requestWithdrawn(long now, long id);
 
-  /** The node can hold a request no longer: it is answered now, as what may have run allows. */
+  /**
+   * Requires a final answer at once, because the node cannot keep the request any longer. The
+   * answer depends on whether an attempt may already have run.
+   */
   void answerNow(long now, long id);
 
-  /** A timer set through {@link Actions#startTimer} is due. */
+  /** Reports that a timer started with {@link Actions#startTimer} has expired. */
   void timerExpired(long now, long token);
 
-  /** A probe's answer, or its failure; {@code report} is empty where none came with it. */
+  /**
+   * Reports the outcome of a probe. {@code report} is the load report of the answer, empty if there
+   * is none.
+   */
   void probeCompleted(long now, String server, Status status, long elapsed, List<Double> report);
 
-  /** The settings have changed; the zone, the classes' names and how lists come are as before. */
+  /**
+   * Replaces the settings. The zone, the names of the classes and the discovery mode must not
+   * change.
+   */
   void updateSettings(long now, Settings settings);
 
-  /** How much of the fleet's budgets this node may spend; until it is told, by the settings. */
+  /**
+   * Sets this node's share of the budgets of the fleet. Until the first call, the rank and the
+   * number of nodes from the settings apply.
+   */
   default void updateBudgetShare(long now, BudgetShare share) {}
 
-  /** Which servers this node asks and places at first; null for all, as until it is told. */
+  /**
+   * Assigns the subset of servers that this node probes regularly and prefers for placements; null,
+   * the initial state, means all servers.
+   */
   default void assignServers(long now, Set<String> servers) {}
 
-  /** What the node holds itself to, as plain values. */
+  /** Returns the current values of the limits that this node applies. */
   LimitsSnapshot limits();
 
-  /** A message of another node; anybody's bytes, so nothing in them is trusted. */
+  /**
+   * Receives a message from another node. Its content is not authenticated and must not be trusted.
+   */
   default void peerMessageReceived(long now, int from, byte[] message) {}
 
-  /** What a balancer can have done. Actions take effect at once, in the order they are called. */
+  /**
+   * The actions that a balancer can request. They take effect immediately, in the order of the
+   * calls.
+   */
   interface Actions {
-    /** Starts an attempt, given up at {@code abandonAt}; 0 leaves that to the client's deadline. */
+    /**
+     * Sends the request to a server. The attempt times out at {@code abandonAt}; 0 means that only
+     * the client's deadline applies.
+     */
     void send(long id, String server, long abandonAt);
 
-    /** Final answer: not served, and trying again is harmless. */
+    /** Gives the final answer that the request was not served and may safely be retried. */
     void refuse(long id, long retryAfter);
 
-    /** Final answer: not served, and nothing is promised. */
+    /**
+     * Gives the final answer that the request was not served, without stating whether it may have
+     * run.
+     */
     void fail(long id);
 
-    /** No longer waits for an attempt. */
+    /** Stops waiting for the attempt. */
     void cancel(long id, int attempt);
 
-    /** Ends an open connection politely; its client comes again. */
+    /** Asks the client of an open connection to reconnect, and closes the connection. */
     void move(long id);
 
-    /** Asks for {@link Balancer#timerExpired} after {@code delay}. */
+    /** Starts a timer that calls {@link Balancer#timerExpired} after {@code delay} microseconds. */
     void startTimer(long delay, long token);
 
-    /** Asks a server for its load. */
+    /** Requests a load report from a server. */
     void probe(String server);
 
-    /** Asks discovery for changes from now on, or withdraws that. */
+    /** Starts or cancels the subscription to changes from discovery. */
     void watchDiscovery(boolean on);
 
-    /** Asks discovery for the whole list once. */
+    /** Requests the complete server list from discovery once. */
     void fetchServers();
 
-    /** Sends at most 256 bytes to one node, or to all others when {@code peer} is -1. */
+    /** Sends at most 256 bytes to one node, or to all other nodes if {@code peer} is -1. */
     void sendToPeer(int peer, byte[] message);
 
-    /** A line for the operators. */
+    /** Writes a line to the operators' log. */
     void log(String text);
   }
 
-  /** Kinds of list. */
+  /** The kinds of server lists. */
   enum ListKind {
-    /** Only what has changed. */
+    /** Contains only servers that have changed. */
     DELTA,
-    /** Everything: a server that is missing has been removed. */
+    /** Contains all servers; a server that is missing has been removed. */
     FULL,
-    /** Everything this node last knew, perhaps long ago. */
+    /** Contains all servers known to this node earlier, possibly long ago. */
     CACHED,
-    /** A call has failed; the list stands as it was. */
+    /** The call to discovery failed; the previous list stays valid. */
     FAILED
   }
 
-  /** What discovery says of a server. */
+  /** The state of a server as reported by discovery. */
   enum State {
     GONE,
     READY,
     DRAINING
   }
 
-  /** How an attempt or a probe has ended. */
+  /** The outcomes of an attempt or a probe. */
   enum Status {
     ERROR(false, SetupOutcome.ERROR),
     OK(false, SetupOutcome.CALLED_OFF),
@@ -130,10 +173,10 @@
     CANCELLED(false, SetupOutcome.CALLED_OFF),
     MOOT(true, SetupOutcome.UNREACHED);
 
-    /** True where this ending proves that the attempt never ran. */
+    /** Whether this status proves that the server never ran the attempt. */
     public final boolean neverRan;
 
-    /** What it is to the limits. */
+    /** How the limits classify this status. */
     final SetupOutcome setupOutcome;
 
     Status(boolean neverRan, SetupOutcome ending) {
@@ -142,29 +185,35 @@
     }
   }
 
-  /** Whether a request may be repeated: anytime, among servers that drop repeats, or never. */
+  /**
+   * Whether a request may be sent again after an attempt that may have run: always ({@code FREE}),
+   * only to servers that drop duplicates ({@code GUARDED}), or never ({@code SINGLE_SHOT}).
+   */
   enum Repeatability {
     FREE,
     GUARDED,
     SINGLE_SHOT
   }
 
-  /** Which servers share the memory that drops a guarded request's repeats. */
+  /**
+   * The set of servers that share the record by which duplicates of a {@code GUARDED} request are
+   * dropped.
+   */
   enum DeduplicationScope {
     ALL,
     ZONE,
     CELL
   }
 
-  /** What a note tells. */
+  /** The quantities that {@link #connectionMeasured} reports. */
   enum MeasurementKind {
-    /** The connection's load, in microseconds of work a second. */
+    /** The load of the connection, in microseconds of CPU time per second. */
     LOAD,
-    /** Milliseconds that a message takes at the server. */
+    /** The time that the server takes to answer a message, in milliseconds. */
     DELAY
   }
 
-  /** Values a load report may hold. */
+  /** The values that a load report may contain. */
   enum Metric {
     CONNECTIONS,
     QUEUE,
@@ -172,24 +221,27 @@
     LATENCY_MS,
     RATE,
     ERRORS,
-    /** Load asked of the server over what it can do. */
+    /** The load demanded of the server relative to its capacity. */
     LOAD,
-    /** Seconds of work piled up. */
+    /** The accumulated work, in seconds. */
     BACKLOG_S,
-    /** A value this version does not know. */
+    /** A value that this version does not know. */
     OTHER
   }
 
-  /** What the size of a server entry means. */
+  /** The meaning of the size in a server entry. */
   enum SizeMeaning {
     NONE,
     NOMINAL,
     ROUGH,
-    /** Nominal size lowered by what the server holds. */
+    /** The nominal size reduced by the load that the server currently holds. */
     LIVE
   }
 
-  /** A server as discovery lists it; {@code startedAtMicros} is its last start, 0 for long ago. */
+  /**
+   * A server as listed by discovery. {@code startedAtMicros} is the time of its last start, 0 if it
+   * started long ago.
+   */
   record ServerEntry(
       String id,
       String zone,
@@ -205,8 +257,18 @@
   }
 
   /**
-   * A connection request; {@code timeLeftMicros} is the time until this try's deadline, {@code
-   * affinityGroup} what its connection shares work with, or null.
+   * A connection request.
+   *
+   * @param id the id of the request, unique among the active ones
+   * @param clientKey identifies the client when it reconnects, or null
+   * @param affinityGroup the group of connections that share work on a server, or null
+   * @param requestClass the name of one of the configured classes
+   * @param tenant the name of the tenant as the client states it, or null
+   * @param timeLeftMicros the time until the client's deadline
+   * @param loadHint the expected load in microseconds of CPU time per second, 0 if unknown
+   * @param retry whether the client repeats a request that was refused
+   * @param midFlow whether the request continues a connection that this process did not place
+   * @param reconnecting whether the client reconnects after its connection was closed
    */
   record Request(
       long id,
@@ -222,10 +284,10 @@
     public Request {
       require(requestClass != null, "a request needs a class");
       require(timeLeftMicros >= 0, "a request's time left must not be negative");
-      require(loadHint >= 0, "a request's hint must be 0 (none) or more");
+      require(loadHint >= 0, "a request's load hint must not be negative");
     }
 
-    /** A request whose connection shares work with no other. */
+    /** Creates a request whose connection belongs to no affinity group. */
     public Request(
         long id,
         String key,
@@ -240,7 +302,9 @@
     }
   }
 
-  /** An attempt's end; {@code closed} says that the request has its final answer. */
+  /**
+   * The outcome of an attempt. {@code closed} is true if the request already has its final answer.
+   */
   record Outcome(
       long id,
       int attempt,
@@ -256,25 +320,38 @@
   }
 
   /**
-   * A part of each budget that all nodes spend together.
+   * This node's share of each budget that all nodes spend together.
    *
-   * @param fraction of the budget until then, above 0 and at most 1
-   * @param baseFraction the part from then on, as much or less
-   * @param index which of those that share it is, from 0 on, below {@code of}
-   * @param participants how many share
-   * @param untilMicros on the module's clock
+   * @param fraction the share until {@code untilMicros}, above 0 and at most 1
+   * @param baseFraction the share from then on, above 0 and at most {@code fraction}
+   * @param index the index of this node among the participants, from 0
+   * @param participants the number of nodes that share the budgets
+   * @param untilMicros when {@code fraction} expires, on the module's clock
    */
   record BudgetShare(
       double fraction, double baseFraction, int index, int participants, long untilMicros) {
     public BudgetShare {
       require(
           baseFraction > 0 && baseFraction <= fraction && fraction <= 1,
-          "a part is above 0 and at most 1");
-      require(index >= 0 && index < participants, "a turn is below the number of those that share");
+          "the fractions of a share must be above 0, at most 1, and the base at most the whole");
+      require(
+          index >= 0 && index < participants,
+          "the index of a share must be below the number of participants");
     }
   }
 
-  /** A class of requests. */
+  /**
+   * A class of requests.
+   *
+   * @param name the name that requests refer to
+   * @param answerGoalMicros the time within which a request should be answered
+   * @param deadlineMicros the time after which clients of this class give up
+   * @param value the value of serving a request, relative to the other classes
+   * @param repeatability whether a request may be sent again
+   * @param deduplicationScope the servers that share the record of duplicates
+   * @param deduplicationWindowMicros the time for which duplicates are recognized
+   * @param messageDelayGoalMicros the delay above which a server answers messages too late
+   */
   record RequestClass(
       String name,
       long answerGoalMicros,
@@ -286,21 +363,24 @@
       double messageDelayGoalMicros) {
     public RequestClass {
       require(name != null, "a class needs a name");
-      require(value >= 0, "a class's worth must not be negative");
+      require(value >= 0, "a class's value must not be negative");
       require(
           answerGoalMicros >= 0 && deadlineMicros >= 0 && deduplicationWindowMicros >= 0,
           "a class's times must not be negative");
     }
   }
 
-  /** A tenant, its share of the service and what that is in connections (0: not known). */
+  /**
+   * A tenant with its share of the service. {@code quotaPerSecond} and {@code quotaConnections}
+   * express the share in requests per second and in connections; 0 means unknown.
+   */
   record Tenant(String name, double share, double quotaPerSecond, double quotaConnections) {
     public Tenant {
       require(name != null, "a tenant needs a name");
     }
   }
 
-  /** What a node may do. */
+  /** The actions that a node is allowed to take, and their bounds. */
   record Permissions(
       boolean probes,
       boolean peerMessages,
@@ -314,7 +394,18 @@
     }
   }
 
-  /** The figures of the rules; times in microseconds. */
+  /**
+   * The parameters of the safety rules.
+   *
+   * @param answerSlackMicros the time past a request's deadline within which it must be answered
+   * @param askWithinMicros accepted for completeness; not used by this module
+   * @param drainGraceMicros the time after a drain was announced during which attempts are
+   *     tolerated
+   * @param coldCapacity the share of its capacity that a server has when it starts
+   * @param warmUpMicros the time until a server has its full capacity
+   * @param overloadMultiple the multiple of its capacity at which a server fails
+   * @param overloadWindowMicros the time over which that multiple is measured
+   */
   record SafetyRules(
       long answerSlackMicros,
       long askWithinMicros,
@@ -325,17 +416,36 @@
       long overloadWindowMicros) {
     public SafetyRules {
       require(
-          answerSlackMicros >= 0 && drainGraceMicros >= 0, "the rules' times must not be negative");
+          answerSlackMicros >= 0 && drainGraceMicros >= 0,
+          "the times of the safety rules must not be negative");
       require(
-          warmUpMicros >= 0 && overloadWindowMicros >= 0, "the rules' times must not be negative");
+          warmUpMicros >= 0 && overloadWindowMicros >= 0,
+          "the times of the safety rules must not be negative");
     }
   }
 
-  /** What is taken off the result, each per unit of its own. */
+  /** The prices of actions in points of the score, each per unit of its own. */
   record Prices(double crossZone, double waste, double probe, double peer, double moves) {}
 
   /**
-   * All that a node is told at its start; {@code reportsDelay}: measurements of kind DELAY come.
+   * The complete settings of a node.
+   *
+   * @param rank the rank of this node, from 0
+   * @param nodeCount the number of nodes
+   * @param zone the zone of this node
+   * @param zones the names of all zones
+   * @param classes the classes of requests, at least one
+   * @param tenants the tenants with a share of the service
+   * @param permissions the actions that this node may take
+   * @param safetyRules the parameters of the safety rules
+   * @param prices the prices of actions
+   * @param reportFields the fields of a load report, in their order
+   * @param sizeMeaning the meaning of the size in server entries
+   * @param pullsDiscovery whether the node must subscribe to changes of the server list
+   * @param passThrough whether connections pass through the node
+   * @param overShareValue the factor applied to the value of requests of tenants over their share
+   * @param timerResolutionMicros the resolution of the node's timers
+   * @param reportsDelay whether measurements of kind {@code DELAY} are reported
    */
   record Settings(
       int rank,
@@ -355,12 +465,12 @@
       long timerResolutionMicros,
       boolean reportsDelay) {
     public Settings {
-      require(nodeCount >= 1, "there is at least one node");
+      require(nodeCount >= 1, "at least one node is needed");
       require(rank >= 0, "a node's rank must not be negative");
-      require(!classes.isEmpty(), "there is at least one class");
+      require(!classes.isEmpty(), "at least one class is needed");
       require(
           permissions != null && safetyRules != null && prices != null,
-          "limits, rules, prices needed");
+          "permissions, safety rules and prices must be given");
       zones = List.copyOf(zones);
       classes = List.copyOf(classes);
       tenants = List.copyOf(tenants);
@@ -368,7 +478,7 @@
     }
   }
 
-  /** Throws where a caller breaks the contract, saying what it is. */
+  /** Throws an {@link IllegalArgumentException} with the violated contract unless {@code holds}. */
   static void require(boolean holds, String contract) {
     if (!holds) {
       throw new IllegalArgumentException(contract);
--- a/src/main/java/ashspar/Node.java
+++ b/src/main/java/ashspar/Node.java
@@ -15,7 +15,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** One node's parts, and what they share: its time, its settings and what it holds. */
+/**
+ * The components of one node and the state that they share: the time, the settings, the servers and
+ * the active requests.
+ */
 final class Node {
   static final long MS = 1_000;
   static final long SECOND = 1_000_000;
@@ -28,7 +31,7 @@
   final Map<String, RequestClass> classes = new HashMap<>();
   final Map<String, Server> servers = new HashMap<>();
 
-  /** The servers that discovery lists as ready, in the order in which they became so. */
+  /** The servers that discovery lists as ready, in the order in which they became ready. */
   final List<Server> readyServers = new ArrayList<>();
 
   final Map<Long, ActiveRequest> requests = new HashMap<>();
@@ -38,11 +41,11 @@
   final Admission admission = new Admission(this);
   final Probing probing = new Probing(this);
   Settings settings;
-  Set<String> subset; // servers that are this node's to ask; null for all
+  Set<String> subset; // ids of the servers assigned to this node; null for all
   long now;
   int openConnections;
 
-  /** Clients' first tries so far. */
+  /** The number of requests so far that are neither retries nor reconnects. */
   double firstRequests;
 
   private final IntervalLimiter logLimiter = new IntervalLimiter(5 * SECOND);
@@ -60,14 +63,15 @@
     settings = changed;
     classes.clear();
     SafetyRules rules = settings.safetyRules();
-    double warm = rules.warmUpMicros() / (double) SECOND;
-    double window = rules.overloadWindowMicros() / (double) SECOND;
-    WarmUp warmUp = new WarmUp(rules.coldCapacity(), warm, rules.overloadMultiple(), window);
+    double warmUpSeconds = rules.warmUpMicros() / (double) SECOND;
+    double windowSeconds = rules.overloadWindowMicros() / (double) SECOND;
+    WarmUp warmUp =
+        new WarmUp(rules.coldCapacity(), warmUpSeconds, rules.overloadMultiple(), windowSeconds);
     limits.budgetDivision.configure(settings.rank(), settings.nodeCount());
     limits.configure(limits.budgetDivision.inverseShare(now), settings.overShareValue(), warmUp);
-    for (RequestClass type : settings.classes()) {
-      classes.put(type.name(), type);
-      limits.requestValues.addClass(type.value());
+    for (RequestClass requestClass : settings.classes()) {
+      classes.put(requestClass.name(), requestClass);
+      limits.requestValues.addClass(requestClass.value());
     }
     for (Tenant tenant : settings.tenants()) {
       limits.tenantShares.configureTenant(tenant.name(), tenant.share(), tenant.quotaConnections());
@@ -75,26 +79,35 @@
     weights.configure();
   }
 
-  /** Whether the sizes of the list tell what servers can do. */
+  /** Returns whether the sizes in the server list state the servers' capacity. */
   boolean hasNominalSizes() {
     return settings.sizeMeaning() == SizeMeaning.NOMINAL
         || settings.sizeMeaning() == SizeMeaning.ROUGH;
   }
 
-  /** A line for the operators, at most one in five seconds: a storm must not fill their logs. */
+  /**
+   * Writes a line to the operators' log, at most one every five seconds, so that a burst of events
+   * does not flood the log.
+   */
   void logRateLimited(String text) {
     if (logLimiter.tryAcquire(now)) {
       actions.log(text);
     }
   }
 
-  /** A request's load against the mean request's, by its hint or else by what its class tells. */
-  double relativeCost(ActiveRequest h) {
-    return limits.requestValues.relativeCost(h.request.loadHint(), h.requestClass.name());
+  /**
+   * Returns the load of a request relative to the mean request, from its hint or else from its
+   * class.
+   */
+  double relativeCost(ActiveRequest active) {
+    return limits.requestValues.relativeCost(active.request.loadHint(), active.requestClass.name());
   }
 
-  /** A request's worth against the worthiest class's; little where its tenant is over its share. */
-  double relativeValue(ActiveRequest h) {
-    return limits.requestValues.relativeValue(h.requestClass.value(), h.request.tenant());
+  /**
+   * Returns the value of a request relative to the most valuable class, reduced if its tenant is
+   * over its share.
+   */
+  double relativeValue(ActiveRequest active) {
+    return limits.requestValues.relativeValue(active.requestClass.value(), active.request.tenant());
   }
 }
--- a/src/main/java/ashspar/Policy.java
+++ b/src/main/java/ashspar/Policy.java
@@ -10,42 +10,47 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * All decisions of a node; the interface it implements, types included, is in Balancer.java.
+ * The decisions of one node. The interface and its nested types are in Balancer.java.
  *
- * <p>The mechanism is the Network Dispatcher's (Goldszmidt and Hunt, "Scaling Internet Services by
- * Dynamic Allocation of Connections", sections 3 and 4): weighted round robin over weights that are
- * recomputed from a weighted load metric index. What is kept, changed and added stands in
- * docs/design.md; every departure says in its comment when it acts.
+ * <p>The mechanism is that of the Network Dispatcher (Goldszmidt and Hunt, "Scaling Internet
+ * Services by Dynamic Allocation of Connections", sections 3 and 4): weighted round robin over
+ * weights that are recomputed from a weighted load metric index. docs/design.md lists what is kept,
+ * changed and added; the code comments state when each deviation applies.
  *
- * <p>Here is the life of a request, told to the parts of the {@link Node}: {@link Weights}
- * computes, {@link WeightedRoundRobin} take turns, {@link Admission} says where there is room,
- * {@link Probing} asks servers, {@link ServerList} keeps their list.
+ * <p>This class handles the lifecycle of requests and delegates to the components of the {@link
+ * Node}: {@link Weights} computes weights, {@link WeightedRoundRobin} orders the servers, {@link
+ * Admission} decides which servers have capacity, {@link Probing} requests load reports, and {@link
+ * ServerList} follows discovery.
  */
 public final class Policy implements Balancer {
   private static final long MS = Node.MS;
   private static final long SECOND = Node.SECOND;
-  private static final long MAX_PROBE_WAIT_MICROS = 60 * MS; // at most: an answer takes a few ms
-  private static final long PROBE_ERROR_PAUSE_MICROS =
-      SECOND; // of a server that answered a probe with an error
-  private static final long RELEASE_INTERVAL_MICROS =
-      25 * MS; // until places that time alone frees are looked for
-  private static final int MAX_OFFERED_QUEUES =
-      8; // most kinds of waiting requests that are tried in one look
-
-  /** Load taken for a server that turns a probe away as full: reports of such are not to be had. */
+  // Upper bound; answers usually take a few milliseconds.
+  private static final long MAX_PROBE_WAIT_MICROS = 60 * MS;
+  // For a server that answered a probe with an error.
+  private static final long PROBE_ERROR_PAUSE_MICROS = SECOND;
+  // Between checks for capacity that only the passing of time frees.
+  private static final long RELEASE_INTERVAL_MICROS = 25 * MS;
+  private static final int MAX_OFFERED_QUEUES = 8; // queues of the waiting room tried per release
+
+  /**
+   * The load assumed for a server that rejects a probe as full, since such a server sends no
+   * report.
+   */
   private static final double OVERLOADED_LOAD = 1.1;
 
   private static final long TOKEN_TICK = 0;
   private static final long TOKEN_WATCH = 1;
   private static final long TOKEN_RELEASE = 2;
-  private static final long TOKEN_REQUEST = 16; // timer tokens from here on name requests
+  // Timer tokens from here on are request ids plus this offset.
+  private static final long TOKEN_REQUEST = 16;
 
   final Node node;
   private final ServerList serverList;
   private long watchRetryDelay = 2 * SECOND;
   private long nextReleaseAt;
 
-  /** Starts a node's balancer; the list of servers must follow. */
+  /** Creates the balancer of a node. The server list must follow through {@link #updateServers}. */
   public Policy(long now, Settings settings, long seed, Actions actions) {
     Balancer.require(settings != null, "settings must be given");
     Balancer.require(actions != null, "actions must be given");
@@ -67,7 +72,7 @@
   @Override
   public void requestReceived(long at, Request request) {
     node.now = at;
-    ActiveRequest h = register(request);
+    ActiveRequest active = register(request);
     boolean first = !request.midFlow() && !request.reconnecting() && !request.retry();
     node.firstRequests += first ? 1 : 0;
     node.limits.requestValues.recordHint(request.loadHint());
@@ -76,65 +81,73 @@
       node.limits.clientReconnected(at, request.clientKey());
     }
     node.limits.probeBudget.earn(node.settings.prices().probe(), request.retry());
-    // Close to the deadline no probe is waited for: a request that kept waiting was never answered.
+    // Close to the deadline, probes are skipped: a request that waited for one was never answered.
     if (request.timeLeftMicros() > MAX_PROBE_WAIT_MICROS && node.settings.permissions().probes()) {
-      node.probing.probeUpcoming(h);
+      node.probing.probeUpcoming(active);
     }
-    if (h.pendingProbes > 0) {
+    if (active.pendingProbes > 0) {
       startWakeTimer(
-          h,
+          active,
           Math.min(
               MAX_PROBE_WAIT_MICROS,
-              Math.min(h.requestClass.answerGoalMicros(), request.timeLeftMicros()) / 4 + 1));
+              Math.min(active.requestClass.answerGoalMicros(), request.timeLeftMicros()) / 4 + 1));
     } else {
-      enqueueOrAnswer(h);
+      enqueueOrAnswer(active);
     }
   }
 
+  /** Validates a request and adds it to the active ones. */
   private ActiveRequest register(Request request) {
     Balancer.require(request != null, "a request must be given");
-    RequestClass type = node.classes.get(request.requestClass());
-    Balancer.require(type != null, "unknown class '" + request.requestClass() + "'");
-    int most = node.settings.permissions().maxAttempts();
-    ActiveRequest h = new ActiveRequest(request, type, most, node.now + request.timeLeftMicros());
-    ActiveRequest known = node.requests.putIfAbsent(request.id(), h);
-    Balancer.require(known == null, "request " + request.id() + " is known");
-    return h;
+    RequestClass requestClass = node.classes.get(request.requestClass());
+    Balancer.require(requestClass != null, "unknown class '" + request.requestClass() + "'");
+    int maxAttempts = node.settings.permissions().maxAttempts();
+    ActiveRequest active =
+        new ActiveRequest(request, requestClass, maxAttempts, node.now + request.timeLeftMicros());
+    ActiveRequest known = node.requests.putIfAbsent(request.id(), active);
+    Balancer.require(known == null, "request " + request.id() + " is already active");
+    return active;
   }
 
-  private void startWakeTimer(ActiveRequest h, long delay) {
-    node.actions.startTimer(Math.max(1, delay), TOKEN_REQUEST + h.request.id());
+  private void startWakeTimer(ActiveRequest active, long delay) {
+    node.actions.startTimer(Math.max(1, delay), TOKEN_REQUEST + active.request.id());
   }
 
-  /** Sends a request to the next server in turn, or lets it wait for one, or answers it. */
-  private void enqueueOrAnswer(ActiveRequest h) {
-    h.pendingProbes = 0;
-    long left = h.sendDeadline() - node.now - node.settings.timerResolutionMicros();
-    if (left <= 0
-        || h.attempts >= h.maxAttempts
-        || (h.attempts > 0 && !node.limits.retryBudget.allows(node.now))
+  /** Queues a request until a server has capacity, or answers it if it cannot be sent in time. */
+  private void enqueueOrAnswer(ActiveRequest active) {
+    active.pendingProbes = 0;
+    long timeLeft = active.sendDeadline() - node.now - node.settings.timerResolutionMicros();
+    if (timeLeft <= 0
+        || active.attempts >= active.maxAttempts
+        || (active.attempts > 0 && !node.limits.retryBudget.allows(node.now))
         || node.limits.waitingRoom.expectedWait(
-                h.request.tenant(), h.requestClass.value(), node.now)
-            > left) {
-      answerUnserved(h);
+                active.request.tenant(), active.requestClass.value(), node.now)
+            > timeLeft) {
+      answerUnserved(active);
       return;
     }
-    ActiveRequest out =
-        node.limits.waitingRoom.chooseToReject(h, h.request.tenant(), h.requestClass.value());
-    if (out != null) {
-      answerUnserved(out);
+    ActiveRequest rejected =
+        node.limits.waitingRoom.chooseToReject(
+            active, active.request.tenant(), active.requestClass.value());
+    if (rejected != null) {
+      answerUnserved(rejected);
     }
-    if (out != h) {
-      // Whoever waits already goes first, if he is worth as much.
-      h.ticket =
+    if (rejected != active) {
+      // The request joins the queue even if a server has capacity, so that it does not overtake
+      // queued requests of the same or a higher value.
+      active.ticket =
           node.limits.waitingRoom.enter(
-              h, h.request.tenant(), h.requestClass.value(), h.deadline, node.now);
-      startWakeTimer(h, left);
+              active,
+              active.request.tenant(),
+              active.requestClass.value(),
+              active.deadline,
+              node.now);
+      startWakeTimer(active, timeLeft);
       releaseWaiting();
     }
   }
 
-  /** Lets out of the waiting room whom there are places for. */
+  /** Sends queued requests as long as servers have capacity for them. */
   private void releaseWaiting() {
     while (node.limits.waitingRoom.size() > 0
         && node.limits.waitingRoom.offer(this::trySend, MAX_OFFERED_QUEUES, node.now)) {}
@@ -144,117 +157,139 @@
     }
   }
 
-  private boolean trySend(ActiveRequest h) {
-    Server s = node.admission.selectServer(h);
-    if (s == null || (h.attempts > 0 && !node.limits.retryBudget.allows(node.now))) {
+  /** Sends a request to the next suitable server; returns false if no server has capacity. */
+  private boolean trySend(ActiveRequest active) {
+    Server s = node.admission.selectServer(active);
+    if (s == null || (active.attempts > 0 && !node.limits.retryBudget.allows(node.now))) {
       return false;
     }
-    h.ticket = null;
+    active.ticket = null;
     node.roundRobin.advance(s);
     s.recentPlacements++;
-    node.admission.takeColdSlot(s, node.relativeCost(h));
-    addLoad(h, s, false);
-    node.limits.setupSent(node.now, s.limits, h.attempts++ > 0);
-    h.server = s;
-    h.sentAt = node.now;
-    h.triedServers.add(s);
-    node.actions.send(h.request.id(), s.id, Math.min(h.deadline, node.now + attemptTimeout(h)));
+    node.admission.takeColdSlot(s, node.relativeCost(active));
+    addLoad(active, s, false);
+    node.limits.setupSent(node.now, s.limits, active.attempts++ > 0);
+    active.server = s;
+    active.sentAt = node.now;
+    active.triedServers.add(s);
+    node.actions.send(
+        active.request.id(), s.id, Math.min(active.deadline, node.now + attemptTimeout(active)));
     return true;
   }
 
-  private void addLoad(ActiveRequest h, Server s, boolean shown) {
-    h.addedLoad =
+  /** Accounts for the load that the request adds to the server. */
+  private void addLoad(ActiveRequest active, Server s, boolean reported) {
+    active.addedLoad =
         node.limits.connectionAdded(
-            node.now, s.limits, node.relativeCost(h), h.request.affinityGroup(), shown);
+            node.now,
+            s.limits,
+            node.relativeCost(active),
+            active.request.affinityGroup(),
+            reported);
   }
 
   /**
-   * How long an attempt is waited for: many times what servers take now, so that a lost request
-   * costs no whole deadline; attempts that were cut short of that were lost work, and tried again.
+   * Returns how long to wait for an attempt. For requests that may be repeated, this is a multiple
+   * of the current set-up time, so that a lost attempt does not use up the whole deadline.
+   * Otherwise the full remaining time is allowed: abandoning an attempt early wastes the server's
+   * work.
    */
-  private long attemptTimeout(ActiveRequest h) {
-    long left = h.deadline - node.now;
-    long usual = node.limits.attemptTimeout.timeoutMicros();
-    boolean more = h.attempts < h.maxAttempts;
-    boolean again =
-        more && h.requestClass.repeatability() == Repeatability.FREE && left > 2 * usual;
-    return again && node.limits.retryBudget.allows(node.now) ? usual : left;
+  private long attemptTimeout(ActiveRequest active) {
+    long timeLeft = active.deadline - node.now;
+    long timeout = node.limits.attemptTimeout.timeoutMicros();
+    boolean hasAttemptsLeft = active.attempts < active.maxAttempts;
+    boolean mayRepeat =
+        hasAttemptsLeft
+            && active.requestClass.repeatability() == Repeatability.FREE
+            && timeLeft > 2 * timeout;
+    return mayRepeat && node.limits.retryBudget.allows(node.now) ? timeout : timeLeft;
   }
 
-  private void answerUnserved(ActiveRequest h) {
-    boolean never = h.mayHaveRunServer == null && h.server == null; // what is out may run
-    boolean dropped =
-        h.requestClass.repeatability() == Repeatability.GUARDED
-            && h.requestClass.deduplicationScope() == DeduplicationScope.ALL;
-    forget(h);
-    if (never || h.requestClass.repeatability() == Repeatability.FREE || dropped) {
-      node.actions.refuse(h.request.id(), retryAfter(h));
+  /** Gives the final answer: a refusal if a repeat is harmless, otherwise a failure. */
+  private void answerUnserved(ActiveRequest active) {
+    // An attempt in progress may still run on its server.
+    boolean neverRan = active.mayHaveRunServer == null && active.server == null;
+    boolean duplicatesAreDropped =
+        active.requestClass.repeatability() == Repeatability.GUARDED
+            && active.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+    forget(active);
+    if (neverRan
+        || active.requestClass.repeatability() == Repeatability.FREE
+        || duplicatesAreDropped) {
+      node.actions.refuse(active.request.id(), retryAfter(active));
     } else {
-      node.actions.fail(h.request.id());
+      node.actions.fail(active.request.id());
     }
   }
 
-  private long retryAfter(ActiveRequest h) {
-    long most = node.settings.permissions().maxRetryAfterMicros();
+  /** Returns the retry hint for a refusal, 0 if hints are not permitted. */
+  private long retryAfter(ActiveRequest active) {
+    long maxDelay = node.settings.permissions().maxRetryAfterMicros();
     return node.settings.permissions().retryAfter()
         ? node.limits.waitingRoom.retryDelay(
-            h.request.tenant(), h.requestClass.value(), node.now, most)
+            active.request.tenant(), active.requestClass.value(), node.now, maxDelay)
         : 0;
   }
 
-  /** The one place where a request is forgotten, and where what it still holds is given back. */
-  private void forget(ActiveRequest h) {
-    node.requests.remove(h.request.id());
-    if (h.ticket != null) {
-      node.limits.waitingRoom.leave(h.ticket);
-      h.ticket = null;
+  /**
+   * Removes a request and releases every slot, budget and load it holds. No other method does so.
+   */
+  private void forget(ActiveRequest active) {
+    node.requests.remove(active.request.id());
+    if (active.ticket != null) {
+      node.limits.waitingRoom.leave(active.ticket);
+      active.ticket = null;
     }
-    if (h.server != null) {
+    if (active.server != null) {
       node.limits.connectionRemoved(
-          node.now, h.server.limits, h.addedLoad, h.request.affinityGroup());
-      if (h.established) {
-        node.limits.connectionEnded(node.now, h.request.clientKey(), !h.request.midFlow());
+          node.now, active.server.limits, active.addedLoad, active.request.affinityGroup());
+      if (active.established) {
+        node.limits.connectionEnded(
+            node.now, active.request.clientKey(), !active.request.midFlow());
       } else {
-        node.limits.setupEnded(node.now, h.server.limits, SetupOutcome.CALLED_OFF);
-        h.server.limits.recordFailure(node.now, SetupOutcome.CALLED_OFF);
+        node.limits.setupEnded(node.now, active.server.limits, SetupOutcome.CALLED_OFF);
+        active.server.limits.recordFailure(node.now, SetupOutcome.CALLED_OFF);
       }
     }
-    if (h.established && h.server.connections.remove(h)) {
+    if (active.established && active.server.connections.remove(active)) {
       node.openConnections--;
-      node.limits.tenantShares.connectionClosed(h.request.tenant());
+      node.limits.tenantShares.connectionClosed(active.request.tenant());
     }
   }
 
-  private void connectionOpened(ActiveRequest h, Server s) {
-    h.established = true;
-    h.server = s;
-    s.connections.add(h);
+  private void connectionOpened(ActiveRequest active, Server s) {
+    active.established = true;
+    active.server = s;
+    s.connections.add(active);
     node.openConnections++;
-    node.limits.tenantShares.connectionOpened(h.request.tenant());
+    node.limits.tenantShares.connectionOpened(active.request.tenant());
   }
 
   @Override
   public void connectionResumed(long at, Request request, String server) {
     node.now = at;
-    ActiveRequest h = register(request);
-    h.deadline = Long.MAX_VALUE;
-    h.attempts = 1;
+    ActiveRequest active = register(request);
+    active.deadline = Long.MAX_VALUE;
+    active.attempts = 1;
     connectionOpened(
-        h,
+        active,
         node.servers.computeIfAbsent(
             server, name -> new Server(name, node.limits.newServer(name))));
-    addLoad(h, h.server, true);
+    addLoad(active, active.server, true);
   }
 
   @Override
   public void connectionAccepted(long at, long id, int attempt, String server, long elapsed) {
     node.now = at;
-    ActiveRequest h = node.requests.get(id);
-    if (h != null && h.server != null && !h.established && h.attempts == attempt + 1) {
+    ActiveRequest active = node.requests.get(id);
+    if (active != null
+        && active.server != null
+        && !active.established
+        && active.attempts == attempt + 1) {
       node.limits.attemptTimeout.recordAccepted(elapsed);
-      node.limits.setupAnswered(at, h.server.limits, elapsed);
-      connectionOpened(h, h.server);
-      node.roundRobin.unpark(h.server);
+      node.limits.setupAnswered(at, active.server.limits, elapsed);
+      connectionOpened(active, active.server);
+      node.roundRobin.unpark(active.server);
       releaseWaiting();
     }
   }
@@ -263,20 +298,23 @@
   public void connectionMeasured(
       long at, long id, int attempt, String server, MeasurementKind kind, double value) {
     node.now = at;
-    ActiveRequest h = node.requests.get(id);
-    if (h == null || !h.established) {
+    ActiveRequest active = node.requests.get(id);
+    if (active == null || !active.established) {
       return;
     }
     if (kind == MeasurementKind.LOAD) {
-      h.load = value >= 0 && value < 1e12 ? value : h.load;
-      node.limits.loadEstimate.recordLoad(h.requestClass.name(), h.load / SECOND);
-    } else if (h.server.overloadDetector.recordMessage(
-        at, value * MS > h.requestClass.messageDelayGoalMicros())) {
-      recordOverload(h.server);
+      active.load = value >= 0 && value < 1e12 ? value : active.load;
+      node.limits.loadEstimate.recordLoad(active.requestClass.name(), active.load / SECOND);
+    } else if (active.server.overloadDetector.recordMessage(
+        at, value * MS > active.requestClass.messageDelayGoalMicros())) {
+      recordOverload(active.server);
     }
   }
 
-  /** A deep probe waits like a request: overloaded servers turn it away and send no report. */
+  /**
+   * Treats a server as overloaded. An overloaded server answers messages late, or rejects probes as
+   * full and then sends no load report.
+   */
   private void recordOverload(Server s) {
     s.metrics[Weights.LOAD] =
         s.reportedLoad() > OVERLOADED_LOAD ? s.reportedLoad() : OVERLOADED_LOAD;
@@ -294,50 +332,54 @@
     if (s != null && !outcome.report().isEmpty()) {
       node.weights.recordReport(s, outcome.report());
     }
-    ActiveRequest h = node.requests.get(outcome.id());
-    if (h == null || outcome.attempt() != h.attempts - 1) {
+    ActiveRequest active = node.requests.get(outcome.id());
+    if (active == null || outcome.attempt() != active.attempts - 1) {
       return;
     }
-    Server was = h.server;
-    SetupOutcome how = outcome.status().setupOutcome;
-    if (how == SetupOutcome.TIMED_OUT
+    Server server = active.server;
+    SetupOutcome setupOutcome = outcome.status().setupOutcome;
+    if (setupOutcome == SetupOutcome.TIMED_OUT
         && node.limits.attemptTimeout.isInconclusive(outcome.elapsedMicros())) {
-      how =
-          SetupOutcome.CALLED_OFF; // its deadline left it no time: that tells nothing of the server
-    } else if (how == SetupOutcome.CALLED_OFF && !h.established && !outcome.closed()) {
-      how = SetupOutcome.REFUSED; // a server that drains sends its clients away
-    }
-    if (!h.established) {
-      node.limits.setupEnded(at, was.limits, how);
-      node.limits.connectionRemoved(at, was.limits, h.addedLoad, h.request.affinityGroup());
-      h.server = null;
-    }
-    long rest = was.limits.recordFailure(at, how);
-    node.roundRobin.unpark(was);
-    if (rest > OutlierDetector.MIN_EJECTION_MICROS) {
-      node.logRateLimited(was.id + " goes on failing: it rests for " + rest / MS + " ms");
-    }
-    if (how == SetupOutcome.TIMED_OUT) {
+      // The deadline left the server too little time, so the time-out says nothing about it.
+      setupOutcome = SetupOutcome.CALLED_OFF;
+    } else if (setupOutcome == SetupOutcome.CALLED_OFF
+        && !active.established
+        && !outcome.closed()) {
+      // A draining server closes attempts before it accepts them.
+      setupOutcome = SetupOutcome.REFUSED;
+    }
+    if (!active.established) {
+      node.limits.setupEnded(at, server.limits, setupOutcome);
+      node.limits.connectionRemoved(
+          at, server.limits, active.addedLoad, active.request.affinityGroup());
+      active.server = null;
+    }
+    long ejection = server.limits.recordFailure(at, setupOutcome);
+    node.roundRobin.unpark(server);
+    if (ejection > OutlierDetector.MIN_EJECTION_MICROS) {
+      node.logRateLimited(server.id + " keeps failing; ejected for " + ejection / MS + " ms");
+    }
+    if (setupOutcome == SetupOutcome.TIMED_OUT) {
       node.limits.attemptTimeout.recordTimeout(outcome.elapsedMicros());
     }
-    if (outcome.closed() || h.established) {
+    if (outcome.closed() || active.established) {
       boolean broken = outcome.status() == Status.RESET || outcome.status() == Status.CANCELLED;
-      if (h.established && broken) {
+      if (active.established && broken) {
         node.limits.connectionClosedByServer(at);
       }
-      forget(h);
+      forget(active);
       releaseWaiting();
       return;
     }
-    if (!outcome.status().neverRan && h.mayHaveRunServer == null) {
-      h.mayHaveRunServer = was;
-      h.mayHaveRunSentAt = h.sentAt;
+    if (!outcome.status().neverRan && active.mayHaveRunServer == null) {
+      active.mayHaveRunServer = server;
+      active.mayHaveRunSentAt = active.sentAt;
     }
-    if (outcome.status() == Status.CONNECT_FAILED && was.state == State.READY) {
-      node.probing.quiesce(was);
-      node.probing.probe(was);
+    if (outcome.status() == Status.CONNECT_FAILED && server.state == State.READY) {
+      node.probing.quiesce(server);
+      node.probing.probe(server);
     }
-    enqueueOrAnswer(h);
+    enqueueOrAnswer(active);
     releaseWaiting();
   }
 
@@ -351,11 +393,12 @@
     finish(at, id, this::answerUnserved);
   }
 
-  private void finish(long at, long id, Consumer<ActiveRequest> how) {
+  /** Ends an active request by the given action and reuses the released capacity. */
+  private void finish(long at, long id, Consumer<ActiveRequest> action) {
     node.now = at;
-    ActiveRequest h = node.requests.get(id);
-    if (h != null) {
-      how.accept(h);
+    ActiveRequest active = node.requests.get(id);
+    if (active != null) {
+      action.accept(active);
       releaseWaiting();
     }
   }
@@ -372,15 +415,17 @@
       node.roundRobin.unpark();
       releaseWaiting();
     } else {
-      ActiveRequest h = node.requests.get(token - TOKEN_REQUEST);
-      boolean due =
-          h != null && h.sendDeadline() - node.now <= node.settings.timerResolutionMicros();
-      if (h != null && h.server == null && (due || h.pendingProbes > 0)) {
-        enqueueOrAnswer(h);
+      ActiveRequest active = node.requests.get(token - TOKEN_REQUEST);
+      boolean isDue =
+          active != null
+              && active.sendDeadline() - node.now <= node.settings.timerResolutionMicros();
+      if (active != null && active.server == null && (isDue || active.pendingProbes > 0)) {
+        enqueueOrAnswer(active);
       }
     }
   }
 
+  /** Recomputes weights and limits and sends the due probes, once per {@link Node#TICK_MICROS}. */
   private void tick() {
     node.actions.startTimer(Node.TICK_MICROS, TOKEN_TICK);
     node.admission.adjustScope();
@@ -389,7 +434,7 @@
     node.weights.recompute();
     node.roundRobin.unpark();
     if (limits().isLimiting()) {
-      node.logRateLimited("limits bind: " + limits().summary());
+      node.logRateLimited("limits in effect: " + limits().summary());
     }
     releaseWaiting();
   }
@@ -422,22 +467,26 @@
     return node.limits.snapshot(node.now);
   }
 
-  /** Every node that holds some sees the same report, so each moves the share that is too much. */
+  /**
+   * Moves connections off an overloaded server. Every node with connections there sees the same
+   * report, so each one moves the same share of its own connections.
+   */
   private void shedLoad(Server s) {
     double share =
         s.connections.isEmpty()
             ? 0
             : Shedding.excessShare(s.reportedLoad(), node.limits.spareCapacity(node.now, s.limits));
     if (share > 0 && s.shedInterval.tryAcquire(node.now)) {
-      ToDoubleFunction<ActiveRequest> worth =
-          h ->
+      ToDoubleFunction<ActiveRequest> valueLost =
+          active ->
               node.limits.valueLostByMoving(
-                  s.limits, node.relativeValue(h), h.request.affinityGroup());
-      ToDoubleFunction<ActiveRequest> load = h -> Math.max(1, h.load);
-      for (ActiveRequest h :
-          Shedding.chooseConnections(s.connections, share, load, worth, node.random::nextDouble)) {
-        forget(h);
-        node.actions.move(h.request.id());
+                  s.limits, node.relativeValue(active), active.request.affinityGroup());
+      ToDoubleFunction<ActiveRequest> load = active -> Math.max(1, active.load);
+      for (ActiveRequest active :
+          Shedding.chooseConnections(
+              s.connections, share, load, valueLost, node.random::nextDouble)) {
+        forget(active);
+        node.actions.move(active.request.id());
       }
     }
   }
@@ -464,16 +513,19 @@
     } else if (status == Status.TIMEOUT || status == Status.CONNECT_FAILED) {
       node.probing.quiesce(s);
     } else {
-      // It begins to drain, before the list tells: left due, it took up all the probes.
+      // The server is about to drain and discovery has not reported it yet. Without this pause, the
+      // server stayed next in turn and used up the probe budget.
       s.noPlacementsUntil = node.now + PROBE_ERROR_PAUSE_MICROS;
       s.noProbesUntil = node.now + 5 * PROBE_ERROR_PAUSE_MICROS;
     }
     node.roundRobin.unpark(s);
     List<ActiveRequest> waiting = List.copyOf(s.requestsAwaitingProbe);
     s.requestsAwaitingProbe.clear();
-    for (ActiveRequest h : waiting) {
-      if (--h.pendingProbes == 0 && node.requests.get(h.request.id()) == h && h.server == null) {
-        enqueueOrAnswer(h);
+    for (ActiveRequest active : waiting) {
+      if (--active.pendingProbes == 0
+          && node.requests.get(active.request.id()) == active
+          && active.server == null) {
+        enqueueOrAnswer(active);
       }
     }
     releaseWaiting();
--- a/src/main/java/ashspar/Probing.java
+++ b/src/main/java/ashspar/Probing.java
@@ -2,14 +2,17 @@
 
 import ashspar.Balancer.State;
 
-/** Probes: when a server is asked for its load, and what becomes of one that does not answer. */
+/** Requests load reports from servers and quiesces servers that do not answer. */
 final class Probing {
-  private static final long FRESH_REPORT_MICROS =
-      600 * Node.MS; // a younger report is as good as a new one
-  private static final int MAX_PROBED_AHEAD =
-      3; // servers: more herd all nodes to the one quiet server
+  // A younger report is not worth a probe.
+  private static final long FRESH_REPORT_MICROS = 600 * Node.MS;
+  // More would make all nodes converge on the one idle server.
+  private static final int MAX_PROBED_AHEAD = 3;
 
-  /** A report this old is renewed where connections are held: one that slowed down kept them. */
+  /**
+   * The age at which a report is refreshed if this node has connections on the server: a server
+   * that had slowed down kept its connections because no new report revealed it.
+   */
   private static final long STALE_REPORT_MICROS = 3 * Node.TICK_MICROS / 2;
 
   private final Node node;
@@ -18,58 +21,64 @@
     this.node = node;
   }
 
+  /** Probes a server unless a probe is already pending or probes are not allowed now. */
   void probe(Server s) {
-    boolean free = !s.probePending && s.state == State.READY && node.now >= s.noProbesUntil;
-    if (free && node.settings.permissions().probes()) {
+    boolean isAllowed = !s.probePending && s.state == State.READY && node.now >= s.noProbesUntil;
+    if (isAllowed && node.settings.permissions().probes()) {
       s.probePending = true;
       node.limits.probeBudget.spend();
       node.actions.probe(s.id);
     }
   }
 
+  /** Returns whether the server is in this node's subset or in the current scope beyond it. */
   private boolean isProbedRegularly(Server s) {
     return s.inSubset || node.limits.subsetScope.covers(node.weights.zoneFactor(s) == 1);
   }
 
-  /** Probes the servers whose turn comes next, so that the weights are true where they decide. */
-  void probeUpcoming(ActiveRequest h) {
-    for (Server s : node.roundRobin.upcoming(MAX_PROBED_AHEAD, s -> isCandidate(h, s))) {
+  /**
+   * Probes the servers whose turns come next, so that the weights that decide the placement are up
+   * to date.
+   */
+  void probeUpcoming(ActiveRequest active) {
+    for (Server s : node.roundRobin.upcoming(MAX_PROBED_AHEAD, s -> isCandidate(active, s))) {
       if (node.now - s.reportedAt > FRESH_REPORT_MICROS && node.limits.probeBudget.hasCredit()) {
         probe(s);
       }
       if (s.probePending) {
-        s.requestsAwaitingProbe.add(h);
-        h.pendingProbes++;
+        s.requestsAwaitingProbe.add(active);
+        active.pendingProbes++;
       }
     }
   }
 
-  private boolean isCandidate(ActiveRequest h, Server s) {
+  /** Returns whether the request could be placed on the server. */
+  private boolean isCandidate(ActiveRequest active, Server s) {
     return s.state == State.READY
         && isProbedRegularly(s)
-        && !h.triedServers.contains(s)
-        && h.isRepeatSafeAt(s, node.now)
+        && !active.triedServers.contains(s)
+        && active.isRepeatSafeAt(s, node.now)
         && node.admission.hasColdSlot(s);
   }
 
-  /** At each interval: asks again where no answer came, or one that tells of the past. */
+  /** Probes servers that have not answered or whose report is outdated. Called once per tick. */
   void tick() {
     for (Server s : node.readyServers) {
-      boolean held = !s.connections.isEmpty() || (node.subset != null && isProbedRegularly(s));
-      boolean old =
-          held
+      boolean isWatched = !s.connections.isEmpty() || (node.subset != null && isProbedRegularly(s));
+      boolean isOutdated =
+          isWatched
               && node.now - s.reportedAt
                   >= (s.inSubset ? STALE_REPORT_MICROS : 2 * STALE_REPORT_MICROS);
-      boolean due = s.quiesced || s.limits.outlierRecord.awaitsProbe() || s.reportedAt < 0;
+      boolean isDue = s.quiesced || s.limits.outlierRecord.awaitsProbe() || s.reportedAt < 0;
       if (s.quiesced && !node.settings.permissions().probes()) {
         restore(s);
-      } else if (old || (due && (held || isProbedRegularly(s)))) {
+      } else if (isOutdated || (isDue && (isWatched || isProbedRegularly(s)))) {
         probe(s);
       }
     }
   }
 
-  /** While some wait, a report that shows room lets them out. */
+  /** Probes servers while requests are queued, since a report that shows capacity releases them. */
   void refreshReports() {
     for (Server s : node.readyServers) {
       if (!s.quiesced
@@ -81,6 +90,7 @@
     }
   }
 
+  /** Takes a server out of the rotation until it answers a probe. */
   void quiesce(Server s) {
     if (!s.quiesced) {
       node.logRateLimited(
@@ -95,6 +105,7 @@
     }
   }
 
+  /** Returns a quiesced server to the rotation. */
   void restore(Server s) {
     if (s.quiesced) {
       s.quiesced = false;
--- a/src/main/java/ashspar/Server.java
+++ b/src/main/java/ashspar/Server.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** What this node knows of one server. */
+/** The state that this node keeps for one server. Times are microseconds on the module's clock. */
 final class Server {
   final String id;
   final ServerLimits limits;
@@ -20,38 +20,46 @@
   double size = 1;
   long startedAt;
 
-  /** Committed weight; the mean of all is about 1, 0 means quiesced. */
+  /** The weight in effect. The mean over all servers is about 1; 0 means quiesced. */
   double weight;
 
+  /** The load metric index of the last two computations. */
   double index = 1;
+
   double previousIndex = 1;
 
-  /** Virtual time of this server's next turn, and its place in the wheel; null while out of it. */
+  /** The server's next turn in virtual time, and its entry in the schedule, null if it has none. */
   double nextTurn;
 
   WeightedRoundRobin.Turn scheduledTurn;
 
-  /** Out of the wheel, since it can take nothing at all. */
+  /** Whether the server is left out of the schedule because it cannot take any request. */
   boolean parked;
 
   long reportedAt = Long.MIN_VALUE / 2;
 
-  /** As reported, by the order in {@link Weights}; NaN where not told. */
+  /** The reported metrics in the order of the constants of {@link Weights}; NaN where unknown. */
   final double[] metrics = {Double.NaN, Double.NaN, Double.NaN};
 
+  /** This node's placements on the server, decayed by 20 percent per tick. */
   double recentPlacements;
+
   boolean quiesced;
   boolean probePending;
-  boolean inSubset = true; // one that this node asks, and places at first
-  ColdShare coldShare; // of what it may be sent while it warms up
-  final IntervalLimiter shedInterval =
-      new IntervalLimiter(3 * Node.SECOND / 2); // until a report shows the last move
+  boolean inSubset = true; // probed regularly and preferred for placements
+  ColdShare coldShare; // this node's share of what the server may be sent while it warms up
+  // Long enough for a report to show the previous move.
+  final IntervalLimiter shedInterval = new IntervalLimiter(3 * Node.SECOND / 2);
+
+  /** No request is sent before this time, and no probe before {@link #noProbesUntil}. */
   long noPlacementsUntil;
-  long noProbesUntil; // not probed before
+
+  long noProbesUntil;
   final OverloadDetector overloadDetector = new OverloadDetector();
 
-  final List<ActiveRequest> requestsAwaitingProbe = new ArrayList<>(); // for the answer to a probe
-  final Set<ActiveRequest> connections = new LinkedHashSet<>(); // own connections that stand here
+  // Requests that wait for the answer to a probe.
+  final List<ActiveRequest> requestsAwaitingProbe = new ArrayList<>();
+  final Set<ActiveRequest> connections = new LinkedHashSet<>(); // open connections of this node
 
   Server(String id, ServerLimits limits) {
     this.id = id;
--- a/src/main/java/ashspar/ServerList.java
+++ b/src/main/java/ashspar/ServerList.java
@@ -10,9 +10,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The list of servers as discovery tells it: joins, restarts, drains and ends. */
+/** Follows discovery's list of servers: servers that join, restart, drain or are removed. */
 final class ServerList {
-  private static final long SAME_START = 100 * Node.MS; // clocks are mapped anew each time
+  // Start times vary by less than this when they are converted between clocks.
+  private static final long SAME_START = 100 * Node.MS;
 
   private final Node node;
   private boolean hasServers;
@@ -21,7 +22,7 @@
     this.node = node;
   }
 
-  /** A list has come: what it says is taken over, and those that join get their weights. */
+  /** Applies a list. Servers that join are assigned a weight. */
   void apply(ListKind kind, List<ServerEntry> entries) {
     boolean joined = false;
     Map<String, Server> missing = new HashMap<>(kind == ListKind.DELTA ? Map.of() : node.servers);
@@ -42,6 +43,7 @@
     }
   }
 
+  /** Applies one entry; returns whether the server has joined or restarted. */
   private boolean applyEntry(ServerEntry entry) {
     Server s = node.servers.get(entry.id());
     if (entry.state() == State.GONE) {
@@ -88,6 +90,7 @@
     node.servers.remove(s.id);
   }
 
+  /** Stops new placements on a server that drains or is removed. */
   private void withdraw(Server s, State state) {
     node.readyServers.remove(s);
     node.limits.setReady(s.limits, false);
@@ -96,7 +99,10 @@
     node.roundRobin.remove(s);
   }
 
-  /** Nodes begin at evenly spaced places of one common order, so that their first turns differ. */
+  /**
+   * Schedules the first turns. All nodes order the servers in the same way and start at evenly
+   * spaced positions of that order, so that their first placements go to different servers.
+   */
   private void scheduleFirstTurns() {
     List<Server> order = new ArrayList<>(node.readyServers);
     order.sort(
@@ -106,9 +112,9 @@
     double start = node.settings.rank() / (double) node.settings.nodeCount();
     for (int i = 0; i < order.size(); i++) {
       Server s = order.get(i);
-      double place = (i + 0.5) / order.size() - start;
+      double offset = (i + 0.5) / order.size() - start;
       s.weight = s.size / node.weights.meanSize * node.weights.zoneFactor(s);
-      node.roundRobin.setFirstTurn(s, place - Math.floor(place));
+      node.roundRobin.setFirstTurn(s, offset - Math.floor(offset));
     }
     node.roundRobin.rescheduleAll();
   }
--- a/src/main/java/ashspar/WeightedRoundRobin.java
+++ b/src/main/java/ashspar/WeightedRoundRobin.java
@@ -12,11 +12,14 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
-/** Weighted round robin over committed weights: each server's next turn, in virtual time. */
+/**
+ * Weighted round robin. Each server has a next turn in virtual time; a server with weight w takes a
+ * turn every 1/w units.
+ */
 final class WeightedRoundRobin {
-  private static final int MAX_COMPARED_SERVERS = 20; // servers that one request compares, at most
+  private static final int MAX_COMPARED_SERVERS = 20; // per request
 
-  /** A place in the wheel; of two at the same time the one that was taken first comes first. */
+  /** A scheduled turn; among turns at the same time, the one scheduled first comes first. */
   record Turn(double at, long order, Server server) {}
 
   private final Node node;
@@ -25,20 +28,23 @@
   private final Set<Server> parked = new LinkedHashSet<>();
   private long nextOrder;
 
-  private double virtualNow; // the turn that was taken last
+  private double virtualNow; // the time of the last turn taken
 
   WeightedRoundRobin(Node node) {
     this.node = node;
   }
 
-  /** Sets a weight; what was left of the server's wait for its turn is stretched to match. */
+  /**
+   * Sets the weight of a server. The remaining wait for its next turn is scaled to the new weight.
+   */
   void setWeight(Server s, double weight) {
-    double left =
+    double wait =
         s.weight > 0 ? Math.max(0, s.nextTurn - virtualNow) * s.weight : node.random.nextDouble();
-    s.nextTurn = weight > 0 ? virtualNow + Math.min(left, 1) / weight : Double.MAX_VALUE;
+    s.nextTurn = weight > 0 ? virtualNow + Math.min(wait, 1) / weight : Double.MAX_VALUE;
     s.weight = weight;
   }
 
+  /** Adds the server's next turn to the schedule, replacing the previous entry. */
   void schedule(Server s) {
     unschedule(s);
     node.limits.noCapacityCache.serverChanged(s.limits);
@@ -48,6 +54,7 @@
     }
   }
 
+  /** Removes the server's turn from the schedule. */
   private void unschedule(Server s) {
     if (s.scheduledTurn != null) {
       turns.remove(s.scheduledTurn);
@@ -59,10 +66,12 @@
     node.readyServers.forEach(this::schedule);
   }
 
-  void setFirstTurn(Server s, double place) {
-    s.nextTurn = virtualNow + place / s.weight;
+  /** Sets the server's first turn, by the share of its turn interval that it waits. */
+  void setFirstTurn(Server s, double offset) {
+    s.nextTurn = virtualNow + offset / s.weight;
   }
 
+  /** Moves the server's turn to the current virtual time. */
   void scheduleNow(Server s) {
     if (s.nextTurn > virtualNow) {
       s.nextTurn = virtualNow;
@@ -70,33 +79,43 @@
     }
   }
 
+  /** Counts a turn as taken and schedules the following one. */
   void advance(Server s) {
     s.nextTurn = Math.max(virtualNow, s.nextTurn) + 1 / Math.max(s.weight, 1e-3);
     schedule(s);
   }
 
+  /** Removes a server that drains or is no longer listed. */
   void remove(Server s) {
     s.weight = 0;
     unschedule(s);
   }
 
-  /** The next server in turn that this request may go to, or null; what is full is parked. */
-  Server next(ActiveRequest h, boolean again, int tier) {
-    String group = h.request.affinityGroup();
-    boolean fresh = !again && h.triedServers.isEmpty() && tier == SubsetScope.LAST_TIER;
-    if (fresh && node.limits.noCapacityCache.isKnownFull(node.now, node.relativeValue(h))) {
+  /**
+   * Returns the next server in turn that may take the request, or null. Servers that cannot take
+   * any request are removed from the schedule and parked.
+   *
+   * @param mayRepeatServer whether servers that were already tried are allowed
+   * @param tier the last tier of servers to consider, see {@link SubsetScope}
+   */
+  Server next(ActiveRequest active, boolean mayRepeatServer, int tier) {
+    String group = active.request.affinityGroup();
+    boolean isFirstSearch =
+        !mayRepeatServer && active.triedServers.isEmpty() && tier == SubsetScope.LAST_TIER;
+    if (isFirstSearch
+        && node.limits.noCapacityCache.isKnownFull(node.now, node.relativeValue(active))) {
       return null;
     }
-    double early = group == null ? 0 : AffinityGroups.maxTurnsEarly(node.weights.meanLoad());
+    double maxEarly = group == null ? 0 : AffinityGroups.maxTurnsEarly(node.weights.meanLoad());
     Server found = null;
     double best = Double.MAX_VALUE;
-    double first = 0;
-    int looks = 0;
+    double firstTurn = 0;
+    int compared = 0;
     for (Iterator<Turn> iterator = turns.iterator();
-        looks < MAX_COMPARED_SERVERS && iterator.hasNext(); ) {
+        compared < MAX_COMPARED_SERVERS && iterator.hasNext(); ) {
       Turn turn = iterator.next();
       Server s = turn.server();
-      if (turn.at() - early >= best) {
+      if (turn.at() - maxEarly >= best) {
         break;
       }
       if (!node.admission.isOpen(s)) {
@@ -104,25 +123,27 @@
         s.scheduledTurn = null;
         s.parked = true;
         parked.add(s);
-      } else if (node.admission.isInTier(s, tier) && node.admission.canTake(h, s, again)) {
-        first = looks++ == 0 ? turn.at() : first;
-        double liking = node.limits.affinity(s.limits, group) * node.weights.zoneFactor(s);
-        double at = turn.at() - early * liking;
+      } else if (node.admission.isInTier(s, tier)
+          && node.admission.canTake(active, s, mayRepeatServer)) {
+        firstTurn = compared++ == 0 ? turn.at() : firstTurn;
+        double affinity = node.limits.affinity(s.limits, group) * node.weights.zoneFactor(s);
+        double at = turn.at() - maxEarly * affinity;
         if (at < best) {
           best = at;
           found = s;
         }
       }
     }
-    virtualNow = found == null ? virtualNow : Math.max(virtualNow, first);
-    boolean usual =
-        node.relativeCost(h) <= Admission.MAX_COLD_COST && !node.limits.holdsGroup(group);
-    if (found == null && fresh && usual) {
-      node.limits.noCapacityCache.recordNoCapacity(node.relativeValue(h));
+    virtualNow = found == null ? virtualNow : Math.max(virtualNow, firstTurn);
+    boolean isOrdinary =
+        node.relativeCost(active) <= Admission.MAX_COLD_COST && !node.limits.holdsGroup(group);
+    if (found == null && isFirstSearch && isOrdinary) {
+      node.limits.noCapacityCache.recordNoCapacity(node.relativeValue(active));
     }
     return found;
   }
 
+  /** Schedules a parked server again if it can take requests or is no longer ready. */
   void unpark(Server s) {
     if (s.parked && (s.state != State.READY || node.admission.isOpen(s))) {
       parked.remove(s);
@@ -131,16 +152,19 @@
     }
   }
 
-  /** Time alone may have changed something at any parked server. */
+  /**
+   * Schedules all parked servers that can take requests again, and clears the cache of full
+   * servers, because the passing of time alone may have freed capacity.
+   */
   void unpark() {
     node.limits.noCapacityCache.clear();
     List.copyOf(parked).forEach(this::unpark);
   }
 
-  /** The servers whose turns come next, the first first; at most so many that the test takes. */
-  List<Server> upcoming(int most, Predicate<Server> test) {
+  /** Returns up to {@code max} servers that satisfy the test, in the order of their turns. */
+  List<Server> upcoming(int max, Predicate<Server> test) {
     List<Server> found = new ArrayList<>();
-    for (Iterator<Turn> iterator = turns.iterator(); found.size() < most && iterator.hasNext(); ) {
+    for (Iterator<Turn> iterator = turns.iterator(); found.size() < max && iterator.hasNext(); ) {
       Server s = iterator.next().server();
       if (test.test(s)) {
         found.add(s);
--- a/src/main/java/ashspar/Weights.java
+++ b/src/main/java/ashspar/Weights.java
@@ -8,41 +8,52 @@
 import java.util.List;
 
 /**
- * The load metric index and the weight computation function (Goldszmidt and Hunt, section 4): what
- * load reports say of each server against the mean, and the weight that follows from it.
+ * The load metric index and the weight computation function (Goldszmidt and Hunt, section 4):
+ * compares the load reports of each server with the mean over all servers and derives the server's
+ * weight.
  */
 final class Weights {
-  private static final double SMOOTHING = 0.6; // share of the new weight in the next: damps swings
+  // The share of the new weight in the next one; damps oscillation.
+  private static final double SMOOTHING = 0.6;
 
-  /** Mean change of a weight, as a share of the mean weight, from which weights are committed. */
+  /**
+   * The mean change of the weights, relative to the mean weight, from which new weights take
+   * effect.
+   */
   private static final double COMMIT_THRESHOLD = 0.02;
 
-  /** The metrics of reports, in this order everywhere. */
+  /** The indices of the metrics, in the order of every array of metrics. */
   static final int LOAD = 0;
 
   private static final int BACKLOG = 1;
   private static final int LATENCY = 2;
 
-  /** Relative importance R(i) of each metric; their sum is 1, a disabled one's goes to the rest. */
+  /**
+   * The relative importance R(i) of each metric. With the two values below they sum to 1; the
+   * importance of a disabled metric is distributed to the others.
+   */
   private static final double[] IMPORTANCE = {0.6, 0.15, 0.05};
 
   private static final double PLACEMENTS_IMPORTANCE = 0.05;
   private static final double SIZE_IMPORTANCE = 0.15;
-  private static final double TURNS_LOST_PER_PRICE_POINT =
-      150; // turns lost to a crossing, per point of its price
-  private static final double MIN_INDEX = 0.4; // least index credited: no weight without bound
-
-  private static final long REPORT_EXPIRY_MICROS =
-      12 * Node.SECOND; // an older report's metrics are disabled
-  private static final double REPORT_DECAY_MICROS =
-      6.0 * Node.SECOND; // a report loses all but 1/e of its worth
-
-  /** Own placements that weigh as much as what the mean says, against the noise of small counts. */
+  private static final double TURNS_LOST_PER_PRICE_POINT = 150; // of a server in another zone
+  // Lower indices count as this, which bounds the weight.
+  private static final double MIN_INDEX = 0.4;
+
+  private static final long REPORT_EXPIRY_MICROS = 12 * Node.SECOND; // an older report is ignored
+  // The deviation of a report from the mean decays by 1/e in this time.
+  private static final double REPORT_DECAY_MICROS = 6.0 * Node.SECOND;
+
+  /**
+   * The placements added to each server's count and to the mean, which damps the noise of small
+   * counts.
+   */
   private static final double PLACEMENTS_PRIOR = 4;
 
   private final Node node;
   private final int[] fields = new int[IMPORTANCE.length];
-  private final MetricMeans means = new MetricMeans(1.5, 10, 1e4); // each counts so much at most
+  // The value up to which each metric counts.
+  private final MetricMeans means = new MetricMeans(1.5, 10, 1e4);
   double meanSize = 1;
   private double meanPlacements;
 
@@ -50,24 +61,27 @@
     this.node = node;
   }
 
+  /** Finds the metrics among the configured fields of load reports. */
   void configure() {
-    List<Metric> told = node.settings.reportFields();
-    fields[LOAD] = MetricMeans.fieldIndex(told, Metric.LOAD, Metric.UTILIZATION);
-    fields[BACKLOG] = MetricMeans.fieldIndex(told, Metric.BACKLOG_S, Metric.QUEUE);
-    fields[LATENCY] = told.indexOf(Metric.LATENCY_MS);
+    List<Metric> reported = node.settings.reportFields();
+    fields[LOAD] = MetricMeans.fieldIndex(reported, Metric.LOAD, Metric.UTILIZATION);
+    fields[BACKLOG] = MetricMeans.fieldIndex(reported, Metric.BACKLOG_S, Metric.QUEUE);
+    fields[LATENCY] = reported.indexOf(Metric.LATENCY_MS);
   }
 
-  /** L(S): the weighted sum of the metrics, each as a multiple of its mean over the servers. */
+  /**
+   * Returns L(S), the weighted sum of the metrics, each as a multiple of its mean over the servers.
+   */
   private double loadIndex(Server s) {
     double sum = 0;
     double weights = 0;
     long age = node.now - s.reportedAt;
     if (age <= REPORT_EXPIRY_MICROS) {
-      double worth = Math.exp(-Math.max(0, age - Node.TICK_MICROS) / REPORT_DECAY_MICROS);
+      double relevance = Math.exp(-Math.max(0, age - Node.TICK_MICROS) / REPORT_DECAY_MICROS);
       for (int m = 0; m < IMPORTANCE.length; m++) {
         if (!Double.isNaN(s.metrics[m]) && means.mean(m) > 0) {
           double value = Math.max(0, s.metrics[m] + (m == LOAD ? s.limits.unreportedLoad() : 0));
-          sum += IMPORTANCE[m] * (1 + (value / means.mean(m) - 1) * worth);
+          sum += IMPORTANCE[m] * (1 + (value / means.mean(m) - 1) * relevance);
           weights += IMPORTANCE[m];
         }
       }
@@ -76,7 +90,7 @@
       sum += SIZE_IMPORTANCE * meanSize / Math.max(s.size, 1e-3 * meanSize);
       weights += SIZE_IMPORTANCE;
     }
-    // A node places few connections, so its own count is drawn to the mean by what it has not seen.
+    // A node places few connections, so its own count is shrunk towards the mean.
     sum +=
         PLACEMENTS_IMPORTANCE
             * (s.recentPlacements + PLACEMENTS_PRIOR)
@@ -85,11 +99,12 @@
     return sum / weights;
   }
 
-  /** The mean of the reported loads, NaN while there is none. */
+  /** Returns the mean of the reported loads, NaN if there is none. */
   double meanLoad() {
     return means.mean(LOAD);
   }
 
+  /** Records a load report of a server. */
   void recordReport(Server s, List<Double> row) {
     if (row.isEmpty()) {
       return;
@@ -105,7 +120,9 @@
     s.limits.recordReport(node.now, s.metrics[LOAD], s.metrics[BACKLOG]);
   }
 
-  /** A probe's answer has taken so long, which tells of a server where no report does. */
+  /**
+   * Records how long a server took to answer a probe, as its latency where load reports have none.
+   */
   void recordProbeLatency(Server s, long elapsed) {
     if (fields[LATENCY] < 0) {
       recordMetric(s, LATENCY, elapsed / (double) Node.MS, 0.1);
@@ -117,26 +134,33 @@
     means.record(m, value, share);
   }
 
-  /** The weight a server should have by its index: the inverse of its floored share of the load. */
+  /**
+   * Returns the weight that follows from the server's index: a power of the inverse index, scaled
+   * by size and zone.
+   */
   double targetWeight(Server s) {
     s.previousIndex = s.index;
     s.index = loadIndex(s);
-    double level = Math.max(MIN_INDEX, (s.previousIndex + 3 * s.index) / 4);
+    double flooredIndex = Math.max(MIN_INDEX, (s.previousIndex + 3 * s.index) / 4);
     double weight =
         Math.pow(
-            1 / level,
+            1 / flooredIndex,
             ConnectionLifetimes.inverseLoadExponent(
                 node.firstRequests, node.now - node.startedAt, node.openConnections));
     return Math.max(0.02, weight * (node.hasNominalSizes() ? s.size / meanSize : 1))
         * zoneFactor(s);
   }
 
-  /** A server of another zone gets fewer turns, by what a crossing costs. */
+  /**
+   * Returns the factor by which the weight of a server in another zone is reduced, according to the
+   * price of a cross-zone attempt.
+   */
   double zoneFactor(Server s) {
-    boolean far = s.zone != null && !s.zone.isEmpty() && !s.zone.equals(node.settings.zone());
-    return far ? 1 / (1 + TURNS_LOST_PER_PRICE_POINT * node.settings.prices().crossZone()) : 1;
+    boolean isRemote = s.zone != null && !s.zone.isEmpty() && !s.zone.equals(node.settings.zone());
+    return isRemote ? 1 / (1 + TURNS_LOST_PER_PRICE_POINT * node.settings.prices().crossZone()) : 1;
   }
 
+  /** Recomputes the weights of all servers and puts them into effect if they changed enough. */
   void recompute() {
     node.readyServers.forEach(s -> s.recentPlacements *= 0.8);
     meanSize = node.readyServers.stream().mapToDouble(s -> s.size).average().orElse(1);
@@ -159,7 +183,7 @@
     }
   }
 
-  /** A report that decides a placement is used at once, for its own server only. */
+  /** Recomputes the weight of one server at once, because its new report decides a placement. */
   void recompute(Server s) {
     if (!s.quiesced && s.state == State.READY) {
       double next = targetWeight(s);
@@ -170,6 +194,7 @@
     }
   }
 
+  /** Returns the mean of the positive weights, 1 if there is none. */
   double meanWeight() {
     return node.readyServers.stream()
         .mapToDouble(s -> s.weight)
--- a/src/main/java/ashspar/limits/AffinityGroups.java
+++ b/src/main/java/ashspar/limits/AffinityGroups.java
@@ -4,42 +4,48 @@
 import java.util.Map;
 
 /**
- * Which groups of connections a server holds for this node. A server pays for a group once, however
- * many of its connections it holds, so that a group belongs on few servers. One that holds it
- * already is liked best; where none does, all nodes like the same servers, by highest random weight
- * (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998), without a word
- * between them.
+ * The groups of connections that a server holds for this node. A server pays the cost of a group
+ * once, however many of its connections it holds, so a group should be on few servers. Servers that
+ * already hold the group have the highest affinity. Otherwise all nodes prefer the same servers
+ * without communication, by highest random weight (Thaler and Ravishankar, "Using Name-Based
+ * Mappings to Increase Hit Rates", 1998).
  *
- * <p>Calls cost constant time. For one thread at a time.
+ * <p>All operations take constant time. Not thread-safe.
  */
 public final class AffinityGroups {
   /**
-   * How much more a server is liked that holds the group, against all that random weights differ.
+   * The part of the affinity that depends on whether the server holds the group; the random weight
+   * makes up the rest.
    */
   private static final double HOLDER_AFFINITY = 0.75;
 
   private final int serverHash;
   private final Map<String, Integer> counts = new HashMap<>();
 
-  /** The groups of one server, which every node must know by the same id. */
+  /** Creates the record of one server. All nodes must use the same id for it. */
   public AffinityGroups(String serverId) {
     serverHash = serverId.hashCode();
   }
 
   /**
-   * How much a connection of this group is liked here, from 0 to 1; 0 where it has no group.
+   * Returns the affinity of the server for connections of this group, from 0 to 1; 0 if {@code
+   * group} is null.
    *
-   * @param seen the part that this node sees of who holds it, from above 0 to 1
+   * @param seen the fraction of the group's holders that this node knows of, above 0 and at most 1
    */
   double affinity(String group, double seen) {
     if (group == null) {
       return 0;
     }
-    double holds = HOLDER_AFFINITY * seen;
-    return (1 - holds) * rendezvousWeight(group) + (counts.containsKey(group) ? holds : 0);
+    double holderAffinity = HOLDER_AFFINITY * seen;
+    return (1 - holderAffinity) * rendezvousWeight(group)
+        + (counts.containsKey(group) ? holderAffinity : 0);
   }
 
-  /** A number from 0 to 1 that a server and a group have together (the finalizer of SplitMix64). */
+  /**
+   * Returns a pseudo-random number from 0 to 1 for the pair of server and group, by the finalizer
+   * of SplitMix64.
+   */
   private double rendezvousWeight(String group) {
     long mix = (group.hashCode() * 0x9E3779B97F4A7C15L) ^ (serverHash * 0xC2B2AE3D27D4EB4FL);
     mix = (mix ^ (mix >>> 30)) * 0xBF58476D1CE4E5B9L;
@@ -47,29 +53,34 @@
     return ((mix ^ (mix >>> 31)) >>> 11) * 0x1.0p-53;
   }
 
-  /** Whether a connection of this group would be its first here; false where it has no group. */
+  /**
+   * Returns whether the server holds no connection of this group; false if {@code group} is null.
+   */
   public boolean isNew(String group) {
     return group != null && !counts.containsKey(group);
   }
 
   /**
-   * Whether this node holds just one connection of this group here; false where it has no group.
+   * Returns whether the server holds exactly one connection of this group for this node; false if
+   * {@code group} is null.
    */
   public boolean isLastConnection(String group) {
     return group != null && counts.getOrDefault(group, 0) == 1;
   }
 
-  /** How many groups are held. */
+  /** Returns the number of groups held. */
   public int size() {
     return counts.size();
   }
 
+  /** Counts a connection of the group; ignored if {@code group} is null. */
   public void connectionAdded(String group) {
     if (group != null) {
       counts.merge(group, 1, Integer::sum);
     }
   }
 
+  /** Removes a connection of the group; ignored if {@code group} is null. */
   public void connectionRemoved(String group) {
     if (group != null) {
       counts.computeIfPresent(group, (g, count) -> count > 1 ? count - 1 : null);
@@ -77,9 +88,9 @@
   }
 
   /**
-   * By how many turns a server may be early for a request whose group it is liked for, on the
-   * ordinary path and in a full fleet, and the mean loads between which that grows. Who was early
-   * waits longer for the next turn, so that all get their share.
+   * The number of turns by which a server may be chosen early for a group it has affinity for. It
+   * grows with the mean load between the two bounds below. A server chosen early waits
+   * correspondingly longer for its next turn, so that all servers keep their share.
    */
   private static final double MIN_TURNS_EARLY = 0.1;
 
@@ -87,7 +98,7 @@
   private static final double EARLY_GROWTH_FROM_LOAD = 0.4;
   private static final double EARLY_GROWTH_TO_LOAD = 0.7;
 
-  /** By how many turns, where the servers' mean load is this. */
+  /** Returns the number of turns by which a server may be chosen early at this mean load. */
   public static double maxTurnsEarly(double meanLoad) {
     double load =
         (meanLoad - EARLY_GROWTH_FROM_LOAD) / (EARLY_GROWTH_TO_LOAD - EARLY_GROWTH_FROM_LOAD);
@@ -95,7 +106,9 @@
         + (MAX_TURNS_EARLY - MIN_TURNS_EARLY) * (load > 0 ? Math.min(1, load) : 0);
   }
 
-  /** A number that all nodes have for a server, for an order that no one has to agree on. */
+  /**
+   * Returns a hash of a server id by which all nodes order servers identically, without agreement.
+   */
   public static int orderingHash(String server) {
     int hash = server.hashCode() * 0x9E3779B1;
     return hash ^ (hash >>> 15);
--- a/src/main/java/ashspar/limits/BudgetDivision.java
+++ b/src/main/java/ashspar/limits/BudgetDivision.java
@@ -1,76 +1,88 @@
 package ashspar.limits;
 
 /**
- * By what this node divides the fleet's budgets: by the settings' numbers, until it is told its
- * part; then by that, which ends by itself.
+ * Divides the budgets of the fleet between the nodes: evenly by rank and number of nodes from the
+ * settings at first, and after the first {@link #update} by the share that the nodes have agreed
+ * on, which expires by itself.
  *
- * <p>Times are microseconds. For one thread at a time.
+ * <p>Times are microseconds. Not thread-safe.
  */
 public final class BudgetDivision {
   private int rank;
   private int participants = 1;
-  private boolean update;
-  private double part;
-  private double base;
-  private int turn;
-  private int of;
-  private long until;
-  private boolean lapsed = true; // the part that goes beyond the base
+  private boolean hasShare;
+  private double fraction;
+  private double baseFraction;
+  private int index;
+  private int sharers;
+  private long fractionUntil;
+  private boolean expired = true; // whether only the base fraction is left
 
-  /** The numbers of the settings, which hold until something is told. */
-  public void configure(int ownRank, int nodeCount) {
-    rank = ownRank;
+  /** Sets the rank and number of nodes that apply until the first {@link #update}. */
+  public void configure(int newRank, int nodeCount) {
+    rank = newRank;
     participants = nodeCount;
   }
 
   /**
-   * This node's part is told.
+   * Sets this node's share.
    *
-   * @param nextPart of each budget until then, {@code nextBase} from then on
-   * @param nextTurn which of those that share it is, {@code nextOf} so many
-   * @return whether it is another than before
+   * @param nextFraction the fraction of each budget until {@code nextUntil}
+   * @param nextBaseFraction the fraction from then on
+   * @param nextIndex the index of this node among the participants
+   * @param nextSharers the number of participants
+   * @return whether the share has changed
    */
   public boolean update(
-      long now, double nextPart, double nextBase, int nextTurn, int nextOf, long nextUntil) {
-    double was = inverseShare(now);
-    update = true;
-    part = nextPart;
-    base = nextBase;
-    turn = nextTurn;
-    of = nextOf;
-    until = nextUntil;
-    lapsed = now >= until;
-    return inverseShare(now) != was;
+      long now,
+      double nextFraction,
+      double nextBaseFraction,
+      int nextIndex,
+      int nextSharers,
+      long nextUntil) {
+    double previous = inverseShare(now);
+    hasShare = true;
+    fraction = nextFraction;
+    baseFraction = nextBaseFraction;
+    index = nextIndex;
+    sharers = nextSharers;
+    fractionUntil = nextUntil;
+    expired = now >= fractionUntil;
+    return inverseShare(now) != previous;
   }
 
   /**
-   * Tells once that the part has ended: when it was to end, and not when that is noticed, since a
-   * process may have been stopped. Long.MAX_VALUE otherwise.
+   * Returns, once, the time at which the share expired, {@code Long.MAX_VALUE} if it has not. That
+   * time may lie in the past, since a process may have been suspended.
    */
   public long takeExpiry(long now) {
-    if (lapsed || now < until) {
+    if (expired || now < fractionUntil) {
       return Long.MAX_VALUE;
     }
-    lapsed = true;
-    return until;
+    expired = true;
+    return fractionUntil;
   }
 
-  /** How many nodes share the fleet, as far as this one is told. */
+  /** Returns the number of nodes that share the budgets, as far as this node knows. */
   public int participants(long now) {
-    return !update || now >= until ? participants : of;
+    return !hasShare || now >= fractionUntil ? participants : sharers;
   }
 
-  /** The inverse of this node's part of the fleet's budgets. */
+  /** Returns the inverse of this node's share of the budgets. */
   public double inverseShare(long now) {
-    return update ? 1 / (now < until ? part : base) : participants;
+    return hasShare ? 1 / (now < fractionUntil ? fraction : baseFraction) : participants;
   }
 
-  /** This node's places at a cold server of this number. */
+  /**
+   * Returns this node's share of the slots of a cold server.
+   *
+   * @param number the ordering hash of the server
+   */
   public ColdShare coldShare(long now, int number) {
-    if (!update) {
+    if (!hasShare) {
       return new ColdShare(rank + number, participants);
     }
     double spacing = inverseShare(now);
-    return new ColdShare(Math.floorMod(turn + number, of) * spacing / of, spacing);
+    return new ColdShare(Math.floorMod(index + number, sharers) * spacing / sharers, spacing);
   }
 }
--- a/src/main/java/ashspar/limits/ColdShare.java
+++ b/src/main/java/ashspar/limits/ColdShare.java
@@ -1,19 +1,21 @@
 package ashspar.limits;
 
 /**
- * This node's share of what a cold server may be sent. The limit is the fleet's, so that its places
- * are dealt out: each is one node's, by the server's start, its id and the nodes' ranks, which all
- * nodes know without a word. A share below one a window is carried as a place in turn: with a floor
- * of one each, fourteen nodes whose clients come back at the same moment would push the server over
- * together, and with a private bucket each they would as soon as all of them are full.
+ * This node's share of the requests that a cold server may be sent. The budget belongs to the whole
+ * fleet and is divided into slots; each slot belongs to one node. The assignment follows from the
+ * server's start time and id and from the ranks of the nodes, so that the nodes need not
+ * communicate. A share of less than one slot per window becomes a slot every few windows. The
+ * alternatives overloaded the server: with a minimum of one slot per node and window, fourteen
+ * nodes whose clients reconnect at the same time exceed the budget together, and with a private
+ * token bucket per node they do so as soon as all buckets are full.
  *
- * <p>The rate of places grows evenly with the server's warmth, from its start on. Where nodes do
- * not quite agree on the rate, their places only lie less evenly.
+ * <p>The rate of slots grows linearly with the server's warmth from its start on. If nodes disagree
+ * slightly about the rate, their slots are merely spaced less evenly.
  *
- * <p>Ages and times are seconds. Calls cost constant time. For one thread at a time.
+ * <p>Ages and times are seconds. All operations take constant time. Not thread-safe.
  */
 public final class ColdShare {
-  /** A place of this node's from before its share changed, or below zero. */
+  /** The last slot of this node before its share changed; negative if there is none. */
   private double earlierSlot = -1;
 
   private double firstSlot;
@@ -22,54 +24,62 @@
   private double owedCost;
 
   /**
-   * @param turn this node's rank, put on by a number that all nodes have for the server, so that
-   *     servers begin with different nodes
-   * @param nodes how many nodes there are, at least one
+   * Creates an equal share.
+   *
+   * @param turn this node's rank plus the server's ordering hash, so that different servers begin
+   *     with different nodes
+   * @param nodes the number of nodes, at least 1
    */
   public ColdShare(int turn, int nodes) {
     this((double) Math.floorMod(turn, Math.max(1, nodes)), Math.max(1, nodes));
   }
 
   /**
-   * @param first number of this node's first place, at least 0
-   * @param spacing from one of its places to the next: the inverse of its share, at least 1
+   * Creates a share from its first slot and the spacing of its slots.
+   *
+   * @param first the number of this node's first slot, at least 0
+   * @param spacing the distance between its slots, which is the inverse of its share, at least 1
    */
   public ColdShare(double first, double spacing) {
     if (!(first >= 0 && spacing >= 1)) {
-      throw new IllegalArgumentException("no share: " + first + ", " + spacing);
+      throw new IllegalArgumentException(
+          "a share needs a first slot of at least 0 and a spacing of at least 1, got "
+              + first
+              + ", "
+              + spacing);
     }
     this.firstSlot = first;
     this.spacing = spacing;
   }
 
   /**
-   * This node's share changes. What has been earned towards its next place is kept and no more:
-   * over any number of changes it has its share of the places that come up, and one more.
+   * Changes this node's share. The progress towards its next slot is kept, and no more than that:
+   * over any number of changes, the node receives its share of the slots plus at most one.
    *
-   * @param age the server's when the share changed, which may be before now
+   * @param age the age of the server when the share changed, which may be before now
    */
-  public void changeSpacing(RampUp warming, double age, double nextSpacing) {
-    double up = lastSlotDue(warming, age);
-    earlierSlot = lastOwnSlotDue(up);
+  public void changeSpacing(RampUp rampUp, double age, double nextSpacing) {
+    double lastDue = lastSlotDue(rampUp, age);
+    earlierSlot = lastOwnSlotDue(lastDue);
     double next = earlierSlot < firstSlot ? firstSlot : earlierSlot + spacing;
-    firstSlot = up + (next - up) / spacing * nextSpacing;
+    firstSlot = lastDue + (next - lastDue) / spacing * nextSpacing;
     spacing = nextSpacing;
   }
 
   /**
-   * Whether a place that is this node's has come up lately and is not yet taken.
+   * Returns whether a slot of this node has come due recently and is still unused.
    *
-   * @param age the server's
-   * @param valid for how long a place holds
+   * @param age the age of the server
+   * @param valid how long a slot stays valid
    */
-  public boolean hasSlot(RampUp warming, double age, double valid) {
-    double last = lastOwnSlotDue(lastSlotDue(warming, age));
-    return last > lastSlotTaken && age - warming.ageWhenDue(last + 1.0) <= valid;
+  public boolean hasSlot(RampUp rampUp, double age, double valid) {
+    double lastOwn = lastOwnSlotDue(lastSlotDue(rampUp, age));
+    return lastOwn > lastSlotTaken && age - rampUp.ageWhenDue(lastOwn + 1.0) <= valid;
   }
 
-  /** Takes the place; what a connection costs beyond a mean one is paid with places to come. */
-  public void takeSlot(RampUp warming, double age, double cost) {
-    lastSlotTaken = Math.max(lastSlotTaken, lastOwnSlotDue(lastSlotDue(warming, age)));
+  /** Uses the slot. A connection that costs more than the mean is paid for with future slots. */
+  public void takeSlot(RampUp rampUp, double age, double cost) {
+    lastSlotTaken = Math.max(lastSlotTaken, lastOwnSlotDue(lastSlotDue(rampUp, age)));
     owedCost += Math.max(0, cost - 1);
     while (owedCost >= 1) {
       owedCost--;
@@ -77,40 +87,40 @@
     }
   }
 
-  /** The last place that has come up, whoever's it is. */
-  private static double lastSlotDue(RampUp warming, double age) {
-    return Math.floor(warming.slotsDue(age)) - 1;
+  /** Returns the last slot that has come due, of any node. */
+  private static double lastSlotDue(RampUp rampUp, double age) {
+    return Math.floor(rampUp.slotsDue(age)) - 1;
   }
 
-  /** The last of this node's places that has come up; below zero where none has. */
-  private double lastOwnSlotDue(double up) {
-    return up < firstSlot
+  /** Returns the last slot of this node that has come due; negative if there is none. */
+  private double lastOwnSlotDue(double lastDue) {
+    return lastDue < firstSlot
         ? earlierSlot
-        : firstSlot + Math.floor((up - firstSlot) / spacing) * spacing;
+        : firstSlot + Math.floor((lastDue - firstSlot) / spacing) * spacing;
   }
 
   /**
-   * What a server that warms up may be sent by all nodes.
+   * The slots of a server that is warming up, for all nodes together.
    *
-   * @param warmSlotsPerSecond places a second once it is warm
-   * @param initialCapacity share of its capacity at its start, above 0
-   * @param lengthSeconds until it is warm, above 0
+   * @param warmSlotsPerSecond the rate of slots once the server is warm
+   * @param initialCapacity the share of its capacity that the server has at its start, above 0
+   * @param lengthSeconds the time until the server is warm, above 0
    */
   public record RampUp(double warmSlotsPerSecond, double initialCapacity, double lengthSeconds) {
-    /** Places up to an age in seconds: the integral of the rate. */
+    /** Returns the number of slots that have come due at an age: the integral of the rate. */
     double slotsDue(double age) {
       return warmSlotsPerSecond
           * (initialCapacity * age + (1 - initialCapacity) * age * age / (2 * lengthSeconds));
     }
 
-    /** The age by which so many places have come up. */
-    double ageWhenDue(double places) {
+    /** Returns the age at which this many slots have come due. */
+    double ageWhenDue(double slots) {
       double slope = (1 - initialCapacity) / lengthSeconds;
       double root =
-          Math.sqrt(initialCapacity * initialCapacity + 2 * slope * places / warmSlotsPerSecond);
+          Math.sqrt(initialCapacity * initialCapacity + 2 * slope * slots / warmSlotsPerSecond);
       return slope > 0
           ? (root - initialCapacity) / slope
-          : places / warmSlotsPerSecond / initialCapacity;
+          : slots / warmSlotsPerSecond / initialCapacity;
     }
   }
 }
--- a/src/main/java/ashspar/limits/FleetLimit.java
+++ b/src/main/java/ashspar/limits/FleetLimit.java
@@ -3,30 +3,35 @@
 import java.util.Arrays;
 
 /**
- * The limit for what all servers share, such as one store that every set-up asks. While it is well,
- * the fleet may hold what its servers may hold together. When servers slow down at once, the middle
- * one of them is the measure: the fleet's limit shrinks by as much, and no single server is blamed
- * (see the {@code slowdown} that {@link SetupLimit#answered} takes).
+ * Limits the set-ups in progress in the whole fleet by the state of what all servers share, such as
+ * a store that every set-up queries. Normally the fleet may have as many set-ups in progress as its
+ * servers allow in total. When servers slow down at the same time, the limit shrinks by the
+ * slowdown of the median server, and no single server is blamed (see the {@code slowdown} of {@link
+ * SetupLimit#answered}).
  *
- * <p>The middle is asked for rather than the mean, so that one sick server tells nothing of the
- * rest, and a fleet of which fewer than three servers are known has none.
+ * <p>The median is used rather than the mean, so that one slow server does not affect the result.
+ * With fewer than three measured servers there is no common slowdown.
  *
- * <p>For one thread at a time.
+ * <p>Not thread-safe.
  */
 public final class FleetLimit {
-  /** Servers heard of lately, from which the middle one speaks for the fleet. */
+  /** The number of servers with recent answers that a common slowdown requires. */
   private static final int MIN_SERVERS = 3;
 
-  /** Slower than this by the middle server is a common cause; below it, it is the day's noise. */
+  /**
+   * The slowdown of the median server from which a common cause is assumed; smaller ones are noise.
+   */
   private static final double COMMON_CAUSE_SLOWDOWN = 3;
 
-  /** A limit at its floor still tries: one for each server, or this many. */
+  /** The lower bound of the limit, so that the fleet keeps probing for recovery. */
   private static final int MIN_SETUPS = 2;
 
   private int setupsInProgress;
   private double slowdown = 1;
 
-  /** Takes the servers' slowdowns, each 1 or more, of those heard of lately. */
+  /**
+   * Updates the common slowdown from those of the servers that answered recently, each at least 1.
+   */
   public void measure(double[] slowdowns) {
     if (slowdowns.length < MIN_SERVERS) {
       slowdown = 1;
@@ -37,38 +42,46 @@
     slowdown = Math.max(1, sorted[(sorted.length - 1) / 2]);
   }
 
-  /** How many times slower the whole fleet is than at its best; 1 where there is no such cause. */
+  /** Returns how much slower the fleet is than at its best; 1 if there is no common cause. */
   public double slowdown() {
     return slowdown >= COMMON_CAUSE_SLOWDOWN ? slowdown : 1;
   }
 
-  /** Set-ups that may be under way in the whole fleet, out of what its servers allow together. */
-  public int allowed(int together) {
+  /**
+   * Returns how many set-ups may be in progress in the fleet.
+   *
+   * @param serverSlots the number that the servers allow in total
+   */
+  public int allowed(int serverSlots) {
     return (int)
         Math.max(
             MIN_SETUPS,
             Math.min(
-                together,
-                COMMON_CAUSE_SLOWDOWN * together / Math.max(COMMON_CAUSE_SLOWDOWN, slowdown)));
+                serverSlots,
+                COMMON_CAUSE_SLOWDOWN * serverSlots / Math.max(COMMON_CAUSE_SLOWDOWN, slowdown)));
   }
 
-  /** Whether one more set-up may go. */
-  public boolean hasFreeSlot(int together) {
-    return setupsInProgress < allowed(together);
+  /** Returns whether another set-up may start. */
+  public boolean hasFreeSlot(int serverSlots) {
+    return setupsInProgress < allowed(serverSlots);
   }
 
-  /** Set-ups under way. */
+  /** Returns the number of set-ups in progress. */
   public int setupsInProgress() {
     return setupsInProgress;
   }
 
+  /** Counts a set-up that starts. */
   public void acquire() {
     setupsInProgress++;
   }
 
+  /**
+   * Counts a set-up that has ended; throws {@link IllegalStateException} if none is in progress.
+   */
   public void release() {
     if (setupsInProgress == 0) {
-      throw new IllegalStateException("no place is taken");
+      throw new IllegalStateException("no set-up is in progress");
     }
     setupsInProgress--;
   }
--- a/src/main/java/ashspar/limits/IntervalLimiter.java
+++ b/src/main/java/ashspar/limits/IntervalLimiter.java
@@ -1,15 +1,16 @@
 package ashspar.limits;
 
-/** So long between one time and the next, in microseconds. */
+/** Allows an action at most once per interval. Times are microseconds. Not thread-safe. */
 public final class IntervalLimiter {
   private final long intervalMicros;
   private long lastAcquiredAt = Long.MIN_VALUE / 2;
 
-  public IntervalLimiter(long length) {
-    this.intervalMicros = length;
+  /** Creates a limiter that allows the first action at once. */
+  public IntervalLimiter(long intervalMicros) {
+    this.intervalMicros = intervalMicros;
   }
 
-  /** Whether it is over; then the next one begins. */
+  /** Returns whether the interval has passed, and starts the next one if so. */
   public boolean tryAcquire(long now) {
     if (now - lastAcquiredAt < intervalMicros) {
       return false;
--- a/src/main/java/ashspar/limits/LimitsSnapshot.java
+++ b/src/main/java/ashspar/limits/LimitsSnapshot.java
@@ -3,17 +3,17 @@
 import java.util.Locale;
 
 /**
- * A node's limits at one moment, as plain values.
+ * The limits of a node at one moment.
  *
- * @param setupsInProgress set-ups under way in the fleet
- * @param setupsAllowed set-ups that may be under way now
- * @param waiting requests in the waiting room
- * @param maxWaiting requests that may wait
- * @param retriesLeft attempts past the first that may be made now
- * @param ejectedServers servers that rest after failures, or await their trial
- * @param readyServers that are ready, at rest or not
- * @param slowdown how many times slower the fleet's middle server sets up than at its best, 1 where
- *     no cause that all share is seen
+ * @param setupsInProgress the set-ups in progress in the fleet
+ * @param setupsAllowed the set-ups that may be in progress now
+ * @param waiting the requests in the waiting room
+ * @param maxWaiting the capacity of the waiting room
+ * @param retriesLeft the repeated attempts that may be made now
+ * @param ejectedServers the servers that are ejected after failures or await their trial request
+ * @param readyServers the servers that are ready, ejected or not
+ * @param slowdown how much slower set-ups at the median server are than at its best, 1 if there is
+ *     no common cause
  */
 public record LimitsSnapshot(
     int setupsInProgress,
@@ -25,16 +25,16 @@
     int readyServers,
     double slowdown) {
 
-  /** Whether a limit keeps anything back. */
+  /** Returns whether any limit delays or rejects requests. */
   public boolean isLimiting() {
     return waiting > 0 || slowdown > 1 || setupsInProgress >= setupsAllowed;
   }
 
-  /** The figures in one line, for the operators. */
+  /** Returns the values as one line for the operators' log. */
   public String summary() {
     return String.format(
         Locale.ROOT,
-        "%d of %d set-ups out, %d wait, %d retries left, %d of %d servers rest, set-ups %.1f times"
+        "%d of %d set-ups in progress, %d waiting, %d retries left, %d of %d servers ejected, set-ups %.1f times"
             + " slower",
         setupsInProgress,
         setupsAllowed,
--- a/src/main/java/ashspar/limits/LoadEstimate.java
+++ b/src/main/java/ashspar/limits/LoadEstimate.java
@@ -4,79 +4,87 @@
 import java.util.Map;
 
 /**
- * What one connection adds to a server's load, before any report shows it. There are two estimates,
- * and the smaller counts: the fleet's mean load over the connections that this node takes there to
- * be, which is too much where the node has just started and knows few of them; and what connections
- * say of their own load, over the size of the server.
+ * Estimates the load that a connection adds to a server before any load report shows it. The
+ * smaller of two estimates is used: the mean load of the fleet divided by the assumed number of
+ * connections, which is too high on a node that has just started and knows few of them, and the
+ * load that connections report for themselves, divided by the size of the server.
  *
- * <p>A connection that brings a server a new group costs it {@link #GROUP_COST} connections more.
+ * <p>A connection that brings a new group to a server costs {@link #GROUP_COST} connections more.
  *
- * <p>Loads are as in reports, load asked over what the server can do; sizes are in cores where the
- * site tells nominal ones. For one thread at a time.
+ * <p>Loads are as in load reports, demanded load relative to capacity. Sizes are in cores if the
+ * site states nominal sizes. Not thread-safe.
  */
 public final class LoadEstimate {
-  /** What a group costs a server that holds any of it, in mean connections. */
+  /** The cost of a group on a server that holds any connection of it, in mean connections. */
   public static final double GROUP_COST = 3;
 
-  /** A group that this node holds at a server is held there by others too, or others are. */
+  /** Corrects the number of groups for those that only other nodes hold at a server. */
   private static final double UNSEEN_GROUPS_FACTOR = 1.3;
 
-  /** Connections a server at least, by which its load is shared out: few tell little. */
+  /**
+   * The number of connections per server by which its load is divided at least, since few
+   * connections give no reliable mean.
+   */
   private static final double MIN_CONNECTIONS_PER_SERVER = 5;
 
-  /** Load of a usual connection, in cores, until one tells its own: 15 to 24 fill a core. */
+  /**
+   * The assumed load of a connection in cores, before any has reported its own: 15 to 24
+   * connections fill a core.
+   */
   private static final double DEFAULT_CORES = 0.055;
 
   private static final double MAX_CORES = 0.2;
 
   private static final double MIN_CORES = DEFAULT_CORES / 4;
 
-  /** A connection is set up first, which is work too: so many times its own load. */
+  /** The factor for the work of the set-up that precedes the connection. */
   private static final double SETUP_FACTOR = 1.5;
 
-  /** Weight of one note of a connection's load in its class's mean. */
+  /** The weight of one reported load in the mean of its class. */
   private static final double LOAD_SMOOTHING = 0.05;
 
   private final Map<String, Double> coresByClass = new HashMap<>();
-  private double recordLoad;
+  private double meanReported;
   private double meanLoadPerConnection = Double.NaN;
 
-  /** A connection has told its load, in cores. */
+  /** Records the load of a connection, in cores. */
   public void recordLoad(String requestClass, double cores) {
-    double old = coresByClass.getOrDefault(requestClass, cores);
-    coresByClass.put(requestClass, old + LOAD_SMOOTHING * (cores - old));
-    recordLoad = recordLoad == 0 ? cores : recordLoad + LOAD_SMOOTHING * (cores - recordLoad);
+    double mean = coresByClass.getOrDefault(requestClass, cores);
+    coresByClass.put(requestClass, mean + LOAD_SMOOTHING * (cores - mean));
+    meanReported =
+        meanReported == 0 ? cores : meanReported + LOAD_SMOOTHING * (cores - meanReported);
   }
 
-  /** Load of a class's connections against that of all, 1 where none has told. */
+  /** Returns the load of the class's connections relative to that of all, 1 if unknown. */
   public double relativeLoad(String requestClass) {
     Double own = coresByClass.get(requestClass);
-    return own == null || recordLoad == 0 ? 1 : Math.min(10, Math.max(0.1, own / recordLoad));
+    return own == null || meanReported == 0 ? 1 : Math.min(10, Math.max(0.1, own / meanReported));
   }
 
-  /** Load of a mean connection, in cores. */
+  /** Returns the load of a mean connection, in cores. */
   public double meanCores() {
-    return recordLoad > 0 ? Math.min(MAX_CORES, recordLoad) : DEFAULT_CORES;
+    return meanReported > 0 ? Math.min(MAX_CORES, meanReported) : DEFAULT_CORES;
   }
 
   /**
-   * Connections that fill a server, by what they say of themselves. Where that is next to nothing,
-   * loads or sizes are in units of another kind, and what reports show counts: that is too much
-   * load for each where a node has just started and holds few.
+   * Returns how many connections fill a server, by the load that connections report. If that load
+   * is implausibly small, loads or sizes are in other units, and the load reports of servers are
+   * used instead; their estimate is too high on a node that has just started and holds few
+   * connections.
    */
   public double connectionsToFill(double size, double meanSize) {
-    double shown =
+    double reported =
         Double.isNaN(meanLoadPerConnection) ? DEFAULT_CORES : meanLoadPerConnection * meanSize;
-    return size / (meanCores() < MIN_CORES ? Math.max(MIN_CORES, shown) : meanCores());
+    return size / (meanCores() < MIN_CORES ? Math.max(MIN_CORES, reported) : meanCores());
   }
 
   /**
-   * Measures the fleet.
+   * Updates the estimate for the fleet.
    *
-   * @param meanLoad of its servers, as reported; NaN where unknown
-   * @param connections of all nodes
-   * @param groups held at servers, summed over these
-   * @param servers that are ready
+   * @param meanLoad the mean load of the servers as reported; NaN if unknown
+   * @param connections the connections of all nodes
+   * @param groups the number of groups held, summed over the servers
+   * @param servers the number of ready servers
    */
   public void measure(double meanLoad, double connections, double groups, int servers) {
     double each = (connections + GROUP_COST * UNSEEN_GROUPS_FACTOR * groups) / Math.max(1, servers);
@@ -84,19 +92,22 @@
   }
 
   /**
-   * What a connection adds to a server, where some others do as this node does.
+   * Returns the load that a connection adds to a server, including that of similar placements by
+   * other nodes.
    *
-   * @param cost its load against a mean one's
-   * @param newGroup whether it brings the server a group
-   * @param alike nodes that are taken to place one there as well, this one included
-   * @param size the server's, in cores; 0 where sizes tell nothing
-   * @param meanSize the mean of the servers' sizes
+   * @param cost the connection's load relative to the mean
+   * @param newGroup whether the connection brings a new group to the server
+   * @param coincidingNodes the number of nodes assumed to place a connection there at the same
+   *     time, including this one
+   * @param size the size of the server in cores; 0 if unknown
+   * @param meanSize the mean size of the servers
    */
-  public double addedLoad(double cost, boolean newGroup, int alike, double size, double meanSize) {
-    double one = Double.isNaN(meanLoadPerConnection) ? 0 : meanLoadPerConnection;
+  public double addedLoad(
+      double cost, boolean newGroup, int coincidingNodes, double size, double meanSize) {
+    double perConnection = Double.isNaN(meanLoadPerConnection) ? 0 : meanLoadPerConnection;
     if (size > 0) {
-      one = Math.min(one * meanSize / size, SETUP_FACTOR * meanCores() / size);
+      perConnection = Math.min(perConnection * meanSize / size, SETUP_FACTOR * meanCores() / size);
     }
-    return one * (cost * alike + (newGroup ? GROUP_COST : 0));
+    return perConnection * (cost * coincidingNodes + (newGroup ? GROUP_COST : 0));
   }
 }
--- a/src/main/java/ashspar/limits/NoCapacityCache.java
+++ b/src/main/java/ashspar/limits/NoCapacityCache.java
@@ -4,56 +4,63 @@
 import java.util.List;
 
 /**
- * Remembers that no server had room, so that those who wait are not taken round all servers again
- * at each event: a request that is worth no more finds none either, until something changes at a
- * server. Then only the few where it has are asked, and where they are many all is forgotten.
+ * Remembers that no server had capacity for a request, so that queued requests are not matched
+ * against all servers at every event. A request of the same or a lower value finds no capacity
+ * either until a server changes. Then only the changed servers are checked; after too many changes
+ * the cache is cleared.
  *
- * <p>What time alone changes is not told of: whoever passes time on calls {@link #clear}, soon
- * enough. Asking costs time linear in the changes kept. For one thread at a time.
+ * <p>Capacity that becomes available by the passing of time is not noticed; the caller must call
+ * {@link #clear} periodically. A query takes time linear in the number of changed servers. Not
+ * thread-safe.
  */
 public final class NoCapacityCache {
-  /** Changes kept: to ask so many costs less than to look at a large fleet. */
+  /**
+   * The number of changed servers tracked; checking this many is cheaper than searching a large
+   * fleet.
+   */
   private static final int MAX_CHANGED_SERVERS = 16;
 
-  private final List<ServerLimits> serverChanged = new ArrayList<>(MAX_CHANGED_SERVERS);
+  private final List<ServerLimits> changedServers = new ArrayList<>(MAX_CHANGED_SERVERS);
   private double fullForValue = -1;
 
-  /** No server had room for a request of this value that any server may take. */
+  /** Records that no server had capacity for a request of this value that any server may take. */
   public void recordNoCapacity(double requestValue) {
     fullForValue = requestValue;
-    serverChanged.clear();
+    changedServers.clear();
   }
 
-  /** Something has changed at the server: it may have room again. */
+  /** Records that a server has changed and may have capacity again. */
   public void serverChanged(ServerLimits server) {
-    if (fullForValue < 0 || serverChanged.contains(server)) {
+    if (fullForValue < 0 || changedServers.contains(server)) {
       return;
     }
-    if (serverChanged.size() == MAX_CHANGED_SERVERS) {
+    if (changedServers.size() == MAX_CHANGED_SERVERS) {
       clear();
     } else {
-      serverChanged.add(server);
+      changedServers.add(server);
     }
   }
 
-  /** Nothing is known any longer. */
+  /** Clears the cache. */
   public void clear() {
     fullForValue = -1;
-    serverChanged.clear();
+    changedServers.clear();
   }
 
-  /** Whether there surely is no room for a request of this value. */
+  /**
+   * Returns whether no server has capacity for a request of this value; false if that is not known.
+   */
   public boolean isKnownFull(long now, double requestValue) {
     if (requestValue > fullForValue) {
       return false;
     }
-    for (ServerLimits server : serverChanged) {
+    for (ServerLimits server : changedServers) {
       if (server.isOpen(now) && server.hasCapacity(now, requestValue)) {
         return false;
       }
     }
     if (requestValue == fullForValue) {
-      serverChanged.clear();
+      changedServers.clear();
     }
     return true;
   }
--- a/src/main/java/ashspar/limits/NodeLimits.java
+++ b/src/main/java/ashspar/limits/NodeLimits.java
@@ -6,31 +6,39 @@
 import java.util.Map;
 
 /**
- * All that one node holds itself to. The parts are asked directly; what concerns several at once,
- * and the places of set-ups, which belong to a server and to the fleet, are kept together here.
+ * All limits of one node. Callers query the components directly; this class implements what
+ * concerns several of them, in particular the slots of set-ups, which count for a server and for
+ * the fleet.
  *
- * <p>Times are microseconds. For one thread at a time.
+ * <p>Times are microseconds. Not thread-safe.
  *
- * @param <T> what waits in the waiting room
+ * @param <T> the type of the items in the waiting room
  */
 public final class NodeLimits<T> {
-  /** More than the sockets of one node: the bound is for what is no socket. */
+  /**
+   * The capacity of the waiting room. A node runs out of sockets before it reaches this bound,
+   * which protects against requests that hold no socket.
+   */
   public static final int MAX_WAITING = 16_384;
 
-  /** How many times the room of a group a server must have to take one that is held elsewhere. */
+  /**
+   * The multiple of a group's load for which a server must have capacity to take a group that this
+   * node holds elsewhere.
+   */
   private static final double NEW_GROUP_ROOM_FACTOR = 3;
 
   /**
-   * Up to so many nodes that see the same reports are taken to place where this one does. More
-   * spread out, see {@link PeerPlacements}, and each knows but a part of who holds which group;
-   * fewer, and small fleets filled the same server together.
+   * The number of nodes that are assumed to place a connection where this one does, because they
+   * see the same load reports. With more nodes, the additional placements are assumed to be spread
+   * over all servers, see {@link PeerPlacements}, and each node knows only a fraction of the
+   * group's holders. With a lower bound, the nodes of small fleets filled the same server together.
    */
   private static final int MAX_COINCIDING_NODES = 4;
 
-  /** Cores taken for a server whose size is not told: as few as any that was met. */
+  /** The assumed size of a server of unknown size, in cores: the smallest size known. */
   private static final double UNSIZED_CORES = 2;
 
-  /** How long the fleet's places are taken for what they were when they were counted. */
+  /** The interval at which the slots that the servers allow are counted. */
   private static final long RECOUNT_INTERVAL_MICROS = 20_000;
 
   public final TenantShares tenantShares = new TenantShares();
@@ -45,13 +53,13 @@
   public final SubsetScope subsetScope = new SubsetScope();
   public final BudgetDivision budgetDivision = new BudgetDivision();
   public final RetryBudget retryBudget;
-  private final List<ServerLimits> setReady = new ArrayList<>();
+  private final List<ServerLimits> readyServers = new ArrayList<>();
   private final FleetLimit fleetLimit = new FleetLimit();
   private final PeerPlacements peerPlacements = new PeerPlacements();
   private final ReconnectingClients reconnectingClients = new ReconnectingClients();
   private final StartupPace startupPace;
 
-  /** On how many servers this node holds a group. */
+  /** The number of servers on which this node holds each group. */
   private final Map<String, Integer> serversByGroup = new HashMap<>();
 
   private int nodeCount = 1;
@@ -61,70 +69,74 @@
 
   private WarmUp warmUp;
 
-  /** The limits of a node that starts now. */
+  /** Creates the limits of a node that starts now. */
   public NodeLimits(long now) {
     retryBudget = new RetryBudget(now);
     startupPace = new StartupPace(now);
   }
 
   /**
-   * New settings: the inverse of this node's part of the fleet's budgets, and what a request over
-   * its tenant's share is worth.
+   * Applies new settings.
+   *
+   * @param inverseShare the inverse of this node's share of the budgets of the fleet
+   * @param overShareValue the factor applied to the value of requests over their tenant's share
    */
-  public void configure(double ofNodes, double overShareWorth, WarmUp warming) {
-    tenantShares.configure(ofNodes, overShareWorth);
-    requestValues.configure(overShareWorth);
-    warmUp = warming;
+  public void configure(double inverseShare, double overShareValue, WarmUp newWarmUp) {
+    tenantShares.configure(inverseShare, overShareValue);
+    requestValues.configure(overShareValue);
+    warmUp = newWarmUp;
   }
 
-  /** How servers warm up, by the settings. */
+  /** Returns the warm-up of servers according to the settings. */
   public WarmUp warmUp() {
     return warmUp;
   }
 
-  /** Limits for a server that is heard of; it counts from {@link #setReady} on. */
+  /** Creates the limits of a new server, which counts after {@link #setReady}. */
   public ServerLimits newServer(String id) {
     return new ServerLimits(id, outlierDetector, noCapacityCache, peerPlacements);
   }
 
-  /** The server may be sent to from now on, or no longer. */
-  public void setReady(ServerLimits server, boolean on) {
-    setReady.remove(server);
-    if (on) {
-      setReady.add(server);
+  /** Sets whether the server may receive requests. */
+  public void setReady(ServerLimits server, boolean ready) {
+    readyServers.remove(server);
+    if (ready) {
+      readyServers.add(server);
     }
-    server.outlierRecord.setListed(on);
-    outlierDetector.setServerCount(setReady.size());
+    server.outlierRecord.setListed(ready);
+    outlierDetector.setServerCount(readyServers.size());
   }
 
-  /** Whether one more set-up may go, wherever it goes to. */
+  /** Returns whether another set-up may start on any server. */
   public boolean canSetUp(long now) {
-    return startupPace.mayPlace(now, setReady.size()) && fleetLimit.hasFreeSlot(serverSlots(now));
+    return startupPace.mayPlace(now, readyServers.size())
+        && fleetLimit.hasFreeSlot(serverSlots(now));
   }
 
+  /** Returns the number of set-ups that the ready servers allow in total. */
   private int serverSlots(long now) {
     if (now - countedAt >= RECOUNT_INTERVAL_MICROS) {
       countedAt = now;
       serverSlots = 0;
-      for (ServerLimits server : setReady) {
+      for (ServerLimits server : readyServers) {
         serverSlots += server.setups.allowed();
       }
     }
     return serverSlots;
   }
 
-  /** A set-up goes to the server. */
-  public void setupSent(long now, ServerLimits server, boolean again) {
+  /** Records that a set-up was sent to the server. */
+  public void setupSent(long now, ServerLimits server, boolean repeated) {
     startupPace.recordPlacement();
     fleetLimit.acquire();
     server.setups.acquire();
     server.outlierRecord.recordSent(now);
-    if (again) {
+    if (repeated) {
       retryBudget.spend(now);
     }
   }
 
-  /** A set-up has been answered with a connection, after so long. */
+  /** Records that a set-up was answered with a connection after {@code elapsed}. */
   public void setupAnswered(long now, ServerLimits server, long elapsed) {
     fleetLimit.release();
     server.setups.answered(now, elapsed, fleetLimit.slowdown());
@@ -133,10 +145,13 @@
     retryBudget.recordServed(now);
   }
 
-  /** A set-up has ended otherwise. Its place is given back, and here only. */
-  public void setupEnded(long now, ServerLimits server, SetupOutcome how) {
+  /**
+   * Records that a set-up ended without a connection, and releases its slot. No other method does
+   * so.
+   */
+  public void setupEnded(long now, ServerLimits server, SetupOutcome outcome) {
     fleetLimit.release();
-    switch (how) {
+    switch (outcome) {
       case REFUSED -> server.setups.refused(now, true);
       case UNREACHED -> server.setups.refused(now, false);
       case TIMED_OUT -> server.setups.abandoned(now, true);
@@ -147,10 +162,10 @@
   }
 
   /**
-   * A standing connection of this node has ended; its client may return.
+   * Records that an open connection of this node has ended; its client may reconnect.
    *
-   * @param own whether this process has placed it: another's, which it has succeeded, tells nothing
-   *     of how long connections live
+   * @param own whether this process placed the connection; the lifetime of one inherited from a
+   *     predecessor is unknown
    */
   public void connectionEnded(long now, String key, boolean own) {
     reconnectingClients.connectionEnded(key, now);
@@ -160,25 +175,26 @@
     }
   }
 
-  /** A server has broken a standing connection, or sent its client away. */
+  /** Records that a server has closed an open connection. */
   public void connectionClosedByServer(long now) {
     reconnectingClients.closedByServer(nodeCount - 1, now);
-    // It has left that server only, and others' clients have left it, too: no room anywhere else.
+    // The connection left only that server, and so did clients of other nodes; the other servers
+    // gain no capacity.
     peerPlacements.add(now, 1);
     lifetimes.recordEnded(-1);
   }
 
   /**
-   * A client has returned. Where it was another node's, what its connection asked is asked no
-   * longer: each server is taken to have as much less.
+   * Records that a client has reconnected. If it was connected through another node, its former
+   * load has disappeared, and the assumed load of each server is reduced by its share of it.
    */
   public void clientReconnected(long now, String key) {
     double cores = 0;
-    for (ServerLimits server : setReady) {
+    for (ServerLimits server : readyServers) {
       cores += server.size();
     }
     if (reconnectingClients.freedCapacity(key, now) && cores > 0) {
-      for (ServerLimits server : setReady) {
+      for (ServerLimits server : readyServers) {
         server.addLoad(now, -loadEstimate.meanCores() / cores);
       }
       noCapacityCache.clear();
@@ -186,78 +202,82 @@
   }
 
   /**
-   * Whether a server has room for a request. One that would bring it a group which this node holds
-   * elsewhere needs {@link #NEW_GROUP_ROOM_FACTOR} times the room that the group takes: in a full
-   * fleet a group on one server more costs what three connections do.
+   * Returns whether a server has capacity for a request. A request that would bring it a group that
+   * this node holds elsewhere needs capacity for {@link #NEW_GROUP_ROOM_FACTOR} times the load of
+   * the group, since in a full fleet a group on an additional server costs as much as three
+   * connections.
    *
-   * @param value what the request is worth against the worthiest, 0 to 1
+   * @param value the value of the request relative to the highest, 0 to 1
    */
-  public boolean waitingRoom(long now, ServerLimits server, double value, String group) {
-    boolean spreads = server.groups.isNew(group) && holdsGroup(group);
-    double costs = spreads ? loadEstimate.addedLoad(0, true, 1, server.currentSize(), meanSize) : 0;
-    return server.hasCapacity(now, value, NEW_GROUP_ROOM_FACTOR * costs);
+  public boolean hasCapacity(long now, ServerLimits server, double value, String group) {
+    boolean addsHolder = server.groups.isNew(group) && holdsGroup(group);
+    double groupLoad =
+        addsHolder ? loadEstimate.addedLoad(0, true, 1, server.currentSize(), meanSize) : 0;
+    return server.hasCapacity(now, value, NEW_GROUP_ROOM_FACTOR * groupLoad);
   }
 
-  /** How much a connection of this group is liked at a server, from 0 to 1. */
+  /** Returns the affinity of a server for connections of this group, from 0 to 1. */
   public double affinity(ServerLimits server, String group) {
     return server.groups.affinity(group, (double) coincidingNodes() / nodeCount);
   }
 
-  /** Whether this node holds the group anywhere. */
+  /** Returns whether this node holds the group on any server. */
   public boolean holdsGroup(String group) {
     return group != null && serversByGroup.containsKey(group);
   }
 
   /**
-   * What is lost by moving a connection off a server, for each load that this frees: the last of a
-   * group takes the group's cost along.
+   * Returns the value lost per unit of load freed by moving a connection off a server. The last
+   * connection of a group also frees the load of the group.
    */
   public double valueLostByMoving(ServerLimits server, double value, String group) {
     return server.groups.isLastConnection(group) ? value / (1 + LoadEstimate.GROUP_COST) : value;
   }
 
-  /** Connections a second by which a warm server stays full. */
+  /** Returns the connections per second that keep a warm server full. */
   public double turnoverPerSecond(ServerLimits server) {
-    boolean sized = server.size() > 0 && meanSize > 0;
-    double fill =
-        sized
+    boolean hasSize = server.size() > 0 && meanSize > 0;
+    double connections =
+        hasSize
             ? loadEstimate.connectionsToFill(server.size(), meanSize)
             : loadEstimate.connectionsToFill(UNSIZED_CORES, UNSIZED_CORES);
-    return fill / lifetimes.meanSeconds();
+    return connections / lifetimes.meanSeconds();
   }
 
-  /** Room at the other servers, in loads of this one. */
+  /** Returns the capacity of the other servers, relative to this one. */
   public double spareCapacity(long now, ServerLimits server) {
     double spare = 0;
-    for (ServerLimits other : setReady) {
+    for (ServerLimits other : readyServers) {
       if (other != server && other.isOpen(now)) {
-        double sizes = other.size() > 0 && server.size() > 0 ? other.size() / server.size() : 1;
-        spare += (ServerLimits.MAX_LOAD - other.load(now)) * sizes;
+        double relativeSize =
+            other.size() > 0 && server.size() > 0 ? other.size() / server.size() : 1;
+        spare += (ServerLimits.MAX_LOAD - other.load(now)) * relativeSize;
       }
     }
     return spare;
   }
 
   /**
-   * A request goes to the server, or its connection stands there.
+   * Records that a request was sent to the server or that its connection is open there.
    *
-   * @param cost its load against a mean one's
-   * @param shown whether reports show it already
-   * @return what it adds to the server's load, to be given back by {@link #connectionRemoved}; NaN
-   *     where reports show it and nothing tells yet how much it is
+   * @param cost the load relative to the mean connection
+   * @param reported whether load reports already include the connection
+   * @return the load added to the server, to be passed to {@link #connectionRemoved}; NaN if load
+   *     reports include it and its amount is not known yet
    */
   public double connectionAdded(
-      long now, ServerLimits server, double cost, String group, boolean shown) {
-    // Places of a cold server are dealt out: nobody else takes this one.
-    int alike = server.currentSize() < server.size() ? 1 : coincidingNodes();
+      long now, ServerLimits server, double cost, String group, boolean reported) {
+    // Slots of a cold server belong to one node each, so no other node places a connection there.
+    int placingNodes = server.currentSize() < server.size() ? 1 : coincidingNodes();
     boolean isNew = server.groups.isNew(group);
-    double adds = loadEstimate.addedLoad(cost, isNew, alike, server.currentSize(), meanSize);
+    double addedLoad =
+        loadEstimate.addedLoad(cost, isNew, placingNodes, server.currentSize(), meanSize);
     if (server.groups.isNew(group)) {
       serversByGroup.merge(group, 1, Integer::sum);
     }
-    server.connectionAdded(now, shown ? 0 : adds, group);
-    peerPlacements.add(now, shown ? 0 : 1);
-    return shown && adds == 0 ? Double.NaN : adds;
+    server.connectionAdded(now, reported ? 0 : addedLoad, group);
+    peerPlacements.add(now, reported ? 0 : 1);
+    return reported && addedLoad == 0 ? Double.NaN : addedLoad;
   }
 
   private int coincidingNodes() {
@@ -265,57 +285,57 @@
   }
 
   /**
-   * What has {@link #connectionAdded} a server is gone from there, with what it added. A connection
-   * that stood before anything was measured, as those of a predecessor do, leaves what one adds
-   * now. Without this their clients, once moved, waited for seconds before hosts that their own
-   * load seemed to fill.
+   * Reverses {@link #connectionAdded}. A connection that was opened before the first measurement,
+   * such as that of a predecessor, removes the load that a connection adds now. Without this, its
+   * client, when moved, waited several seconds for servers that seemed to be filled by the client's
+   * own load.
    */
-  public void connectionRemoved(long now, ServerLimits server, double added, String group) {
-    boolean lone = server.groups.isLastConnection(group);
-    double leaves = added;
-    if (Double.isNaN(added)) {
-      leaves = loadEstimate.addedLoad(1, lone, 1, server.currentSize(), meanSize);
+  public void connectionRemoved(long now, ServerLimits server, double addedLoad, String group) {
+    boolean isLast = server.groups.isLastConnection(group);
+    double removedLoad = addedLoad;
+    if (Double.isNaN(addedLoad)) {
+      removedLoad = loadEstimate.addedLoad(1, isLast, 1, server.currentSize(), meanSize);
     }
-    if (lone) {
+    if (isLast) {
       serversByGroup.computeIfPresent(group, (g, servers) -> servers > 1 ? servers - 1 : null);
     }
-    server.connectionRemoved(now, leaves, group);
+    server.connectionRemoved(now, removedLoad, group);
     peerPlacements.add(now, -1);
   }
 
   /**
-   * Measures the fleet: what all servers share, and what a connection adds to one.
+   * Updates the measurements of the fleet.
    *
-   * @param meanLoad of the servers, as reported; NaN where unknown
-   * @param connections that stand here
-   * @param newNodeCount how many nodes there are, each of which is taken to hold as many
+   * @param meanLoad the mean of the reported loads; NaN if unknown
+   * @param connections the open connections of this node
+   * @param newNodeCount the number of nodes, each of which is assumed to have as many connections
    */
   public void measure(long now, double meanLoad, int connections, int newNodeCount) {
     nodeCount = newNodeCount;
     lifetimes.measure(now, connections);
     double groups = 0;
     double sizes = 0;
-    for (ServerLimits server : setReady) {
+    for (ServerLimits server : readyServers) {
       groups += server.groups.size();
       sizes += server.size();
     }
-    meanSize = sizes / Math.max(1, setReady.size());
-    loadEstimate.measure(meanLoad, connections * (double) nodeCount, groups, setReady.size());
-    for (ServerLimits server : setReady) {
-      double share = sizes > 0 ? server.size() / sizes : 1.0 / setReady.size();
+    meanSize = sizes / Math.max(1, readyServers.size());
+    loadEstimate.measure(meanLoad, connections * (double) nodeCount, groups, readyServers.size());
+    for (ServerLimits server : readyServers) {
+      double share = sizes > 0 ? server.size() / sizes : 1.0 / readyServers.size();
       server.setPeerLoadPerPlacement(
           (nodeCount - coincidingNodes())
               * share
               * loadEstimate.addedLoad(1, false, 1, server.size(), meanSize));
     }
     fleetLimit.measure(
-        setReady.stream()
+        readyServers.stream()
             .filter(s -> !s.outlierRecord.isEjected() && s.setups.hasRecentAnswer(now))
             .mapToDouble(s -> s.setups.slowdown())
             .toArray());
   }
 
-  /** The figures as they are now. */
+  /** Returns the current values. */
   public LimitsSnapshot snapshot(long now) {
     return new LimitsSnapshot(
         fleetLimit.setupsInProgress(),
@@ -324,7 +344,7 @@
         waitingRoom.capacity(),
         retryBudget.available(now),
         outlierDetector.ejectedCount(),
-        setReady.size(),
+        readyServers.size(),
         fleetLimit.slowdown());
   }
 }
--- a/src/main/java/ashspar/limits/OutlierDetector.java
+++ b/src/main/java/ashspar/limits/OutlierDetector.java
@@ -1,48 +1,53 @@
 package ashspar.limits;
 
 /**
- * Which servers rest after failures. A server that fails again and again rests for a growing time;
- * then a single trial flow is let through, and its outcome ends the rest or begins a longer one
- * (outlier detection and circuit breaking as in Envoy and Nygard's "Release It!"). Never more than
- * a stated part of the fleet rests at once: when more fail, the cause is not theirs, and sending
- * nowhere serves nobody.
+ * Ejects servers after failures. A server that fails repeatedly is ejected for a growing time. Then
+ * a single trial request is sent; its outcome ends the ejection or starts a longer one (outlier
+ * detection and circuit breaking as in Envoy and in Nygard's "Release It!"). At most a fixed share
+ * of the fleet is ejected at once: if more servers fail, the cause lies elsewhere, and sending to
+ * no server helps no client.
  *
- * <p>Times are microseconds. Calls cost constant time, {@link #setServerCount} apart. For one
- * thread at a time.
+ * <p>Times are microseconds. All operations take constant time. Not thread-safe.
  */
 public final class OutlierDetector {
-  /** The largest part of the fleet that may rest at once; at least one server may, of two. */
+  /**
+   * The largest share of the fleet that may be ejected at once; of two or more servers, at least
+   * one may be.
+   */
   public static final double MAX_EJECTED_SHARE = 0.34;
 
-  /** First and longest rest. */
+  /** The first and the longest ejection. */
   public static final long MIN_EJECTION_MICROS = 2_000_000;
 
   public static final long MAX_EJECTION_MICROS = 16_000_000;
 
-  /** A trial whose outcome is not heard of in this time is given up, and another one is let out. */
+  /** The time after which a trial without an outcome is abandoned and another one is allowed. */
   private static final long TRIAL_TIMEOUT_MICROS = 5_000_000;
 
-  /** One server's record. */
+  /** The record of one server. */
   public final class Record {
     private long ejectedUntil = Long.MIN_VALUE / 2;
     private long failedAt = Long.MIN_VALUE / 2;
     private long ejectionMicros = MIN_EJECTION_MICROS;
     private double failures;
-    private boolean setListed;
+    private boolean listed;
     private boolean isEjected;
     private boolean probeAnswered;
     private long trialAt = Long.MIN_VALUE / 2;
 
-    /** Whether the server may be sent to now, be it as its single trial. */
+    /** Returns whether the server may be sent an attempt now, possibly as its single trial. */
     public boolean mayReceive(long now) {
       return !isEjected || (now >= trialAllowedAt() && now - trialAt >= TRIAL_TIMEOUT_MICROS);
     }
 
+    /**
+     * Returns the time from which a trial is allowed: sooner if the server has answered a probe.
+     */
     private long trialAllowedAt() {
       return probeAnswered ? failedAt + ejectionMicros / 4 : ejectedUntil;
     }
 
-    /** An attempt goes to the server. */
+    /** Records that an attempt was sent to the server. */
     public void recordSent(long now) {
       if (isEjected) {
         trialAt = now;
@@ -50,45 +55,47 @@
     }
 
     /**
-     * The server has answered an attempt as it should, which ends its rest. Half of its failures
-     * are forgotten: one that fails three attempts of four was well again after each fourth, and
-     * was never let rest.
+     * Records that the server has answered an attempt successfully, which ends an ejection. Half of
+     * the previous failures are kept: otherwise a server that fails three of four attempts would
+     * recover with each fourth and never be ejected.
      */
     public void recordSuccess() {
-      double kept = failures / 2;
+      double keptFailures = failures / 2;
       reset();
-      failures = kept;
+      failures = keptFailures;
     }
 
     /**
-     * The server has answered a probe. That ends no rest, since a server may answer probes and lose
-     * requests; but its trial comes sooner, and a rest outlasts its cause by little.
+     * Records that the server has answered a probe. This does not end an ejection, since a server
+     * may answer probes and still lose requests, but it brings the trial forward, so that the
+     * ejection does not outlast its cause for long.
      */
     public void recordProbeAnswer(long now) {
       probeAnswered = isEjected;
     }
 
-    /** Whether an answered probe would bring the trial nearer. */
+    /** Returns whether the answer to a probe would bring the trial forward. */
     public boolean awaitsProbe() {
       return isEjected && !probeAnswered;
     }
 
     /**
-     * The server has failed; it rests from the given failure in a row on. Failures during a rest
-     * are of the same go, but for a trial's.
+     * Records a failure. The server is ejected from the given number of consecutive failures on.
+     * While it is ejected, only the failure of its trial counts.
      *
-     * @return how long the server rests now because of this failure, 0 if it does not
+     * @param from the number of failures that ejects the server
+     * @return how long the server is ejected because of this failure, 0 if it is not
      */
     public long recordFailure(long now, int from) {
       boolean trial = isEjected && trialAt > failedAt;
-      if (!setListed || (isEjected && !trial)) {
+      if (!listed || (isEjected && !trial)) {
         return 0;
       }
       failures++;
       if (!trial && (failures < from || !mayEject())) {
         return 0;
       }
-      // A server that failed soon after its last rest goes on failing.
+      // A server that fails again soon after an ejection is ejected for longer.
       ejectionMicros =
           trial || now - ejectedUntil < ejectionMicros
               ? Math.min(MAX_EJECTION_MICROS, 2 * ejectionMicros)
@@ -104,27 +111,32 @@
       return ejectionMicros;
     }
 
-    /** The trial ended without news of the server: another may go. */
+    /**
+     * Records that the trial ended without information about the server, so that another one may be
+     * sent.
+     */
     public void cancelTrial() {
       trialAt = Long.MIN_VALUE / 2;
     }
 
+    /** Returns whether the server is ejected or awaits its trial. */
     public boolean isEjected() {
       return isEjected;
     }
 
     /**
-     * The server is of the fleet from now on, or no longer. One that has left breaks what it still
-     * holds: a rest that nothing ends would take the others' share of rests for good.
+     * Adds the server to the fleet or removes it. Removal ends an ejection: a removed server still
+     * breaks its remaining connections, and an ejection that never ends would permanently use up
+     * the share of the fleet that may be ejected.
      */
     public void setListed(boolean on) {
       if (!on) {
         reset();
       }
-      setListed = on;
+      listed = on;
     }
 
-    /** The server has started anew. */
+    /** Clears the record when the server has restarted. */
     public void reset() {
       if (isEjected) {
         isEjected = false;
@@ -139,17 +151,17 @@
   private int serverCount;
   private int ejectedCount;
 
-  /** A record for a server, which counts from {@link Record#setListed} on. */
+  /** Creates the record of a server, which counts after {@link Record#setListed}. */
   public Record newRecord() {
     return new Record();
   }
 
-  /** How many servers there are. */
+  /** Sets the number of servers in the fleet. */
   public void setServerCount(int size) {
     serverCount = size;
   }
 
-  /** Servers that rest, or await their trial. */
+  /** Returns the number of servers that are ejected or await their trial. */
   public int ejectedCount() {
     return ejectedCount;
   }
--- a/src/main/java/ashspar/limits/PeerPlacements.java
+++ b/src/main/java/ashspar/limits/PeerPlacements.java
@@ -4,33 +4,40 @@
 import java.util.Iterator;
 
 /**
- * What the other nodes are taken to have placed meanwhile: as much as this node, each of them, and
- * spread over all servers. To take them to have placed it where this node did is right on average
- * and wrong at each server: of fourteen nodes, one connection placed by one of them read as
- * fourteen at its server, which so looked full to that node, and not at all to the thirteen.
+ * Estimates the connections that other nodes have placed since the last load report: each node is
+ * assumed to place as many as this one, spread over all servers. The assumption that they use the
+ * same server as this node is correct on average but wrong for each server: with fourteen nodes,
+ * one connection of one node counted as fourteen on its server, which therefore looked full to that
+ * node and unchanged to the other thirteen.
  *
- * <p>Counts are connections of this node, ended ones taken off; times are microseconds. A count
- * costs constant time, a look back as much as there are changes since then. For one thread at a
- * time.
+ * <p>Counts are connections of this node minus those that have ended; times are microseconds.
+ * Adding takes constant time, a query of the past takes time linear in the changes since then. Not
+ * thread-safe.
  */
 public final class PeerPlacements {
-  /** Changes kept at most: no report is older than a few seconds, and the rest counts as old. */
+  /**
+   * The number of changes kept. Load reports are at most a few seconds old, so older changes are
+   * not needed.
+   */
   private static final int MAX_CHANGES = 512;
 
   private final ArrayDeque<long[]> changes = new ArrayDeque<>();
   private long total;
 
-  /** Nothing has been placed yet. */
+  /** Creates an estimate without placements. */
   public PeerPlacements() {
     changes.add(new long[] {Long.MIN_VALUE, 0});
   }
 
-  /** Connections placed so far, less those that have ended. */
+  /** Returns the connections placed so far minus those that have ended. */
   public long total() {
     return total;
   }
 
-  /** This node has placed a connection, or with -1 one has ended; the others do as much. */
+  /**
+   * Records a placement by this node, or with -1 the end of a connection; the other nodes are
+   * assumed to do the same.
+   */
   public void add(long now, int connections) {
     total += connections;
     long[] last = changes.peekLast();
@@ -44,7 +51,7 @@
     changes.addLast(new long[] {now, total});
   }
 
-  /** The {@link #total} as it was at a time; as of the oldest change kept, where that is later. */
+  /** Returns the {@link #total} at a past time, or at the oldest change kept if that is later. */
   public long totalAt(long time) {
     Iterator<long[]> back = changes.descendingIterator();
     long[] change = back.next();
--- a/src/main/java/ashspar/limits/PlacedLoad.java
+++ b/src/main/java/ashspar/limits/PlacedLoad.java
@@ -3,25 +3,25 @@
 import java.util.ArrayDeque;
 
 /**
- * What this node has added to a server's load, or taken from it, since the server was last
- * measured. A report is a measurement of some time ago, so that it settles only what happened
- * before that; a report that equals the last one is the same measurement, and settles nothing new.
- * Ends of connections count as placements do, so that steady churn adds up to nothing.
+ * The load that this node has added to a server, or removed from it, since the server was last
+ * measured. A load report describes the server some time ago, so it accounts only for changes
+ * before that time; a report that equals the previous one is the same measurement and accounts for
+ * nothing new. Closed connections count like placements, so that steady churn adds up to zero.
  *
- * <p>Load is in units of the report (load asked over what the server can do); times are
- * microseconds. Calls cost constant time on average. For one thread at a time.
+ * <p>Load is in units of the report, demanded load relative to capacity; times are microseconds.
+ * Operations take amortized constant time. Not thread-safe.
  */
 public final class PlacedLoad {
-  /** A report travels for about so long after its measurement. */
+  /** The typical time from a measurement to the arrival of its report. */
   private static final long REPORT_LAG_MICROS = 250_000;
 
-  /** A measurement is at most so old when its report comes, whenever the last one came. */
+  /** The maximum age of a measurement when its report arrives. */
   private static final long MAX_REPORT_AGE_MICROS = 1_800_000;
 
-  /** Where reports come late, they show at least what was done so long ago. */
+  /** Changes older than this are assumed to be included in every report. */
   private static final long MAX_UNSETTLED_MICROS = 6_000_000;
 
-  /** Changes kept at most; beyond them the two oldest are taken for one. */
+  /** The number of changes kept; beyond it, the two oldest are merged. */
   private static final int MAX_CHANGES = 256;
 
   private record Change(long at, double load) {}
@@ -29,21 +29,21 @@
   private final ArrayDeque<Change> changes = new ArrayDeque<>();
   private double total;
 
-  /** When the last measurement was last seen. */
+  /** The time at which the last measurement was last reported. */
   private long seenAt = Long.MIN_VALUE / 2;
 
-  /** What was done until then is settled. */
+  /** The time up to which changes are included in the reports. */
   private long settledTo = Long.MIN_VALUE / 2;
 
   private double lastLoad = Double.NaN;
   private double lastOther = Double.NaN;
 
-  /** Load that no report shows yet; negative where more ended than began. */
+  /** Returns the load that no report shows yet; negative if more connections ended than began. */
   public double total() {
     return total;
   }
 
-  /** A connection has been placed, or with a negative load has ended. */
+  /** Records a placed connection, or with a negative load a closed one. */
   public void add(long now, double load) {
     if (changes.size() == MAX_CHANGES) {
       Change first = changes.removeFirst();
@@ -55,7 +55,7 @@
   }
 
   /**
-   * A report has come. Two of its values tell whether it is a new measurement; either may be NaN.
+   * Records a load report. Two of its values, of which either may be NaN, identify the measurement.
    */
   public void recordReport(long now, double load, double other) {
     boolean same =
@@ -63,24 +63,25 @@
             && Double.compare(other, lastOther) == 0
             && now - seenAt < MAX_REPORT_AGE_MICROS;
     settle(now - MAX_UNSETTLED_MICROS);
-    // A new one was made between the last look that still showed the old one and now. Taken for too
-    // late, it settles what it does not show, and the server is filled twice: rather too early.
-    long before = Math.max(seenAt, now - MAX_REPORT_AGE_MICROS);
+    // A new measurement was made at some time since the last report of the previous one. An
+    // estimate that is too late would treat connections as included that are not, and the server
+    // would be filled twice, so the estimate is rather too early.
+    long earliest = Math.max(seenAt, now - MAX_REPORT_AGE_MICROS);
     seenAt = now;
     if (!same) {
       lastLoad = load;
       lastOther = other;
-      settle(before + (now - before) / 4 - REPORT_LAG_MICROS);
+      settle(earliest + (now - earliest) / 4 - REPORT_LAG_MICROS);
     }
   }
 
-  /** The server has started anew, or is measured by other means: nothing is added any longer. */
+  /** Discards all changes because the server has restarted or is measured by other means. */
   public void clear() {
     changes.clear();
     total = 0;
   }
 
-  /** Until when what was done is settled; it never goes back. */
+  /** Returns the time up to which changes are included in the reports; it never decreases. */
   public long settledTo() {
     return settledTo;
   }
--- a/src/main/java/ashspar/limits/ReconnectingClients.java
+++ b/src/main/java/ashspar/limits/ReconnectingClients.java
@@ -4,26 +4,28 @@
 import java.util.Map;
 
 /**
- * Whose load has gone. A client that returns after a break and was not this node's a moment ago was
- * another node's: what its connection asked of a server is asked no longer, though no report shows
- * it yet. Without this a node that took over the clients of a stopping one held them back for two
- * seconds, by reports of the load that they themselves had been.
+ * Detects load that has disappeared. A client that reconnects after a failure and was not recently
+ * connected to this node was connected through another one; its former connection no longer puts
+ * load on a server, although no report shows that yet. Without this detection, a node that took
+ * over the clients of a stopping one delayed them for two seconds, because of reports of the load
+ * that they themselves had caused.
  *
- * <p>Where servers send their clients away, as in a drain, the load is gone with the server, and
- * leaves no room on the others. This node sees its own part of those endings and takes the other
- * nodes to see as much.
+ * <p>If servers close connections, as in a drain, the load disappears together with the server and
+ * frees no capacity on the others. This node sees its own share of those closes and assumes that
+ * the other nodes see as many.
  *
- * <p>Times are microseconds. Calls cost constant time. For one thread at a time.
+ * <p>Times are microseconds. All operations take constant time. Not thread-safe.
  */
 public final class ReconnectingClients {
-  /** Clients return within two seconds of a break; their keys are kept a little longer. */
+  /** Clients reconnect within two seconds of a failure; their keys are kept somewhat longer. */
   private static final long KEY_RETENTION_MICROS = 4_000_000;
 
-  /** Keys kept at most: the oldest makes room. */
+  /** The number of keys tracked; beyond it, the oldest is evicted. */
   private static final int MAX_TRACKED_KEYS = 4_096;
 
   /**
-   * Returns of other nodes' clients that one client sent away here accounts for, per other node.
+   * The reconnects of other nodes' clients attributed to each connection that a server closed here,
+   * per other node.
    */
   private static final double RECONNECTS_PER_CLOSE = 1.5;
 
@@ -37,23 +39,29 @@
         }
       };
 
-  private double closedByServer;
+  private double expectedReconnects;
   private long closedAt;
 
   /**
-   * A connection of this node has ended, of the client with this key, or null where it has none.
+   * Records that a connection of this node has ended; {@code key} identifies its client, or is
+   * null.
    */
   public void connectionEnded(String key, long now) {
     remember(key, now);
   }
 
-  /** A server has ended a connection of this node, while there are so many other nodes. */
+  /**
+   * Records that a server has closed a connection of this node, given the number of other nodes.
+   */
   public void closedByServer(int others, long now) {
     expire(now);
-    closedByServer += RECONNECTS_PER_CLOSE * others;
+    expectedReconnects += RECONNECTS_PER_CLOSE * others;
   }
 
-  /** Whether a client that returns was another node's, and its load has left room; asked once. */
+  /**
+   * Returns whether a reconnecting client came from another node and its former load has freed
+   * capacity. Must be called once per reconnect.
+   */
   public boolean freedCapacity(String key, long now) {
     Long last = key == null ? Long.valueOf(now) : lastSeenByKey.get(key);
     remember(key, now);
@@ -61,8 +69,8 @@
       return false;
     }
     expire(now);
-    if (closedByServer >= 1) {
-      closedByServer--;
+    if (expectedReconnects >= 1) {
+      expectedReconnects--;
       return false;
     }
     return true;
@@ -77,7 +85,7 @@
 
   private void expire(long now) {
     if (now - closedAt >= KEY_RETENTION_MICROS) {
-      closedByServer = 0;
+      expectedReconnects = 0;
     }
     closedAt = now;
   }
--- a/src/main/java/ashspar/limits/RequestValues.java
+++ b/src/main/java/ashspar/limits/RequestValues.java
@@ -1,14 +1,14 @@
 package ashspar.limits;
 
 /**
- * What requests cost and are worth against each other: by their hints, their classes, and whether
- * their tenant is over his share. For one thread at a time.
+ * The costs and values of requests relative to each other, from their load hints, their classes,
+ * and whether their tenant is over its share. Not thread-safe.
  */
 public final class RequestValues {
-  /** Weight of one hint in their mean. */
+  /** The weight of one hint in the mean. */
   private static final double HINT_SMOOTHING = 0.05;
 
-  /** A hint counts for so many mean ones at most, and for one such part of one at least. */
+  /** The bounds of a request's cost, in mean requests. */
   private static final double MAX_COST = 10;
 
   private static final double MIN_COST = 0.1;
@@ -16,7 +16,7 @@
   private final TenantShares shares;
   private final LoadEstimate estimate;
 
-  /** Mean of the hints, 0 while there is none. */
+  /** The mean of the hints, 0 if there are none. */
   private double meanHint;
 
   private double highestValue;
@@ -27,33 +27,39 @@
     this.estimate = estimate;
   }
 
-  /** New settings: their classes are told anew. */
-  void configure(double overShareWorth) {
+  /** Resets the values for new settings; their classes follow through {@link #addClass}. */
+  void configure(double newOverShareValue) {
     highestValue = 1e-3;
-    overShareValue = overShareWorth;
+    overShareValue = newOverShareValue;
   }
 
-  /** One of the settings' classes has this worth. */
-  public void addClass(double worth) {
-    highestValue = Math.max(highestValue, worth);
+  /** Adds a class with this value. */
+  public void addClass(double value) {
+    highestValue = Math.max(highestValue, value);
   }
 
-  /** A request has come with this hint at its load, 0 for none. */
+  /** Records the load hint of a request, 0 for none. */
   public void recordHint(double hint) {
     if (hint > 0) {
       meanHint = meanHint == 0 ? hint : meanHint + HINT_SMOOTHING * (hint - meanHint);
     }
   }
 
-  /** A request's load against the mean request's, by its hint or else by what its class tells. */
-  public double relativeCost(double hint, String type) {
+  /**
+   * Returns the load of a request relative to the mean request, from its hint or else from its
+   * class.
+   */
+  public double relativeCost(double hint, String requestClass) {
     return hint > 0 && meanHint > 0
         ? Math.min(MAX_COST, Math.max(MIN_COST, hint / meanHint))
-        : estimate.relativeLoad(type);
+        : estimate.relativeLoad(requestClass);
   }
 
-  /** A class's worth against the worthiest one's; little where the tenant is over his share. */
-  public double relativeValue(double worth, String tenant) {
-    return worth / highestValue * (shares.isOverShare(tenant) ? overShareValue : 1);
+  /**
+   * Returns the value of a class relative to the most valuable one, reduced if the tenant is over
+   * its share.
+   */
+  public double relativeValue(double value, String tenant) {
+    return value / highestValue * (shares.isOverShare(tenant) ? overShareValue : 1);
   }
 }
--- a/src/main/java/ashspar/limits/RetryBudget.java
+++ b/src/main/java/ashspar/limits/RetryBudget.java
@@ -3,34 +3,40 @@
 import java.util.Arrays;
 
 /**
- * What attempts past the first may cost. Each is paid from a bucket that served flows fill, and
- * over any ten seconds there are at most a stated share of the requests' number of them, so that an
- * outage is not doubled by those who try again (Google's SRE book, chapter 21; Finagle's {@code
- * RetryBudget}). A first attempt costs nothing and waits for none.
+ * Limits repeated attempts, so that retries do not multiply the load of an outage (Google's SRE
+ * book, chapter 21; Finagle's {@code RetryBudget}). Each repeat is paid from credit that served
+ * requests earn, and in any ten seconds repeats are at most a fixed share of the requests. First
+ * attempts are free and never delayed.
  *
- * <p>Times are microseconds. Every call costs constant time. For one thread at a time.
+ * <p>Times are microseconds. All operations take constant time. Not thread-safe.
  */
 public final class RetryBudget {
-  /** The span over which attempts are held against requests. */
+  /** The window over which repeats are compared with requests. */
   public static final long WINDOW_MICROS = 10_000_000;
 
-  /** Attempts past the first, as a share of the requests of a span. */
+  /** The maximum number of repeats as a share of the requests in a window. */
   public static final double MAX_REPEAT_SHARE = 0.25;
 
   /**
-   * So many may be made in a span where there are few requests: a limit at its floor still tries.
+   * The repeats allowed per window regardless of the number of requests, so that recovery is still
+   * detected under low traffic.
    */
   public static final int MIN_REPEATS_PER_WINDOW = 3;
 
-  /** What a served flow pays into the bucket, in attempts. */
+  /** The credit earned by a served request, in attempts. */
   private static final double CREDIT_PER_SERVED = 0.5;
 
-  /** What time pays in, in attempts a second: without it, an outage's end was never noticed. */
+  /**
+   * The credit earned by the passing of time, in attempts per second. Without it, the end of an
+   * outage was never noticed.
+   */
   private static final double CREDIT_PER_SECOND = 0.5;
 
   private static final double MAX_CREDIT = 30;
 
-  /** Parts of a span; one more is kept, so that the sum covers a whole span at any time. */
+  /**
+   * The slices of a window. One more is kept, so that the sum covers a whole window at any time.
+   */
   private static final int SLICES = 10;
 
   private static final long SLICE_MICROS = WINDOW_MICROS / SLICES;
@@ -43,32 +49,32 @@
   private int requestSum;
   private int repeatSum;
 
-  /** Starts with half a bucket. */
+  /** Creates a budget with half of the maximum credit. */
   public RetryBudget(long now) {
     filledAt = now;
     advance(now);
   }
 
-  /** A request has come in, a client's own repeat included. */
+  /** Records a request, including one that a client repeats. */
   public void recordRequest(long now) {
     advance(now);
     requests[index()]++;
     requestSum++;
   }
 
-  /** A flow has been served. */
+  /** Records that a request was served. */
   public void recordServed(long now) {
     advance(now);
     credit = Math.min(MAX_CREDIT, credit + CREDIT_PER_SERVED);
   }
 
-  /** Whether an attempt past the first may be made now. */
+  /** Returns whether a repeated attempt may be made now. */
   public boolean allows(long now) {
     advance(now);
     return credit >= 1 && repeatSum < maxRepeats();
   }
 
-  /** Pays for an attempt past the first; {@link #allows} must have said so. */
+  /** Spends credit for a repeated attempt; {@link #allows} must have returned true. */
   public void spend(long now) {
     advance(now);
     credit -= 1;
@@ -76,14 +82,14 @@
     repeatSum++;
   }
 
-  /** Attempts past the first that may still be made now. */
+  /** Returns the number of repeated attempts that may still be made now. */
   public int available(long now) {
     advance(now);
     return (int) Math.max(0, Math.min(credit, maxRepeats() - repeatSum));
   }
 
   private double maxRepeats() {
-    // The oldest part leaves the span before the newest is full: it is not counted on.
+    // The oldest slice leaves the window before the newest is complete, so it does not count.
     return Math.max(
         MIN_REPEATS_PER_WINDOW, Math.floor(MAX_REPEAT_SHARE * (requestSum - requests[oldest()])));
   }
--- a/src/main/java/ashspar/limits/ServerLimits.java
+++ b/src/main/java/ashspar/limits/ServerLimits.java
@@ -1,42 +1,46 @@
 package ashspar.limits;
 
 /**
- * One server's limits, and what this node holds and has added there. Times are microseconds, loads
- * as in reports: load asked over what the server can do. For one thread at a time.
+ * The limits of one server, and the connections and load that this node has placed there. Times are
+ * microseconds; loads are as in load reports, demanded load relative to capacity. Not thread-safe.
  */
 public final class ServerLimits {
   /**
-   * Load up to which a server takes the worthiest requests, and those of next to no worth. Above it
-   * its messages come late: what it takes then is served badly, and so is all that it holds.
+   * The load up to which a server takes the most valuable requests, and the load up to which it
+   * takes requests of almost no value. A server above it answers late, to new connections as well
+   * as to all that it holds.
    */
   public static final double MAX_LOAD = 0.75;
 
   public static final double MAX_LOAD_LOWEST_VALUE = 0.6;
 
-  /** A report older than this tells nothing. */
+  /** An older report is ignored. */
   private static final long REPORT_EXPIRY_MICROS = 12_000_000;
 
-  /** Failures in a row from which a server rests, by what they tell of it. */
+  /** The number of consecutive failures that ejects a server, by the kind of failure. */
   private static final int FAILURES_HARD = 1;
 
   private static final int FAILURES_TIMEOUT = 2;
 
-  /** One flow's errors are its own. */
+  /** A single request may cause several errors of its own, so they weigh less. */
   private static final int FAILURES_ERROR = 3;
 
   public final SetupLimit setups = new SetupLimit(false);
   public final AffinityGroups groups;
   public final OutlierDetector.Record outlierRecord;
-  private final PlacedLoad unreportedLoad = new PlacedLoad();
+  private final PlacedLoad placedLoad = new PlacedLoad();
   private final NoCapacityCache noCapacityCache;
-  private double recordReport = Double.NaN;
+  private double reportedLoad = Double.NaN;
   private long reportedAt = Long.MIN_VALUE / 2;
   private double size;
   private double warmth = 1;
   private final PeerPlacements peerPlacements;
   private long reportedPlacements;
 
-  /** What one connection of this node, placed anywhere, tells of those that others place here. */
+  /**
+   * The load that other nodes are assumed to add here for each connection that this node places
+   * anywhere.
+   */
   private double peerLoadPerPlacement;
 
   ServerLimits(
@@ -48,105 +52,117 @@
     this.noCapacityCache = noRoom;
   }
 
-  /** The server has started anew; its size is in cores, 0 where sizes tell nothing of them. */
+  /** Resets the limits after a restart of the server. {@code cores} is its size, 0 if unknown. */
   public void started(boolean cold, double cores) {
     setups.restarted(cold);
-    unreportedLoad.clear();
+    placedLoad.clear();
     reportedPlacements = peerPlacements.total();
     outlierRecord.reset();
-    recordReport = Double.NaN;
+    reportedLoad = Double.NaN;
     size = cores;
     warmth = 1;
   }
 
-  /** A report has come, with the load and another value, either of which may be NaN. */
+  /** Records a load report with the load and another value; either may be NaN. */
   public void recordReport(long now, double load, double other) {
-    recordReport = load;
+    reportedLoad = load;
     reportedAt = now;
-    unreportedLoad.recordReport(now, load, other);
-    reportedPlacements = peerPlacements.totalAt(unreportedLoad.settledTo());
+    placedLoad.recordReport(now, load, other);
+    reportedPlacements = peerPlacements.totalAt(placedLoad.settledTo());
     noCapacityCache.serverChanged(this);
   }
 
-  /** The load that the server is taken to have: what was reported, and what no report shows. */
+  /**
+   * Returns the assumed load of the server: the reported load plus the load that no report shows
+   * yet.
+   */
   public double load(long now) {
-    boolean told = !Double.isNaN(recordReport) && now - reportedAt <= REPORT_EXPIRY_MICROS;
-    return (told ? recordReport : 0) + unreportedLoad();
+    boolean isReported = !Double.isNaN(reportedLoad) && now - reportedAt <= REPORT_EXPIRY_MICROS;
+    return (isReported ? reportedLoad : 0) + unreportedLoad();
   }
 
-  /** What no report shows yet of what all nodes have added; negative where more has ended. */
+  /** Returns the load added by all nodes that no report shows yet; negative if more has ended. */
   public double unreportedLoad() {
-    return unreportedLoad.total()
+    return placedLoad.total()
         + (peerPlacements.total() - reportedPlacements) * peerLoadPerPlacement;
   }
 
-  /** Measured anew: what others add here for each connection that this node places anywhere. */
+  /**
+   * Sets the load that other nodes are assumed to add here for each connection that this node
+   * places anywhere.
+   */
   void setPeerLoadPerPlacement(double each) {
     peerLoadPerPlacement = each;
   }
 
-  /** Size in cores, 0 where unknown. */
+  /** Returns the size in cores, 0 if unknown. */
   double size() {
     return size;
   }
 
-  /** The share of its size that it has by now; a report counts load against that share, too. */
+  /**
+   * Sets the share of its capacity that the server has by now. Load reports are relative to that
+   * share as well.
+   */
   public void setWarmth(double share) {
     warmth = share;
   }
 
-  /** Size in cores that it has by now, 0 where unknown. */
+  /** Returns the size in cores that the server has by now, 0 if unknown. */
   double currentSize() {
     return size * warmth;
   }
 
-  /** Whether a set-up may go to the server now, be it of the worthiest. */
+  /** Returns whether a set-up of a request of the highest value may be sent to the server now. */
   public boolean isOpen(long now) {
     return outlierRecord.mayReceive(now) && setups.hasFreeSlot(now) && load(now) < MAX_LOAD;
   }
 
-  /** Whether there is room for a request of this worth that needs no more than any other. */
+  /** Returns whether the server has capacity for a request of this value. */
   boolean hasCapacity(long now, double value) {
     return hasCapacity(now, value, 0);
   }
 
   /**
-   * Whether there is room for a request.
+   * Returns whether the server has capacity for a request.
    *
-   * @param value what it is worth against the worthiest, 0 to 1
-   * @param extra room that it needs beyond that of any other
+   * @param value the value of the request relative to the highest, 0 to 1
+   * @param extra the additional load that must fit
    */
   boolean hasCapacity(long now, double value, double extra) {
     return load(now) + extra
         < MAX_LOAD_LOWEST_VALUE + (MAX_LOAD - MAX_LOAD_LOWEST_VALUE) * Math.sqrt(value);
   }
 
-  /** Load that is added, or with a negative load taken, without this node's connections. */
+  /** Adds load that does not come from connections of this node; a negative value removes load. */
   void addLoad(long now, double load) {
-    unreportedLoad.add(now, load);
+    placedLoad.add(now, load);
   }
 
-  /** A connection of this node stands at the server, or has been sent there. */
+  /** Records that a connection of this node was sent to the server or is open there. */
   void connectionAdded(long now, double load, String group) {
-    unreportedLoad.add(now, load);
+    placedLoad.add(now, load);
     groups.connectionAdded(group);
   }
 
-  /** A connection of this node is gone from the server, with what it added. */
+  /**
+   * Records that a connection of this node no longer exists at the server, together with its load.
+   */
   void connectionRemoved(long now, double load, String group) {
-    unreportedLoad.add(now, -load);
+    placedLoad.add(now, -load);
     groups.connectionRemoved(group);
     noCapacityCache.serverChanged(this);
   }
 
   /**
-   * What an ending tells of the server. It may answer probes and lose requests: only their own time
-   * tells of that. Breaks that come in one go are one.
+   * Records the outcome of a set-up that failed or of a connection that broke. Probes alone do not
+   * reveal all faults: a server may answer probes and lose requests. Connections that break at the
+   * same time count as one failure.
    *
-   * @return how long the server rests now because of it, in microseconds; 0 if it does not
+   * @return how long the server is ejected because of it, in microseconds; 0 if it is not
    */
-  public long recordFailure(long now, SetupOutcome how) {
-    return switch (how) {
+  public long recordFailure(long now, SetupOutcome outcome) {
+    return switch (outcome) {
       case REFUSED, BROKE -> outlierRecord.recordFailure(now, FAILURES_HARD);
       case TIMED_OUT -> outlierRecord.recordFailure(now, FAILURES_TIMEOUT);
       case ERROR -> outlierRecord.recordFailure(now, FAILURES_ERROR);
--- a/src/main/java/ashspar/limits/SetupLimit.java
+++ b/src/main/java/ashspar/limits/SetupLimit.java
@@ -3,59 +3,62 @@
 import java.util.PriorityQueue;
 
 /**
- * How many set-ups may be under way at one server at once. The limit adapts to what set-ups take:
- * it follows the gradient between the best recent time and the present one, as the "gradient"
- * limits of congestion control do (TCP Vegas, Brakmo and Peterson 1995; Netflix's
- * concurrency-limits, {@code Gradient2Limit}), so that it grows while answers come as fast as they
- * did and shrinks while they queue.
+ * Limits the number of set-ups in progress at one server. The limit adapts to the time that set-ups
+ * take: it follows the gradient between the best recent time and the current one, as in congestion
+ * control (TCP Vegas, Brakmo and Peterson 1995; Netflix's concurrency-limits, {@code
+ * Gradient2Limit}). It grows while answers are as fast as they were and shrinks when they queue.
  *
- * <p>A place is taken by {@link #acquire} and given back by {@link #answered}, {@link #refused},
- * {@link #ended} or {@link #abandoned}, once for each that was taken. An attempt that was cut goes
- * on costing the server work, so that its place is free only once its time has passed.
+ * <p>{@link #acquire} takes a slot, and exactly one call of {@link #answered}, {@link #refused},
+ * {@link #ended} or {@link #abandoned} releases it. An abandoned attempt still costs the server
+ * work, so its slot becomes free only after the usual time of a set-up.
  *
- * <p>All times are microseconds. Each call costs O(log n) in the number of places held by attempts
- * that were cut, and constant time else. For one thread at a time.
+ * <p>All times are microseconds. Each operation takes O(log n) in the number of abandoned attempts
+ * and constant time otherwise. Not thread-safe.
  */
 public final class SetupLimit {
-  /** Places of a server of which nothing is known yet: enough to learn from, too few to hurt. */
+  /** The limit of a server of unknown speed: enough to measure it, too few to overload it. */
   public static final double INITIAL = 4;
 
-  /** Places of a server that is cold: it does a fraction of its usual work. */
+  /** The limit of a cold server, which has a fraction of its capacity. */
   public static final double COLD_INITIAL = 2;
 
-  /** A limit at its floor still tries. */
+  /** The lower bound of the limit, so that recovery is still detected. */
   public static final double MIN_LIMIT = 1;
 
-  /** More than a server of this kind sets up at once in any of its known sizes. */
+  /** The upper bound of the limit; more than servers of any known size set up at once. */
   public static final double MAX_LIMIT = 64;
 
-  /** Set-ups this many times slower than the best recent one are not yet queueing. */
+  /** Set-ups up to this many times slower than the best recent one are not considered queued. */
   private static final double TOLERANCE = 2;
 
-  /** The steepest cut of one answer: one slow answer alone must not halve what follows. */
+  /** The lower bound of the gradient, so that one slow answer does not halve the limit. */
   private static final double MIN_GRADIENT = 0.5;
 
-  /** Share of the new limit in the next: some ten answers move it most of the way. */
+  /** The weight of the new limit; about ten answers move the limit most of the way. */
   private static final double LIMIT_SMOOTHING = 0.2;
 
-  /** Share of one answer in the present time. */
+  /** The weight of one answer in the current set-up time. */
   private static final double RECENT_SMOOTHING = 0.25;
 
-  /** What is left of the limit after a time-out, and after the server has turned one away. */
+  /**
+   * The factor by which the limit is reduced after a time-out, and after a refusal by the server.
+   */
   private static final double AFTER_TIMEOUT = 0.6;
 
   private static final double AFTER_REFUSAL = 0.7;
 
-  /** The best time is of the last two windows, so that a server that has changed is learnt anew. */
+  /**
+   * The best time is taken over the last two windows, so that a changed server is measured anew.
+   */
   private static final long BEST_WINDOW_MICROS = 15_000_000;
 
-  /** A set-up faster than this is as good as any: below it, differences are the network's. */
+  /** Faster set-ups count as this, since differences below it come from the network. */
   private static final double MIN_SETUP_MICROS = 20_000;
 
-  /** An attempt that was cut holds its place at most so long. */
+  /** The maximum time for which an abandoned attempt keeps its slot. */
   private static final long MAX_ABANDONED_WORK_MICROS = 2_000_000;
 
-  /** Time for which an answer speaks for the present. */
+  /** The time for which an answer is considered recent. */
   private static final long RECENT_ANSWER_MICROS = 5_000_000;
 
   private double limit;
@@ -68,22 +71,22 @@
   private long windowEnds = Long.MIN_VALUE;
   private long reducedAt = Long.MIN_VALUE / 2;
 
-  /** A limit for a server of which nothing has been heard. */
+  /** Creates the limit of a server that has not answered yet. */
   public SetupLimit(boolean cold) {
     limit = cold ? COLD_INITIAL : INITIAL;
   }
 
-  /** Whether one more set-up may go. */
+  /** Returns whether another set-up may start. */
   public boolean hasFreeSlot(long now) {
     return slotsTaken(now) < allowed();
   }
 
-  /** Set-ups that may be under way at once; at least one. */
+  /** Returns how many set-ups may be in progress at once; at least one. */
   public int allowed() {
     return (int) Math.max(MIN_LIMIT, Math.floor(limit));
   }
 
-  /** Places taken: by attempts that are out, and by attempts that were cut a short time ago. */
+  /** Returns the number of slots taken by attempts in progress or abandoned a short time ago. */
   public int slotsTaken(long now) {
     while (!abandonedUntil.isEmpty() && abandonedUntil.peek() <= now) {
       abandonedUntil.remove();
@@ -91,35 +94,39 @@
     return inProgress + abandonedUntil.size();
   }
 
-  /** Takes a place; whether one is free is the caller's to ask. */
+  /** Takes a slot; the caller must check {@link #hasFreeSlot} first. */
   public void acquire() {
     inProgress++;
   }
 
   /**
-   * An attempt was answered: it gives its place back, and its time is learnt from.
+   * Releases the slot of an answered attempt and adapts the limit to its time.
    *
-   * @param slowdown how many times slower the whole fleet is than at its best, 1 or more: what all
-   *     servers share is no fault of this one
+   * @param slowdown how much slower the whole fleet is than at its best, at least 1; the server is
+   *     not blamed for a slowdown that all share
    */
   public void answered(long now, long elapsed, double slowdown) {
     release();
-    double took = Math.max(MIN_SETUP_MICROS, elapsed);
+    double duration = Math.max(MIN_SETUP_MICROS, elapsed);
     rotateWindow(now);
     answeredAt = now;
-    best = Double.isNaN(best) ? took : Math.min(best, took);
-    recent = Double.isNaN(recent) ? took : recent + RECENT_SMOOTHING * (took - recent);
+    best = Double.isNaN(best) ? duration : Math.min(best, duration);
+    recent = Double.isNaN(recent) ? duration : recent + RECENT_SMOOTHING * (duration - recent);
     double gradient = TOLERANCE * best() * Math.max(1, slowdown) / recent;
     gradient = Math.max(MIN_GRADIENT, Math.min(1, gradient));
-    // Growth is earned: while less than half of the limit is in use, answers say nothing of more.
-    boolean used = 2 * (inProgress + 1 + abandonedUntil.size()) >= limit;
-    double next = limit * gradient + (used ? Math.sqrt(limit) : 0);
-    if (next < limit || used) {
+    // The limit grows only if at least half of it is used; otherwise answers do not show whether
+    // the server could take more.
+    boolean isUsed = 2 * (inProgress + 1 + abandonedUntil.size()) >= limit;
+    double next = limit * gradient + (isUsed ? Math.sqrt(limit) : 0);
+    if (next < limit || isUsed) {
       set(limit + LIMIT_SMOOTHING * (next - limit));
     }
   }
 
-  /** The server turned the attempt away, or could not be reached: it never ran. */
+  /**
+   * Releases the slot of an attempt that never ran, because the server refused it or could not be
+   * reached.
+   */
   public void refused(long now, boolean full) {
     release();
     if (full) {
@@ -127,27 +134,30 @@
     }
   }
 
-  /** The attempt broke, or its client left before the answer: nothing is learnt of time. */
+  /**
+   * Releases the slot of an attempt that broke or whose client disconnected; its time is not
+   * measured.
+   */
   public void ended() {
     release();
   }
 
   /**
-   * The attempt was cut with its answer still out: the server may go on working on it for about as
-   * long as a set-up takes now.
+   * Releases the slot of an attempt that was abandoned before its answer. The slot stays taken for
+   * about the time of a set-up, since the server may continue to work on it.
    *
-   * @param timedOut true where it was out for longer than it should have been
+   * @param timedOut whether the attempt took longer than it should have
    */
   public void abandoned(long now, boolean timedOut) {
     release();
-    double work = Double.isNaN(recent) ? MIN_SETUP_MICROS : recent;
-    abandonedUntil.add(now + (long) Math.min(MAX_ABANDONED_WORK_MICROS, work));
+    double remainingWork = Double.isNaN(recent) ? MIN_SETUP_MICROS : recent;
+    abandonedUntil.add(now + (long) Math.min(MAX_ABANDONED_WORK_MICROS, remainingWork));
     if (timedOut) {
       reduceTo(now, AFTER_TIMEOUT);
     }
   }
 
-  /** The server has started anew: what was learnt of it is void, places stay taken. */
+  /** Forgets the measurements after a restart of the server; slots stay taken. */
   public void restarted(boolean cold) {
     limit = cold ? COLD_INITIAL : INITIAL;
     best = Double.NaN;
@@ -156,22 +166,22 @@
     windowEnds = Long.MIN_VALUE;
   }
 
-  /** Whether an answer has come lately, so that {@link #slowdown} says something. */
+  /** Returns whether an answer is recent enough for {@link #slowdown} to be meaningful. */
   public boolean hasRecentAnswer(long now) {
     return now - answeredAt <= RECENT_ANSWER_MICROS;
   }
 
-  /** How many times slower set-ups are now than at their best; 1 while nothing is known. */
+  /** Returns how much slower set-ups are now than at their best; 1 if unknown. */
   public double slowdown() {
     return Double.isNaN(recent) || Double.isNaN(best()) ? 1 : Math.max(1, recent / best());
   }
 
-  /** Attempts that fail in one go are one event: the limit is cut once for them. */
-  private void reduceTo(long now, double share) {
-    double spare = Double.isNaN(recent) ? MIN_SETUP_MICROS : recent;
-    if (now - reducedAt >= spare) {
+  /** Reduces the limit once for attempts that fail at the same time, since they have one cause. */
+  private void reduceTo(long now, double factor) {
+    double interval = Double.isNaN(recent) ? MIN_SETUP_MICROS : recent;
+    if (now - reducedAt >= interval) {
       reducedAt = now;
-      set(limit * share);
+      set(limit * factor);
     }
   }
 
@@ -181,7 +191,7 @@
 
   private void release() {
     if (inProgress == 0) {
-      throw new IllegalStateException("no place is taken");
+      throw new IllegalStateException("no set-up is in progress");
     }
     inProgress--;
   }
@@ -195,7 +205,7 @@
 
   private void rotateWindow(long now) {
     if (now >= windowEnds) {
-      // After a long silence both windows are old.
+      // After a long time without answers, both windows are outdated.
       bestBefore = now >= windowEnds + BEST_WINDOW_MICROS ? Double.NaN : best;
       best = Double.NaN;
       windowEnds = now + BEST_WINDOW_MICROS;
--- a/src/main/java/ashspar/limits/SetupOutcome.java
+++ b/src/main/java/ashspar/limits/SetupOutcome.java
@@ -1,17 +1,17 @@
 package ashspar.limits;
 
-/** How a set-up ended that was not answered with a connection. */
+/** The outcomes of a set-up that was not answered with a connection. */
 public enum SetupOutcome {
-  /** The server turned it away. */
+  /** The server refused it. */
   REFUSED,
-  /** The server could not be reached: it never ran. */
+  /** The server could not be reached, so the set-up never ran. */
   UNREACHED,
-  /** No answer came in time. */
+  /** The server did not answer in time. */
   TIMED_OUT,
-  /** It broke. */
+  /** The connection broke. */
   BROKE,
   /** The server answered with an error. */
   ERROR,
-  /** Its client has left, or it was called off. */
+  /** The client disconnected, or the attempt was cancelled. */
   CALLED_OFF
 }
--- a/src/main/java/ashspar/limits/Shedding.java
+++ b/src/main/java/ashspar/limits/Shedding.java
@@ -7,31 +7,34 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.ToDoubleFunction;
 
-/** Which connections to move off a server that is asked for more than it can do. Pure. */
+/** Chooses the connections to move off an overloaded server. Has no state. */
 public final class Shedding {
-  /** Load from which connections are moved, and what is left where others have room. */
+  /**
+   * The load above which connections are moved, and the load that remains if others have capacity.
+   */
   private static final double SHED_ABOVE = 0.9;
 
   private static final double SHED_TO = 0.85;
 
   /**
-   * Load from which a server's messages come too late for all that it holds, and what is left then
-   * even if nobody has room: some are served by nobody for a while, so that the rest are.
+   * The load above which a server answers all its connections late, and the load that remains then
+   * even if no other server has capacity: leaving some clients unserved for a while is better than
+   * serving all of them late.
    */
   private static final double OVERLOAD = 0.95;
 
   private static final double SHED_OVERLOAD_TO = 0.8;
 
-  /** Most of a server's connections, as a share, that one look moves. */
+  /** The largest share of a server's load that is moved at once. */
   private static final double MAX_SHED_SHARE = 0.8;
 
   private Shedding() {}
 
   /**
-   * The share of a server's load that is to be moved.
+   * Returns the share of a server's load that is to be moved.
    *
-   * @param load of the server, as reported
-   * @param spare room at the others, in loads of this one
+   * @param load the reported load of the server
+   * @param spare the capacity of the other servers, relative to this one
    */
   public static double excessShare(double load, double spare) {
     if (!(load > SHED_ABOVE)) {
@@ -43,10 +46,11 @@
   }
 
   /**
-   * The connections that carry this share of the load of all, those of the least value first. The
-   * last one goes by chance, so that nodes with few connections do their part too.
+   * Chooses the connections that carry this share of the total load, those of the lowest value
+   * first. The last one is included with a probability proportional to the remaining share, so that
+   * nodes with few connections contribute as well.
    *
-   * @param chance numbers from 0 to 1
+   * @param chance a source of random numbers from 0 to 1
    */
   public static <C> List<C> chooseConnections(
       Collection<C> open,
@@ -54,19 +58,19 @@
       ToDoubleFunction<C> load,
       ToDoubleFunction<C> value,
       DoubleSupplier chance) {
-    double most = 0;
+    double remaining = 0;
     for (C connection : open) {
-      most += share * load.applyAsDouble(connection);
+      remaining += share * load.applyAsDouble(connection);
     }
     List<C> order = new ArrayList<>(open);
     order.sort(Comparator.comparingDouble(value));
     List<C> chosen = new ArrayList<>();
     for (C connection : order) {
       double weight = load.applyAsDouble(connection);
-      if (most <= 0 || chance.getAsDouble() * weight >= most) {
+      if (remaining <= 0 || chance.getAsDouble() * weight >= remaining) {
         break;
       }
-      most -= weight;
+      remaining -= weight;
       chosen.add(connection);
     }
     return chosen;
--- a/src/main/java/ashspar/limits/StartupPace.java
+++ b/src/main/java/ashspar/limits/StartupPace.java
@@ -1,35 +1,36 @@
 package ashspar.limits;
 
 /**
- * The pace of a node that has just started. It knows nothing of load while the clients of the node
- * before it come back all at once: its first placements go out at a rate that grows with each
- * second, by the number of servers that there are, until after {@link #RAMP_MICROS} nothing is
- * held.
+ * Limits the rate of placements of a node that has just started. The node does not know the load of
+ * the servers yet, while the clients of its predecessor reconnect all at once. The rate is
+ * proportional to the number of servers and grows every second; after {@link #RAMP_MICROS} it is
+ * unlimited.
  *
- * <p>Times are microseconds. Calls cost constant time. For one thread at a time.
+ * <p>Times are microseconds. All operations take constant time. Not thread-safe.
  */
 public final class StartupPace {
-  /** So long after its start a node knows its servers' load: two reports of each have come. */
+  /** The time after which a node knows the load of its servers, from two reports of each. */
   public static final long RAMP_MICROS = 3_000_000;
 
-  /** Placements a second and server at the start, and what is added to that each second. */
+  /** The initial rate in placements per second and server, and its growth per second. */
   private static final double INITIAL_RATE = 4;
 
   private static final double RATE_GROWTH = 12;
 
-  /** Placements a server that may go at once. */
+  /** The burst of placements allowed per server. */
   private static final double BURST_PER_SERVER = 2;
 
   private final long startedAt;
   private double tokens = Double.NaN;
   private long filledAt;
 
+  /** Creates the pace of a node that starts at this time. */
   public StartupPace(long startedAt) {
     this.startedAt = startedAt;
     this.filledAt = startedAt;
   }
 
-  /** Whether one more placement may go now, with so many servers ready. */
+  /** Returns whether another placement may be made now, given the number of ready servers. */
   public boolean mayPlace(long now, int servers) {
     if (now - startedAt >= RAMP_MICROS) {
       return true;
@@ -42,12 +43,15 @@
     return tokens >= 1;
   }
 
-  /** A placement has gone. */
+  /** Records a placement. */
   public void recordPlacement() {
     tokens = Double.isNaN(tokens) ? tokens : tokens - 1;
   }
 
-  /** A connection placed has ended: what stands is what no report shows, and churn leaves none. */
+  /**
+   * Records that a placed connection has ended. Only open connections are invisible to load
+   * reports, so churn must not use up the rate.
+   */
   public void recordEnd() {
     tokens = Double.isNaN(tokens) ? tokens : tokens + 1;
   }
