--- a/src/main/java/ashspar/limits/SubsetScope.java
+++ b/src/main/java/ashspar/limits/SubsetScope.java
@@ -4,89 +4,97 @@
 import java.util.function.Predicate;
 
 /**
- * How far a node looks beyond the servers that are its own: to all of its zone, then to all. It is
- * widened at once, where its own have no room or half of them take nothing, and narrowed step by
- * step once they have taken for a while; what was asked for in between is known by then, so that a
- * subset costs nobody a place and a narrow one no probes.
+ * Controls how far a node looks beyond its subset of servers: to all servers of its zone, then to
+ * all servers. The scope is widened at once if the subset has no capacity or half of it is
+ * unavailable. It is narrowed step by step after the subset has been available for a while. The
+ * widened scope is probed meanwhile, so a subset does not cost a request its placement, and a
+ * narrow scope saves probes.
  *
- * <p>Times are microseconds. For one thread at a time.
+ * <p>Times are microseconds. Not thread-safe.
  */
 public final class SubsetScope {
-  /** How far. */
+  /** The scopes, from narrow to wide. */
   public enum Extent {
     OWN,
     ZONE,
     ALL
   }
 
-  /** The tier that holds all that is left. */
+  /** The tier of all servers that belong to no other tier. */
   public static final int LAST_TIER = 3;
 
-  /** So long nothing must have been missing before less is asked. */
+  /** The time without a shortage after which the scope is narrowed. */
   static final long NARROW_AFTER_MICROS = 4_000_000;
 
-  /** Share of servers that must take more, below which further ones are looked for. */
+  /** The share of servers that must be available; below it, the scope is widened. */
   private static final double MIN_AVAILABLE_SHARE = 0.5;
 
   private Extent extent = Extent.OWN;
   private long lastShortageAt = Long.MIN_VALUE / 2;
 
-  /** What the node looks at now. */
+  /** Returns the current scope. */
   public Extent extent() {
     return extent;
   }
 
-  /** Whether servers that are not the node's own are asked now. */
+  /**
+   * Returns whether servers outside the subset are probed regularly now.
+   *
+   * @param near whether they are in the node's zone
+   */
   public boolean covers(boolean near) {
     return extent == Extent.ALL || (extent == Extent.ZONE && near);
   }
 
   /**
-   * Which of them come first: 0 its own in its zone, then what answers there, then the same of
-   * other zones, and last, as {@link #LAST_TIER}, what may be gone without anybody's having
-   * noticed.
+   * Returns the tier of a server: 0 for servers of the subset in the node's zone, 1 for other
+   * responsive servers there, 2 for those of the subset or responsive ones in other zones, and
+   * {@link #LAST_TIER} for servers that may have failed unnoticed.
    */
-  public static int tierOf(boolean own, boolean near, boolean answers) {
+  public static int tierOf(boolean own, boolean near, boolean isResponsive) {
     if (near && own) {
       return 0;
     }
-    return own || answers ? near ? 1 : 2 : LAST_TIER;
+    return own || isResponsive ? near ? 1 : 2 : LAST_TIER;
   }
 
   /**
-   * The last tier that may be tried: nobody crosses to another zone before the rest of his own was
-   * asked, which takes a request that meets it some milliseconds.
+   * Returns the last tier that may be tried. A request uses another zone only after the rest of its
+   * own zone was probed, which delays the requests that widen the scope by some milliseconds.
    */
   public int lastTier() {
     return extent.ordinal() + 1;
   }
 
   /**
-   * A request found no room up to this tier.
+   * Records that a request found no capacity up to this tier.
    *
-   * @return whether further servers are to be asked now
+   * @return whether the scope was widened, so that further servers must be probed now
    */
   public boolean recordNoCapacity(long now, int tier) {
-    boolean wider = tier < LAST_TIER - 1 && tier >= extent.ordinal();
-    if (wider) {
+    boolean isWidened = tier < LAST_TIER - 1 && tier >= extent.ordinal();
+    if (isWidened) {
       extent = Extent.values()[tier + 1];
     }
     lastShortageAt = tier < LAST_TIER ? now : lastShortageAt;
-    return wider;
+    return isWidened;
   }
 
   /**
-   * Looked at once a second.
+   * Adjusts the scope; called once per second.
    *
-   * @param all the servers; none where all are the node's own, whatever they do
-   * @param takes whether it answers and takes more
+   * @param all the ready servers; empty if the node has no subset
+   * @param own whether a server is in the subset
+   * @param near whether a server is in the node's zone
+   * @param isAvailable whether a server responds and takes requests
    */
   public <T> void adjust(
-      long now, List<T> all, Predicate<T> own, Predicate<T> near, Predicate<T> takes) {
+      long now, List<T> all, Predicate<T> own, Predicate<T> near, Predicate<T> isAvailable) {
     if (all.isEmpty()) {
       extent = Extent.OWN;
-    } else if (tooFewAvailable(all, own, takes)) {
-      extent = extent != Extent.OWN && tooFewAvailable(all, near, takes) ? Extent.ALL : widened();
+    } else if (tooFewAvailable(all, own, isAvailable)) {
+      extent =
+          extent != Extent.OWN && tooFewAvailable(all, near, isAvailable) ? Extent.ALL : widened();
       lastShortageAt = now;
     } else if (extent != Extent.OWN && now - lastShortageAt >= NARROW_AFTER_MICROS) {
       extent = Extent.values()[extent.ordinal() - 1];
@@ -98,8 +106,10 @@
     return extent == Extent.OWN ? Extent.ZONE : extent;
   }
 
-  private static <T> boolean tooFewAvailable(List<T> all, Predicate<T> of, Predicate<T> takes) {
-    long count = all.stream().filter(of).count();
-    return count == 0 || all.stream().filter(of.and(takes)).count() < MIN_AVAILABLE_SHARE * count;
+  private static <T> boolean tooFewAvailable(
+      List<T> all, Predicate<T> members, Predicate<T> isAvailable) {
+    long count = all.stream().filter(members).count();
+    return count == 0
+        || all.stream().filter(members.and(isAvailable)).count() < MIN_AVAILABLE_SHARE * count;
   }
 }
--- a/src/main/java/ashspar/limits/TenantShares.java
+++ b/src/main/java/ashspar/limits/TenantShares.java
@@ -4,23 +4,26 @@
 import java.util.Map;
 
 /**
- * Which tenants hold more than their share. A node sees its own part of a tenant's connections and
- * takes the others to see as much; since the fronts spread clients unevenly, a tenant is over only
- * where it passes its share by {@link #SLACK}.
+ * Tracks which tenants hold more than their share of connections. A node sees only its own
+ * connections of a tenant and assumes that the other nodes hold as many. Since clients are not
+ * spread evenly over the nodes, a tenant is over its share only beyond a tolerance of {@link
+ * #SLACK}.
  *
- * <p>For one thread at a time.
+ * <p>Not thread-safe.
  */
 public final class TenantShares {
-  /** Own counts are small and the nodes' parts uneven: so many times the share is still within. */
+  /**
+   * The multiple of its share that a tenant may hold, since the nodes' counts are small and uneven.
+   */
   private static final double SLACK = 1.25;
 
-  /** Below so many own connections a count says nothing. */
+  /** With fewer own connections, the count is not conclusive. */
   private static final int MIN_CONNECTIONS = 4;
 
   private static final class Tenant {
     double share;
-    double connections;
-    int open;
+    double quotaConnections;
+    int openConnections;
   }
 
   private final Map<String, Tenant> tenants = new HashMap<>();
@@ -28,74 +31,75 @@
   private double overShareValue = 1;
 
   /**
-   * Forgets the shares, not the connections: new ones follow through {@link #configureTenant}.
+   * Resets the shares but not the connections; new shares follow through {@link #configureTenant}.
    *
-   * @param nodeCount how many nodes share, or the inverse of this one's part
+   * @param newInverseShare the number of nodes, or the inverse of this node's share
    */
-  public void configure(double nodeCount, double worthOverShare) {
-    inverseShare = nodeCount;
-    overShareValue = worthOverShare;
-    tenants.values().forEach(t -> t.connections = 0);
+  public void configure(double newInverseShare, double newOverShareValue) {
+    inverseShare = newInverseShare;
+    overShareValue = newOverShareValue;
+    tenants.values().forEach(t -> t.quotaConnections = 0);
   }
 
-  /** This node's part of what tenants may hold has changed, to the inverse of this. */
-  public void setInverseShare(double nodeCount) {
-    inverseShare = nodeCount;
+  /** Sets the inverse of this node's share of the connections. */
+  public void setInverseShare(double newInverseShare) {
+    inverseShare = newInverseShare;
   }
 
   /**
-   * A tenant's share of the service, and what that is in connections of all nodes; 0: not known.
+   * Sets a tenant's share of the service, and the corresponding number of connections of all nodes,
+   * 0 if unknown.
    */
   public void configureTenant(String name, double share, double connections) {
     Tenant tenant = tenants.computeIfAbsent(name, n -> new Tenant());
     tenant.share = share;
-    tenant.connections = connections;
+    tenant.quotaConnections = connections;
   }
 
-  /** A connection of the tenant stands from here on. One that is not known is counted nowhere. */
+  /** Records an opened connection; tenants without a configured share are not counted. */
   public void connectionOpened(String name) {
     Tenant tenant = name == null ? null : tenants.get(name);
     if (tenant != null) {
-      tenant.open++;
+      tenant.openConnections++;
     }
   }
 
-  /** A connection of the tenant has ended. */
+  /** Records a closed connection. */
   public void connectionClosed(String name) {
     Tenant tenant = name == null ? null : tenants.get(name);
-    if (tenant != null && tenant.open > 0) {
-      tenant.open--;
+    if (tenant != null && tenant.openConnections > 0) {
+      tenant.openConnections--;
     }
   }
 
-  /** Whether the settings name the tenant: any other name is but text of some client's. */
+  /** Returns whether the tenant is configured. Any other name is arbitrary text from a client. */
   public boolean isConfigured(String name) {
     return name != null && tenants.containsKey(name);
   }
 
-  /** Whether one more connection of the tenant would be over its share. */
+  /** Returns whether another connection would put the tenant over its share. */
   public boolean isOverShare(String name) {
     Tenant tenant = name == null ? null : tenants.get(name);
     return tenant != null
-        && tenant.connections > 0
-        && tenant.open >= MIN_CONNECTIONS
-        && (tenant.open + 1) * inverseShare > SLACK * tenant.connections;
+        && tenant.quotaConnections > 0
+        && tenant.openConnections >= MIN_CONNECTIONS
+        && (tenant.openConnections + 1) * inverseShare > SLACK * tenant.quotaConnections;
   }
 
-  /** The tenant's share; an unknown one's is that of the smallest known, or 1. */
+  /** Returns the tenant's share; for an unknown tenant the smallest configured share, or 1. */
   public double share(String name) {
     Tenant tenant = name == null ? null : tenants.get(name);
     if (tenant != null && tenant.share > 0) {
       return tenant.share;
     }
-    double least = 1;
+    double smallest = 1;
     for (Tenant known : tenants.values()) {
-      least = known.share > 0 ? Math.min(least, known.share) : least;
+      smallest = known.share > 0 ? Math.min(smallest, known.share) : smallest;
     }
-    return least;
+    return smallest;
   }
 
-  /** What a connection over its tenant's share is worth, as a part of its class's worth. */
+  /** Returns the factor applied to the value of a request of a tenant over its share. */
   public double overShareValue() {
     return overShareValue;
   }
--- a/src/main/java/ashspar/limits/WaitingRoom.java
+++ b/src/main/java/ashspar/limits/WaitingRoom.java
@@ -8,36 +8,38 @@
 import java.util.function.Predicate;
 
 /**
- * Where requests wait that find no place. They leave in the order of their worth; among equals the
- * tenant goes first that has been let out least for its share, and of one tenant the request whose
- * deadline comes first (weighted fair queueing by stride, Waldspurger and Weihl 1995). What is over
- * a tenant's share goes last and is turned away first. One in {@link #OLDEST_FIRST_INTERVAL} that
- * leave is the one that has waited longest, so that a stream of worthier ones starves nobody.
+ * Queues requests until a server has capacity. Requests leave in the order of their value. Among
+ * equal values, the tenant that was served least relative to its share goes first, and within a
+ * tenant the request with the earliest deadline (weighted fair queueing by stride scheduling,
+ * Waldspurger and Weihl 1995). Requests over a tenant's share go last and are rejected first. One
+ * of every {@link #OLDEST_FIRST_INTERVAL} departures is the request that has waited longest, so
+ * that a stream of more valuable ones starves no request.
  *
- * <p>The room is bounded: beyond {@link #capacity} the least worthy is turned away. How long a
- * request would wait is told by what is ahead of it and by how fast the room has emptied lately.
+ * <p>The capacity is bounded: beyond {@link #capacity} the least valuable request is rejected. The
+ * expected wait of a request follows from the number of requests ahead of it and the recent rate of
+ * departures.
  *
- * <p>Requests of one class and one tenant share a queue; so do those of all tenants that have no
- * share stated, whose names are whatever clients write. A look at the heads costs time linear in
- * the number of queues that hold something, an entry or an exit O(log n) in the requests of its
- * queue. Times are microseconds. For one thread at a time.
+ * <p>Requests with the same value and tenant share a queue, and so do the requests of all tenants
+ * without a configured share, whose names are arbitrary text from clients. An offer takes time
+ * linear in the number of non-empty queues; entering and leaving takes O(log n) in the length of
+ * the queue. Times are microseconds. Not thread-safe.
  *
- * @param <T> what waits
+ * @param <T> the type of the queued items
  */
 public final class WaitingRoom<T> {
-  /** Before one who was turned away may come back, at least. */
+  /** The lower bound of the retry delay for a rejected request. */
   private static final long MIN_RETRY_DELAY_MICROS = 100_000;
 
-  /** One in so many goes by its waiting time instead of its worth. */
+  /** Each departure of this number is chosen by waiting time instead of value. */
   public static final int OLDEST_FIRST_INTERVAL = 8;
 
-  /** Time in which what is known of the room's emptying loses all but 1/e of its weight. */
+  /** The time in which the weight of past departures decays to 1/e. */
   private static final double EXIT_DECAY_MICROS = 2_000_000;
 
-  /** Least exits, in that time, from which a wait is foretold. */
+  /** The number of decayed departures from which waits are forecast. */
   private static final double MIN_EXITS_TO_FORECAST = 4;
 
-  /** A request's place in the room. */
+  /** The position of a request in the room. */
   public final class Ticket implements Comparable<Ticket> {
     private final T item;
     private final Queue queue;
@@ -53,11 +55,12 @@
       this.order = order;
     }
 
+    /** Returns the queued request. */
     public T item() {
       return item;
     }
 
-    /** Since when it has waited. */
+    /** Returns the time at which the request entered. */
     public long enteredAt() {
       return enteredAt;
     }
@@ -70,7 +73,10 @@
     }
   }
 
-  /** What a tenant has been let out for its share: the one with the least goes next. */
+  /**
+   * The service that a tenant has received relative to its share; the tenant with the lowest pass
+   * goes next.
+   */
   private static final class Pass {
     double value;
   }
@@ -80,7 +86,10 @@
     private final Pass pass;
     private final TreeSet<Ticket> tickets = new TreeSet<>();
 
-    /** For the look at the heads that is going on: the kind's value, and whether it was asked. */
+    /**
+     * State of the current offer: the value of the requests, and whether the head was already
+     * offered.
+     */
     private double valueNow;
 
     private boolean isOverShareNow;
@@ -108,10 +117,10 @@
   private final TenantShares shares;
   private final Map<QueueKey, Queue> queues = new HashMap<>();
 
-  /** The queues that hold something, in the order in which they began to. */
+  /** The non-empty queues, in the order in which they became non-empty. */
   private final List<Queue> nonEmptyQueues = new ArrayList<>();
 
-  /** By tenants with a share, and one for all others: their number is the settings'. */
+  /** The passes of the configured tenants and one for all others, which bounds their number. */
   private final Map<String, Pass> passes = new HashMap<>();
 
   private double currentPass;
@@ -122,39 +131,44 @@
   private long decayedAt;
   private long busySince = Long.MAX_VALUE;
 
-  /** A room for so many, fair by the shares given. */
-  public WaitingRoom(int most, TenantShares shares) {
-    if (most < 1) {
-      throw new IllegalArgumentException("a waiting room needs a place, not " + most);
+  /** Creates a room with this capacity that is fair by the given shares. */
+  public WaitingRoom(int capacity, TenantShares shares) {
+    if (capacity < 1) {
+      throw new IllegalArgumentException("the capacity must be at least 1, not " + capacity);
     }
-    this.capacity = most;
+    this.capacity = capacity;
     this.shares = shares;
   }
 
+  /** Returns the number of waiting requests. */
   public int size() {
     return size;
   }
 
-  /** How many may wait. */
+  /** Returns how many requests may wait. */
   public int capacity() {
     return capacity;
   }
 
-  /** A request enters; its ticket is the only way to take it out again. */
-  public Ticket enter(T item, String tenant, double worth, long deadline, long now) {
+  /**
+   * Adds a request. The returned ticket is needed to remove it.
+   *
+   * @throws IllegalStateException if the room is full
+   */
+  public Ticket enter(T item, String tenant, double value, long deadline, long now) {
     if (size == capacity) {
-      throw new IllegalStateException("the room is full: the least worthy goes first");
+      throw new IllegalStateException("the waiting room is full; a request must be rejected first");
     }
     decay(now);
     if (size == 0) {
       busySince = now;
     }
-    String named = shares.isConfigured(tenant) ? tenant : "";
-    Queue queue = queues.computeIfAbsent(new QueueKey(named, worth), Queue::new);
+    String tenantKey = shares.isConfigured(tenant) ? tenant : "";
+    Queue queue = queues.computeIfAbsent(new QueueKey(tenantKey, value), Queue::new);
     Ticket ticket = new Ticket(item, queue, deadline, now, nextOrder++);
     if (queue.tickets.isEmpty()) {
       nonEmptyQueues.add(queue);
-      // A tenant that has had nothing waiting has saved up no turns meanwhile.
+      // A tenant does not accumulate credit while it has no waiting requests.
       queue.pass.value = Math.max(queue.pass.value, currentPass);
     }
     queue.tickets.add(ticket);
@@ -162,7 +176,7 @@
     return ticket;
   }
 
-  /** A request has been let out to its place. */
+  /** Removes a request that was sent to a server. */
   public void leavePlaced(Ticket ticket, long now) {
     decay(now);
     recentExits++;
@@ -173,10 +187,14 @@
     leave(ticket);
   }
 
-  /** A request leaves without a place: answered, or gone. */
+  /**
+   * Removes a request that was answered or whose client disconnected.
+   *
+   * @throws IllegalStateException if it was already removed
+   */
   public void leave(Ticket ticket) {
     if (!ticket.queue.tickets.remove(ticket)) {
-      throw new IllegalStateException("the ticket has been used");
+      throw new IllegalStateException("the ticket was already removed");
     }
     size--;
     if (ticket.queue.tickets.isEmpty()) {
@@ -189,26 +207,26 @@
   }
 
   /**
-   * Offers the heads of the queues, in the order in which they should leave, until one is taken.
+   * Offers the heads of the queues in the order of departure until one is accepted.
    *
-   * @param taken takes a request to its place, or says that there is none for it now; at most
-   *     {@code tries} are asked
-   * @return whether one was taken; it is no longer in the room then
+   * @param accept tries to place a request; returns false if no server has capacity
+   * @param tries the maximum number of heads to offer
+   * @return whether a request was accepted, which removes it from the room
    */
-  public boolean offer(Predicate<T> taken, int tries, long now) {
+  public boolean offer(Predicate<T> accept, int tries, long now) {
     nonEmptyQueues.forEach(Queue::prepareOffer);
-    boolean aged = exits % OLDEST_FIRST_INTERVAL == OLDEST_FIRST_INTERVAL - 1;
+    boolean isOldestFirst = exits % OLDEST_FIRST_INTERVAL == OLDEST_FIRST_INTERVAL - 1;
     for (int left = Math.min(tries, nonEmptyQueues.size()); left > 0; left--) {
       Queue next = null;
       for (Queue queue : nonEmptyQueues) {
-        if (!queue.offered && (next == null || precedes(queue, next, aged))) {
+        if (!queue.offered && (next == null || precedes(queue, next, isOldestFirst))) {
           next = queue;
         }
       }
-      aged = false;
+      isOldestFirst = false;
       next.offered = true;
       Ticket head = next.tickets.first();
-      if (taken.test(head.item)) {
+      if (accept.test(head.item)) {
         leavePlaced(head, now);
         return true;
       }
@@ -216,9 +234,11 @@
     return false;
   }
 
-  private boolean precedes(Queue a, Queue b, boolean aged) {
-    // What is over a share stays last: it is no stream of worthier ones that keeps it waiting.
-    if (aged && a.isOverShareNow == b.isOverShareNow) {
+  /** Returns whether the head of queue {@code a} departs before that of {@code b}. */
+  private boolean precedes(Queue a, Queue b, boolean isOldestFirst) {
+    // Requests over a share stay last: they are not starved by more valuable ones but by their own
+    // tenant.
+    if (isOldestFirst && a.isOverShareNow == b.isOverShareNow) {
       return a.tickets.first().enteredAt < b.tickets.first().enteredAt;
     }
     if (a.valueNow != b.valueNow) {
@@ -230,56 +250,60 @@
   }
 
   /**
-   * Who is to be turned away so that a request of this kind may enter: nobody while there is room,
-   * else the one of the least worth that is due last, or the newcomer where nobody is worth less.
+   * Chooses the request to reject so that a new one may enter: none while there is capacity,
+   * otherwise the least valuable one with the latest deadline, or the new one if no request is less
+   * valuable.
    *
-   * @return the one that waits and is worth the least, or the newcomer itself; null for nobody
+   * @return the request to reject, possibly {@code newcomer}; null if none
    */
-  public T chooseToReject(T newcomer, String tenant, double worth) {
+  public T chooseToReject(T newcomer, String tenant, double value) {
     if (size < capacity) {
       return null;
     }
-    Queue least = null;
+    Queue leastValuable = null;
     for (Queue queue : nonEmptyQueues) {
-      if (least == null
-          || queue.currentValue() < least.currentValue()
-          || (queue.currentValue() == least.currentValue()
-              && queue.pass.value > least.pass.value)) {
-        least = queue;
+      if (leastValuable == null
+          || queue.currentValue() < leastValuable.currentValue()
+          || (queue.currentValue() == leastValuable.currentValue()
+              && queue.pass.value > leastValuable.pass.value)) {
+        leastValuable = queue;
       }
     }
-    return least.currentValue() < value(tenant, worth) ? least.tickets.last().item : newcomer;
+    return leastValuable.currentValue() < value(tenant, value)
+        ? leastValuable.tickets.last().item
+        : newcomer;
   }
 
-  private double value(String tenant, double worth) {
-    return shares.isOverShare(tenant) ? worth * shares.overShareValue() : worth;
+  private double value(String tenant, double value) {
+    return shares.isOverShare(tenant) ? value * shares.overShareValue() : value;
   }
 
-  /** After how long one who is turned away may come back, {@code most} at most. */
-  public long retryDelay(String tenant, double worth, long now, long most) {
-    return Math.min(Math.max(MIN_RETRY_DELAY_MICROS, expectedWait(tenant, worth, now)), most);
+  /** Returns the delay after which a rejected client may retry, at most {@code max}. */
+  public long retryDelay(String tenant, double value, long now, long max) {
+    return Math.min(Math.max(MIN_RETRY_DELAY_MICROS, expectedWait(tenant, value, now)), max);
   }
 
   /**
-   * How long a request of this kind that comes now would wait, in microseconds: what goes before
-   * it, over the rate at which the room has emptied lately. Zero where nothing is known: a forecast
-   * that rests on nothing must turn nobody away.
+   * Returns the expected wait of a new request in microseconds: the number of requests ahead of it
+   * divided by the recent rate of departures. Returns 0 if there is too little data, since a
+   * forecast without data must not reject requests.
    */
-  public long expectedWait(String tenant, double worth, long now) {
+  public long expectedWait(String tenant, double value, long now) {
     decay(now);
     if (recentExits < MIN_EXITS_TO_FORECAST || now - busySince < EXIT_DECAY_MICROS) {
       return 0;
     }
-    double value = value(tenant, worth);
+    double newValue = value(tenant, value);
     double ahead = 0;
     for (Queue queue : nonEmptyQueues) {
-      if (queue.currentValue() >= value) {
+      if (queue.currentValue() >= newValue) {
         ahead += queue.tickets.size();
       }
     }
     return (long) (ahead * EXIT_DECAY_MICROS / recentExits);
   }
 
+  /** Decays the count of recent departures to the current time. */
   private void decay(long now) {
     if (now > decayedAt) {
       recentExits *= Math.exp((decayedAt - now) / EXIT_DECAY_MICROS);
--- a/src/main/java/ashspar/limits/WarmUp.java
+++ b/src/main/java/ashspar/limits/WarmUp.java
@@ -1,28 +1,32 @@
 package ashspar.limits;
 
 /**
- * How servers warm up, by the slowest way stated. Times are seconds.
+ * The warm-up of servers, by the slowest configured course. Times are seconds.
  *
  * @param initialCapacity the share of its capacity that a server has at its start
- * @param lengthSeconds how long until it has all of it
- * @param overloadMultiple how many times its capacity it must be sent to fall
- * @param overloadWindowSeconds within which
+ * @param lengthSeconds the time until it has its full capacity
+ * @param overloadMultiple the multiple of its capacity at which a server fails
+ * @param overloadWindowSeconds the time over which that multiple is measured
  */
 public record WarmUp(
     double initialCapacity,
     double lengthSeconds,
     double overloadMultiple,
     double overloadWindowSeconds) {
-  /** Of the fall-over budget: places of two windows may be taken within one. */
+  /**
+   * The share of the overload budget that is used. Slots of two windows may be used within one, so
+   * it must be below one half.
+   */
   private static final double SAFETY = 0.45;
 
-  /** The share of its capacity that a server of this age surely has. */
+  /** Returns the share of its capacity that a server of this age is certain to have. */
   public double warmth(double age) {
     return age < lengthSeconds ? initialCapacity + (1 - initialCapacity) * age / lengthSeconds : 1;
   }
 
   /**
-   * What a server may be sent by all nodes meanwhile, of which so many connections end a second.
+   * Returns the slots that all nodes together may use, given the connections that end per second on
+   * a warm server.
    */
   public ColdShare.RampUp rampUp(double turnover) {
     return new ColdShare.RampUp(
--- a/src/main/java/ashspar/limits/package-info.java
+++ b/src/main/java/ashspar/limits/package-info.java
@@ -1,12 +1,13 @@
 /**
- * What a node holds itself to: how many set-ups may be under way at one server and in the fleet,
- * which request waits and which is turned away, what repeated attempts may cost, which servers
- * rest, how a node that has just started begins, and what it has added to a server's load.
+ * The limits, budgets and estimates that a node applies: how many set-ups may be in progress per
+ * server and in the fleet, which requests wait and which are rejected, how many repeated attempts
+ * are allowed, which servers are ejected after failures, how fast a node may place requests after
+ * its start, and how much load it has added to each server since the last report.
  *
- * <p>Everything here is pure: no I/O, no thread, no clock and no randomness of its own. Time is
- * passed in as microseconds of a clock that never goes back. The types keep counts, estimates,
- * budgets and queues and answer questions about them; the policy asks, and decides. Nothing here
- * knows a type of the policy, so that arrows point from {@code ashspar} to this package only. A
- * node's types are used by one thread at a time. docs/limits.md weighs the options.
+ * <p>All types are pure: they do no I/O and have no threads, clock or source of randomness. The
+ * caller passes the time in microseconds of a monotonic clock. The types keep counts, estimates,
+ * budgets and queues and answer questions about them; the policy in {@code ashspar} takes the
+ * decisions. This package does not depend on {@code ashspar}. Instances are not thread-safe.
+ * docs/limits.md discusses the alternatives.
  */
 package ashspar.limits;
--- a/src/main/java/ashspar/wire/SettingsReader.java
+++ b/src/main/java/ashspar/wire/SettingsReader.java
@@ -6,24 +6,29 @@
 import java.util.Map;
 
 /**
- * Turns the flat settings of an ATTACH line into {@link Balancer.Settings}; unknown keys pass by.
+ * Converts the flat settings of an ATTACH line to {@link Balancer.Settings}. Unknown keys are
+ * ignored.
  */
 public final class SettingsReader {
-  private final Map<String, String> env;
+  private final Map<String, String> settings;
 
-  private SettingsReader(Map<String, String> env) {
-    this.env = env;
+  private SettingsReader(Map<String, String> settings) {
+    this.settings = settings;
   }
 
-  /** The settings in these path=value pairs; throws {@link WireException} on what is malformed. */
-  public static Balancer.Settings read(Map<String, String> env) {
-    return new SettingsReader(env).settings();
+  /**
+   * Returns the settings in these path-value pairs.
+   *
+   * @throws WireException if a value is missing or malformed
+   */
+  public static Balancer.Settings read(Map<String, String> settings) {
+    return new SettingsReader(settings).settings();
   }
 
   private Balancer.Settings settings() {
     return new Balancer.Settings(
-        (int) whole("rank"),
-        (int) whole("balancers"),
+        (int) integer("rank"),
+        (int) integer("balancers"),
         text("zone", ""),
         list("failure-domains"),
         classes(),
@@ -34,16 +39,16 @@
             flag("allowed.cancel"),
             flag("allowed.second-copies"),
             flag("allowed.retry-after"),
-            (int) whole("allowed.send-cap"),
-            whole("allowed.max-retry-after", 0)),
+            (int) integer("allowed.send-cap"),
+            integer("allowed.max-retry-after", 0)),
         new Balancer.SafetyRules(
-            whole("safety.answer-slack"),
-            whole("safety.ask-within", Long.MAX_VALUE),
-            whole("safety.drain-grace"),
+            integer("safety.answer-slack"),
+            integer("safety.ask-within", Long.MAX_VALUE),
+            integer("safety.drain-grace"),
             number("safety.cold-share", 1),
-            whole("safety.warm-up", 0),
+            integer("safety.warm-up", 0),
             number("safety.fall-multiple", 1),
-            whole("safety.overload-for", 0)),
+            integer("safety.overload-for", 0)),
         new Balancer.Prices(
             number("prices.cross-zone", 0),
             number("prices.waste", 0),
@@ -55,25 +60,25 @@
         "ask".equals(text("discovery", "push")),
         "pass".equals(text("extra.mode", "proxy")),
         number("over-share-worth", 1),
-        whole("resolution", 1),
+        integer("resolution", 1),
         flag("extra.tells-delay"));
   }
 
   private List<Balancer.RequestClass> classes() {
-    int count = (int) whole("profiles.count");
+    int count = (int) integer("profiles.count");
     List<String> messageAims = list("extra.message-aim");
     List<Balancer.RequestClass> classes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      String at = "profiles." + i + ".";
+      String prefix = "profiles." + i + ".";
       classes.add(
           new Balancer.RequestClass(
-              required(at + "name"),
-              whole(at + "aim"),
-              whole(at + "give-up"),
-              number(at + "value", 1),
-              effect(at + "effect"),
-              group(at + "group"),
-              whole(at + "window", 0),
+              required(prefix + "name"),
+              integer(prefix + "aim"),
+              integer(prefix + "give-up"),
+              number(prefix + "value", 1),
+              effect(prefix + "effect"),
+              group(prefix + "group"),
+              integer(prefix + "window", 0),
               i < messageAims.size()
                   ? WireLine.number("extra.message-aim", messageAims.get(i))
                   : 0));
@@ -84,19 +89,19 @@
   private List<Balancer.Tenant> tenants() {
     List<String> connections = list("extra.tenant-quota-connections");
     List<Balancer.Tenant> tenants = new ArrayList<>();
-    for (int i = 0; i < whole("realms.count", 0); i++) {
-      String at = "realms." + i + ".";
+    for (int i = 0; i < integer("realms.count", 0); i++) {
+      String prefix = "realms." + i + ".";
       tenants.add(
           new Balancer.Tenant(
-              required(at + "name"),
-              number(at + "share", 0),
-              number(at + "quota-rps", 0),
+              required(prefix + "name"),
+              number(prefix + "share", 0),
+              number(prefix + "quota-rps", 0),
               i < connections.size() ? quota(connections.get(i)) : 0));
     }
     return tenants;
   }
 
-  /** A quota that a site leaves open is written as null. */
+  /** Parses a quota; an unlimited one is written as {@code null}. */
   private static double quota(String value) {
     return value.equals("null") ? 0 : WireLine.number("extra.tenant-quota-connections", value);
   }
@@ -120,16 +125,22 @@
       case "recent_ms" -> Balancer.Metric.LATENCY_MS;
       case "throughput" -> Balancer.Metric.RATE;
       case "errors_per_s" -> Balancer.Metric.ERRORS;
-      case "x0" -> meaning("extra.report-x0", "load", Balancer.Metric.LOAD, Balancer.Metric.OTHER);
+      case "x0" ->
+          metricIfMarked("extra.report-x0", "load", Balancer.Metric.LOAD, Balancer.Metric.OTHER);
       case "x1" ->
-          meaning("extra.report-x1", "seconds", Balancer.Metric.BACKLOG_S, Balancer.Metric.OTHER);
+          metricIfMarked(
+              "extra.report-x1", "seconds", Balancer.Metric.BACKLOG_S, Balancer.Metric.OTHER);
       default -> Balancer.Metric.OTHER;
     };
   }
 
-  private Balancer.Metric meaning(
-      String key, String start, Balancer.Metric then, Balancer.Metric otherwise) {
-    return text(key, start).startsWith(start) ? then : otherwise;
+  /**
+   * Returns {@code metric} if the value of the key starts with {@code prefix}, otherwise {@code
+   * otherwise}.
+   */
+  private Balancer.Metric metricIfMarked(
+      String key, String prefix, Balancer.Metric metric, Balancer.Metric otherwise) {
+    return text(key, prefix).startsWith(prefix) ? metric : otherwise;
   }
 
   private Balancer.SizeMeaning sizes() {
@@ -146,7 +157,7 @@
       case "free" -> Balancer.Repeatability.FREE;
       case "guarded" -> Balancer.Repeatability.GUARDED;
       case "single_shot" -> Balancer.Repeatability.SINGLE_SHOT;
-      default -> throw new WireException("field '" + key + "' is no known effect");
+      default -> throw new WireException("field '" + key + "' has an unknown effect");
     };
   }
 
@@ -159,7 +170,7 @@
   }
 
   private String required(String key) {
-    String value = env.get(key);
+    String value = settings.get(key);
     if (value == null) {
       throw new WireException("field '" + key + "' is missing");
     }
@@ -167,7 +178,7 @@
   }
 
   private String text(String key, String absent) {
-    return env.getOrDefault(key, absent);
+    return settings.getOrDefault(key, absent);
   }
 
   private boolean flag(String key) {
@@ -175,17 +186,17 @@
     return value.equals("true") || value.equals("1");
   }
 
-  private long whole(String key) {
-    return WireLine.whole(key, required(key));
+  private long integer(String key) {
+    return WireLine.integer(key, required(key));
   }
 
-  private long whole(String key, long absent) {
-    String value = env.get(key);
-    return value == null ? absent : WireLine.whole(key, value);
+  private long integer(String key, long absent) {
+    String value = settings.get(key);
+    return value == null ? absent : WireLine.integer(key, value);
   }
 
   private double number(String key, double absent) {
-    String value = env.get(key);
+    String value = settings.get(key);
     return value == null || value.isEmpty() ? absent : WireLine.number(key, value);
   }
 
--- a/src/main/java/ashspar/wire/WireException.java
+++ b/src/main/java/ashspar/wire/WireException.java
@@ -1,7 +1,8 @@
 package ashspar.wire;
 
 /**
- * Input that is not what the wire allows; the message names the field and what is wrong with it.
+ * Thrown for input that violates the protocol. The message names the field and what is wrong with
+ * it.
  */
 public final class WireException extends RuntimeException {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/ashspar/wire/WireHost.java
+++ b/src/main/java/ashspar/wire/WireHost.java
@@ -15,21 +15,21 @@
 import java.util.Map;
 
 /**
- * Hosts any number of balancers on the wire: one thread, a reply per batch, nothing shared between
- * balancers but the output buffer.
+ * Runs any number of balancers behind the line protocol. All run on one thread and share nothing
+ * but the output buffer; each batch of events is answered by one batch of actions.
  */
 public final class WireHost {
-  /** Makes one balancer; lets the tests put another module behind the wire. */
+  /** Creates a balancer. Tests use it to run other implementations. */
   interface Factory {
     Balancer create(long now, Balancer.Settings settings, long seed, Balancer.Actions actions);
   }
 
   private final Factory factory;
-  private final Map<Integer, Host> hosts = new HashMap<>();
+  private final Map<Integer, HostedBalancer> balancers = new HashMap<>();
   private final WireLine line = new WireLine();
   private final WireLine entryLine = new WireLine();
   private final StringBuilder reply = new StringBuilder(1 << 16);
-  private BufferedReader in;
+  private BufferedReader input;
   private long lineNumber;
   private long now;
 
@@ -37,7 +37,7 @@
     this.factory = factory;
   }
 
-  /** Runs until the end of standard input; the only command is {@code wirehost}. */
+  /** Runs until the end of standard input. The only accepted argument is {@code wirehost}. */
   public static void main(String[] args) throws IOException {
     if (args.length != 1 || !args[0].equals("wirehost")) {
       System.err.println("usage: java -jar ashspar.jar wirehost");
@@ -48,12 +48,16 @@
     System.exit(new WireHost(Policy::new).run(in, System.out, System.err));
   }
 
-  /** Answers batches until the input ends; returns the exit status. */
+  /**
+   * Answers batches until the input ends.
+   *
+   * @return the exit status
+   */
   int run(BufferedReader input, OutputStream out, PrintStream err) throws IOException {
-    in = input;
+    this.input = input;
     try {
-      for (String text = next(); text != null; text = next()) {
-        batch(text);
+      for (String text = readLine(); text != null; text = readLine()) {
+        handleBatch(text);
         out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
         out.flush();
       }
@@ -64,67 +68,67 @@
     }
   }
 
-  private String next() throws IOException {
-    String text = in.readLine();
+  private String readLine() throws IOException {
+    String text = input.readLine();
     if (text != null) {
       lineNumber++;
     }
     return text;
   }
 
-  private void batch(String head) throws IOException {
+  private void handleBatch(String head) throws IOException {
     reply.setLength(0);
     line.read(head);
     if (!line.word().equals("BATCH")) {
       throw new WireException("expected 'BATCH', found '" + line.word() + "'");
     }
-    now = line.whole("wall");
-    long serial = line.whole("serial");
+    now = line.integer("wall");
+    long serial = line.integer("serial");
     while (true) {
-      String text = next();
+      String text = readLine();
       if (text == null) {
-        throw new WireException("the input ends within a batch: 'FLUSH' is missing");
+        throw new WireException("the input ended within a batch: 'FLUSH' is missing");
       }
       if (text.equals("FLUSH")) {
         break;
       }
       line.read(text);
-      event();
+      handleEvent();
     }
     reply.append("READY serial=").append(serial).append('\n');
   }
 
-  private void event() throws IOException {
-    int node = (int) line.whole("node");
+  private void handleEvent() throws IOException {
+    int node = (int) line.integer("node");
     switch (line.word()) {
       case "ATTACH" -> attach(node);
-      case "DOWN" -> hosts.remove(node);
+      case "DOWN" -> balancers.remove(node);
       case "BACKENDS_CHANGED" -> {
-        Balancer.ListKind kind = listKind(line.whole("form"));
-        List<Balancer.ServerEntry> entries = entries();
+        Balancer.ListKind kind = listKind(line.integer("form"));
+        List<Balancer.ServerEntry> entries = readEntries();
         deliver(node, b -> b.updateServers(now, kind, entries));
       }
       case "JOB_IN" -> {
-        Balancer.Request request = request();
+        Balancer.Request request = readRequest();
         deliver(node, b -> b.requestReceived(now, request));
       }
       case "RESUMED" -> {
-        Balancer.Request request = request();
+        Balancer.Request request = readRequest();
         String server = line.text("host");
         deliver(node, b -> b.connectionResumed(now, request, server));
       }
       case "ACCEPTED" -> {
-        long id = line.whole("msg-id");
-        int attempt = (int) line.whole("round-no");
+        long id = line.integer("msg-id");
+        int attempt = (int) line.integer("round-no");
         String server = line.text("host");
-        long took = line.whole("took", 0);
+        long took = line.integer("took", 0);
         deliver(node, b -> b.connectionAccepted(now, id, attempt, server, took));
       }
       case "HEARTBEAT" -> {
-        long id = line.whole("msg-id");
-        int attempt = (int) line.whole("round-no", 0);
+        long id = line.integer("msg-id");
+        int attempt = (int) line.integer("round-no", 0);
         String server = line.text("host");
-        long sort = line.whole("sort");
+        long sort = line.integer("sort");
         double level = line.number("level", 0);
         if (sort == 1 || sort == 2) {
           Balancer.MeasurementKind kind =
@@ -135,32 +139,32 @@
       case "RESULT" -> {
         Balancer.Outcome outcome =
             new Balancer.Outcome(
-                line.whole("msg-id"),
-                (int) line.whole("round-no"),
+                line.integer("msg-id"),
+                (int) line.integer("round-no"),
                 line.text("host"),
-                status(line.whole("ending")),
-                line.whole("took", 0),
-                line.whole("settled", 0) != 0,
-                line.row("metrics"));
+                status(line.integer("ending")),
+                line.integer("took", 0),
+                line.integer("settled", 0) != 0,
+                line.numbers("metrics"));
         deliver(node, b -> b.attemptEnded(now, outcome));
       }
       case "LAPSED" -> {
-        long id = line.whole("msg-id");
+        long id = line.integer("msg-id");
         deliver(node, b -> b.requestWithdrawn(now, id));
       }
       case "DUE" -> {
-        long nonce = line.whole("nonce");
+        long nonce = line.integer("nonce");
         deliver(node, b -> b.timerExpired(now, nonce));
       }
       case "CHECK_RESULT" -> {
         String server = line.text("host");
-        Balancer.Status status = status(line.whole("ending"));
-        long took = line.whole("took", 0);
-        List<Double> report = line.row("metrics");
+        Balancer.Status status = status(line.integer("ending"));
+        long took = line.integer("took", 0);
+        List<Double> report = line.numbers("metrics");
         deliver(node, b -> b.probeCompleted(now, server, status, took, report));
       }
       case "MEMO" -> {
-        int sender = (int) line.whole("sender");
+        int sender = (int) line.integer("sender");
         byte[] message = bytes(line.text("msg"));
         deliver(node, b -> b.peerMessageReceived(now, sender, message));
       }
@@ -169,62 +173,65 @@
   }
 
   private void attach(int node) {
-    Map<String, String> env = line.all();
+    Map<String, String> env = line.fields();
     Balancer.Settings settings = SettingsReader.read(env);
-    long salt = line.whole("salt");
-    Host host = new Host(node);
-    hosts.put(node, host);
-    guarded(node, () -> host.balancer = factory.create(now, settings, salt, host));
+    long salt = line.integer("salt");
+    HostedBalancer host = new HostedBalancer(node);
+    balancers.put(node, host);
+    runGuarded(node, () -> host.balancer = factory.create(now, settings, salt, host));
   }
 
   private void deliver(int node, java.util.function.Consumer<Balancer> event) {
-    Host host = hosts.get(node);
+    HostedBalancer host = balancers.get(node);
     if (host == null) {
       throw new WireException("field 'node': " + node + " has not been attached");
     }
     if (host.balancer != null) {
-      guarded(node, () -> event.accept(host.balancer));
+      runGuarded(node, () -> event.accept(host.balancer));
     }
   }
 
-  /** An exception in the module ends that balancer and is told on the wire; it never spreads. */
-  private void guarded(int node, Runnable call) {
+  /**
+   * Runs a call into the module. If it throws, the balancer is removed and the error is reported to
+   * the peer; the other balancers are not affected.
+   */
+  private void runGuarded(int node, Runnable call) {
     try {
       call.run();
     } catch (RuntimeException e) {
-      hosts.get(node).balancer = null;
+      balancers.get(node).balancer = null;
       String text = (e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
       reply.append("INTERNAL_ERROR node=").append(node).append(" reason-text=");
       reply.append(text.replace('\n', ' ').replace('\r', ' ')).append('\n');
     }
   }
 
-  private Balancer.Request request() {
-    long flags = line.whole("flags", 0);
+  private Balancer.Request readRequest() {
+    long flags = line.integer("flags", 0);
     String tenant = line.optional("project");
     return new Balancer.Request(
-        line.whole("msg-id"),
+        line.integer("msg-id"),
         line.optional("entity"),
         line.optional("team-id"),
         line.text("lane"),
         tenant == null || tenant.equals("0") ? null : tenant,
-        line.whole("left"),
+        line.integer("left"),
         (flags & 1) != 0 ? line.number("size-hint", 0) : 0,
         (flags & 2) != 0,
         (flags & 8) != 0,
         (flags & 16) != 0);
   }
 
-  private List<Balancer.ServerEntry> entries() throws IOException {
-    int count = (int) line.whole("elements", 0);
+  private List<Balancer.ServerEntry> readEntries() throws IOException {
+    int count = (int) line.integer("elements", 0);
     if (count < 0) {
       throw new WireException("field 'elements' is negative: " + count);
     }
     List<Balancer.ServerEntry> entries = new ArrayList<>(Math.min(count, 4096));
     for (int i = 0; i < count; i++) {
-      String text = next();
+      String text = readLine();
       if (text == null) {
-        throw new WireException("the input ends within a list of servers");
+        throw new WireException("the input ended within a list of servers");
       }
       entryLine.read(text);
       if (!entryLine.word().equals("M")) {
@@ -235,10 +242,10 @@
               entryLine.text("host"),
               entryLine.optional("zone"),
               entryLine.optional("family-type"),
-              (int) entryLine.whole("group", 0),
-              state(entryLine.whole("lifecycle")),
+              (int) entryLine.integer("group", 0),
+              state(entryLine.integer("lifecycle")),
               entryLine.number("size", 1),
-              entryLine.whole("since", 0)));
+              entryLine.integer("since", 0)));
     }
     return entries;
   }
@@ -249,7 +256,7 @@
       case 1 -> Balancer.ListKind.FULL;
       case 2 -> Balancer.ListKind.CACHED;
       case 3 -> Balancer.ListKind.FAILED;
-      default -> throw new WireException("field 'form' is no known kind of list: " + code);
+      default -> throw new WireException("field 'form' is not a known kind of list: " + code);
     };
   }
 
@@ -258,7 +265,7 @@
       case 0 -> Balancer.State.GONE;
       case 1 -> Balancer.State.READY;
       case 2 -> Balancer.State.DRAINING;
-      default -> throw new WireException("field 'lifecycle' is no known state: " + code);
+      default -> throw new WireException("field 'lifecycle' is not a known state: " + code);
     };
   }
 
@@ -272,7 +279,7 @@
       case 5 -> Balancer.Status.RESET;
       case 6 -> Balancer.Status.CANCELLED;
       case 7 -> Balancer.Status.MOOT;
-      default -> throw new WireException("field 'ending' is no known outcome: " + code);
+      default -> throw new WireException("field 'ending' is not a known outcome: " + code);
     };
   }
 
@@ -287,22 +294,22 @@
     }
   }
 
-  /** One balancer and the writer of its actions. */
-  private final class Host implements Balancer.Actions {
+  /** A balancer and the writer of its actions. */
+  private final class HostedBalancer implements Balancer.Actions {
     private final int node;
     private Balancer balancer;
 
-    Host(int node) {
+    HostedBalancer(int node) {
       this.node = node;
     }
 
-    private StringBuilder action(String word) {
+    private StringBuilder startAction(String word) {
       return reply.append(word).append(" node=").append(node);
     }
 
     @Override
     public void send(long id, String server, long abandonAt) {
-      action("DELIVER").append(" msg-id=").append(id).append(" host=").append(server);
+      startAction("DELIVER").append(" msg-id=").append(id).append(" host=").append(server);
       if (abandonAt > 0) {
         reply.append(" abandon-at=").append(abandonAt);
       }
@@ -311,7 +318,7 @@
 
     @Override
     public void refuse(long id, long retryAfter) {
-      action("PUSH_BACK").append(" msg-id=").append(id);
+      startAction("PUSH_BACK").append(" msg-id=").append(id);
       if (retryAfter > 0) {
         reply.append(" retry-in=").append(retryAfter);
       }
@@ -320,51 +327,53 @@
 
     @Override
     public void fail(long id) {
-      action("FAIL").append(" msg-id=").append(id).append('\n');
+      startAction("FAIL").append(" msg-id=").append(id).append('\n');
     }
 
     @Override
     public void cancel(long id, int attempt) {
-      action("CANCEL").append(" msg-id=").append(id).append(" round-no=").append(attempt);
+      startAction("CANCEL").append(" msg-id=").append(id).append(" round-no=").append(attempt);
       reply.append('\n');
     }
 
     @Override
     public void move(long id) {
-      action("REDIRECT").append(" msg-id=").append(id).append('\n');
+      startAction("REDIRECT").append(" msg-id=").append(id).append('\n');
     }
 
     @Override
     public void startTimer(long delay, long token) {
-      action("DEFER").append(" after=").append(delay).append(" nonce=").append(token);
+      startAction("DEFER").append(" after=").append(delay).append(" nonce=").append(token);
       reply.append('\n');
     }
 
     @Override
     public void probe(String server) {
-      action("ASK_LOAD").append(" host=").append(server).append('\n');
+      startAction("ASK_LOAD").append(" host=").append(server).append('\n');
     }
 
     @Override
     public void watchDiscovery(boolean on) {
-      action("OBSERVE").append(" want=").append(on ? 1 : 0).append('\n');
+      startAction("OBSERVE").append(" want=").append(on ? 1 : 0).append('\n');
     }
 
     @Override
     public void fetchServers() {
-      action("PULL").append('\n');
+      startAction("PULL").append('\n');
     }
 
     @Override
     public void sendToPeer(int peer, byte[] message) {
-      action("WRITE_PEER").append(" recipient=").append(peer < 0 ? "all" : String.valueOf(peer));
+      startAction("WRITE_PEER")
+          .append(" recipient=")
+          .append(peer < 0 ? "all" : String.valueOf(peer));
       reply.append(" msg=").append(message.length == 0 ? "-" : HexFormat.of().formatHex(message));
       reply.append('\n');
     }
 
     @Override
     public void log(String text) {
-      action("TRACE").append(" reason-text=").append(text.replace('\n', ' ')).append('\n');
+      startAction("TRACE").append(" reason-text=").append(text.replace('\n', ' ')).append('\n');
     }
   }
 }
--- a/src/main/java/ashspar/wire/WireLine.java
+++ b/src/main/java/ashspar/wire/WireLine.java
@@ -5,13 +5,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** One line of the wire, taken apart without regular expressions; reused from line to line. */
+/**
+ * A parsed line of the protocol: a word and name=value fields. The parser avoids regular
+ * expressions, and the instance is reused for all lines.
+ */
 final class WireLine {
   private final List<String> names = new ArrayList<>();
   private final List<String> values = new ArrayList<>();
   private String word = "";
 
-  /** Reads a line of a word and name=value pairs. */
+  /**
+   * Parses a line.
+   *
+   * @throws WireException if a field has no name or value
+   */
   void read(String text) {
     names.clear();
     values.clear();
@@ -31,11 +38,16 @@
     }
   }
 
+  /** Returns the first word of the line. */
   String word() {
     return word;
   }
 
-  /** The value of a field that must be there. */
+  /**
+   * Returns the value of a required field.
+   *
+   * @throws WireException if it is missing
+   */
   String text(String name) {
     String value = optional(name);
     if (value == null) {
@@ -44,19 +56,19 @@
     return value;
   }
 
-  /** The value of a field, or null where it is absent. */
+  /** Returns the value of a field, or null if it is absent. */
   String optional(String name) {
     int at = names.indexOf(name);
     return at < 0 ? null : values.get(at);
   }
 
-  long whole(String name) {
-    return whole(name, text(name));
+  long integer(String name) {
+    return integer(name, text(name));
   }
 
-  long whole(String name, long absent) {
+  long integer(String name, long absent) {
     String value = optional(name);
-    return value == null ? absent : whole(name, value);
+    return value == null ? absent : integer(name, value);
   }
 
   double number(String name, double absent) {
@@ -64,8 +76,11 @@
     return value == null ? absent : number(name, value);
   }
 
-  /** A load report; an empty list where the field is absent. */
-  List<Double> row(String name) {
+  /**
+   * Returns the comma-separated numbers of a field, NaN for empty ones; empty if the field is
+   * absent.
+   */
+  List<Double> numbers(String name) {
     String value = optional(name);
     if (value == null || value.isEmpty()) {
       return List.of();
@@ -81,8 +96,8 @@
     return row;
   }
 
-  /** Every field, for the settings. */
-  Map<String, String> all() {
+  /** Returns all fields, in their order. */
+  Map<String, String> fields() {
     Map<String, String> all = new LinkedHashMap<>();
     for (int i = 0; i < names.size(); i++) {
       all.put(names.get(i), values.get(i));
@@ -90,7 +105,7 @@
     return all;
   }
 
-  static long whole(String name, String value) {
+  static long integer(String name, String value) {
     try {
       return Long.parseLong(value);
     } catch (NumberFormatException e) {
--- a/src/main/java/ashspar/wire/package-info.java
+++ b/src/main/java/ashspar/wire/package-info.java
@@ -1,2 +1,5 @@
-/** The adapter that hosts many balancers on a line-based wire; it takes no decision of its own. */
+/**
+ * The adapter that runs balancers behind a line-based protocol, for use by a simulator. It takes no
+ * decisions of its own.
+ */
 package ashspar.wire;
--- a/src/test/java/ashspar/PolicyTest.java
+++ b/src/test/java/ashspar/PolicyTest.java
@@ -613,7 +613,7 @@
     script.list(1);
     script.request(1);
     Throwable twice = assertThrows(IllegalArgumentException.class, () -> script.request(1));
-    assertEquals("request 1 is known", twice.getMessage());
+    assertEquals("request 1 is already active", twice.getMessage());
     assertThrows(IllegalArgumentException.class, () -> script.balancer.requestReceived(0, null));
     assertThrows(
         IllegalArgumentException.class, () -> script.balancer.updateServers(0, null, List.of()));
