--- a/src/jmh/java/brassbank/relay/RelayBenchmark.java
+++ b/src/jmh/java/brassbank/relay/RelayBenchmark.java
@@ -28,9 +28,9 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What passing bytes costs without a kernel: a session between two channels that give and take at
- * once. With {@code -prof gc} it tells the bytes allocated for each operation. The compiler is the
- * one that deploy/serve.sh asks for.
+ * Measures the cost of relaying bytes without the kernel: a session between two in-memory channels.
+ * With {@code -prof gc} it reports the bytes allocated per operation. It runs with the JIT compiler
+ * that deploy/serve.sh selects.
  */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -39,31 +39,31 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(value = 1, jvmArgsAppend = "-XX:TieredStopAtLevel=1")
 public class RelayBenchmark {
-  private static final int LINE = 42;
-  private static final int CHUNK = 32 * 1024;
-  private static final int BULK_LINE = 1024;
+  private static final int LINE_BYTES = 42;
+  private static final int BULK_BYTES = 32 * 1024;
+  private static final int BULK_LINE_BYTES = 1024;
 
-  private final Memory client = new Memory();
-  private final Memory target = new Memory();
+  private final MemoryChannel client = new MemoryChannel();
+  private final MemoryChannel target = new MemoryChannel();
   private final byte[] line =
-      ("m" + "x".repeat(LINE - 3) + "\r\n").getBytes(StandardCharsets.US_ASCII);
-  private final byte[] bulk = new byte[CHUNK];
+      ("m" + "x".repeat(LINE_BYTES - 3) + "\r\n").getBytes(StandardCharsets.US_ASCII);
+  private final byte[] bulk = new byte[BULK_BYTES];
   private int changes;
 
-  /** A connection that gives what it was loaded with and takes everything. */
-  private static final class Memory implements Channel {
+  /** A channel that delivers the bytes it is given and accepts all writes. */
+  private static final class MemoryChannel implements Channel {
     private Handler handler;
     private byte[] next;
-    private long taken;
+    private long writtenBytes;
 
-    void come(byte[] bytes) {
+    void receive(byte[] bytes) {
       next = bytes;
       handler.readable();
     }
 
     @Override
-    public void handler(Handler told) {
-      handler = told;
+    public void handler(Handler receiver) {
+      handler = receiver;
     }
 
     @Override
@@ -76,7 +76,7 @@
     public int write(ByteBuffer from) {
       int count = from.remaining();
       from.position(from.limit());
-      taken += count;
+      writtenBytes += count;
       return count;
     }
 
@@ -96,16 +96,16 @@
     public void reset() {}
   }
 
-  /** Hands out the two channels. */
-  private final class Two implements Network {
+  /** A network that connects the two channels. */
+  private final class TwoChannelNetwork implements Network {
     private Consumer<Channel> accepted;
 
     @Override
     public void start(EventLoop loop) {}
 
     @Override
-    public Listener listen(InetSocketAddress address, boolean first, Consumer<Channel> taker) {
-      accepted = taker;
+    public Listener listen(InetSocketAddress address, boolean first, Consumer<Channel> onAccept) {
+      accepted = onAccept;
       return on -> {};
     }
 
@@ -136,7 +136,7 @@
     }
   }
 
-  private final class Counting implements SessionObserver {
+  private final class CountingObserver implements SessionObserver {
     @Override
     public void requestRelayed() {
       changes++;
@@ -167,10 +167,10 @@
 
   @Setup
   public void open() throws IOException {
-    for (int i = 0; i < CHUNK; i++) {
-      bulk[i] = (byte) (i % BULK_LINE == BULK_LINE - 1 ? '\n' : 'r');
+    for (int i = 0; i < BULK_BYTES; i++) {
+      bulk[i] = (byte) (i % BULK_LINE_BYTES == BULK_LINE_BYTES - 1 ? '\n' : 'r');
     }
-    Two network = new Two();
+    TwoChannelNetwork network = new TwoChannelNetwork();
     Net net = new Net(1024, network);
     Relay relay = new Relay(net, RelayLimits.NONE);
     Link[] links = new Link[2];
@@ -191,28 +191,28 @@
             throw new IllegalStateException(cause);
           }
         });
-    relay.openSession(1, "acme", links[0], links[1], new Counting()).start();
+    relay.openSession(1, "acme", links[0], links[1], new CountingObserver()).start();
   }
 
-  /** A client's line and its answer: two relayed lines. */
+  /** Relays a line of the client and the response: two lines. */
   @Benchmark
   public long lineAndAnswer() {
-    client.come(line);
-    target.come(line);
-    return client.taken + changes;
+    client.receive(line);
+    target.receive(line);
+    return client.writtenBytes + changes;
   }
 
-  /** 32 KiB of a host's lines of 1 KiB each. */
+  /** Relays 32 KiB from the stream host, in lines of 1 KiB. */
   @Benchmark
   public long bulkDown() {
-    target.come(bulk);
-    return client.taken;
+    target.receive(bulk);
+    return client.writtenBytes;
   }
 
-  /** 32 KiB of a client's lines of 1 KiB each. */
+  /** Relays 32 KiB from the client, in lines of 1 KiB. */
   @Benchmark
   public long bulkUp() {
-    client.come(bulk);
-    return target.taken;
+    client.receive(bulk);
+    return target.writtenBytes;
   }
 }
--- a/src/main/java/brassbank/grizzly/ChannelFilter.java
+++ b/src/main/java/brassbank/grizzly/ChannelFilter.java
@@ -9,8 +9,9 @@
 import org.glassfish.grizzly.filterchain.TransportFilter;
 
 /**
- * The filter of channels. It does not read itself: whoever has the channel reads straight into a
- * buffer of its own, and so tells a reset from an end, which Grizzly's own reading does not.
+ * The filter of connections that are {@link Channel}s. It reports events without reading: the
+ * channel's handler reads straight into its own buffer and can tell a reset from an end of stream,
+ * which Grizzly's own read does not.
  */
 final class ChannelFilter extends TransportFilter {
   private static final Log LOG = Log.of("channel");
@@ -19,8 +20,8 @@
   private final Consumer<Channel> accepted;
 
   /**
-   * {@code accepted} gets the connections that a listener with this filter takes; with {@code
-   * first} their events go before others.
+   * @param first whether events of the accepted connections are delivered before others
+   * @param accepted receives the connections that a listener with this filter accepts
    */
   ChannelFilter(boolean first, Consumer<Channel> accepted) {
     this.first = first;
@@ -32,7 +33,7 @@
     if (first) {
       EventLoopSelector.prioritize(ctx.getConnection());
     }
-    accepted.accept(GrizzlyChannel.on(ctx.getConnection()));
+    accepted.accept(GrizzlyChannel.create(ctx.getConnection()));
     return ctx.getInvokeAction();
   }
 
--- a/src/main/java/brassbank/grizzly/ConnectAttempt.java
+++ b/src/main/java/brassbank/grizzly/ConnectAttempt.java
@@ -10,12 +10,12 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * A connect with a chain, which owns the connection until it has told of it. Grizzly's connect is
- * typed with the raw connection, hence the suppressed warning.
+ * A connect in progress. It owns the connection until it has handed it to the handler. Grizzly's
+ * connect uses the raw type {@code Connection}, hence the suppressed warning.
  */
 @SuppressWarnings("rawtypes")
 final class ConnectAttempt extends EmptyCompletionHandler<Connection> implements Network.Attempt {
-  /** What becomes of it: one of the two, unless it is cancelled before. */
+  /** Receives the result: exactly one of the two calls, none if the attempt was cancelled. */
   interface Handler {
     void connected(Connection<?> connection);
 
@@ -23,14 +23,14 @@
   }
 
   private final EventLoopSelector selector;
-  private final Handler outcome;
+  private final Handler handler;
   private GrizzlyFuture<Connection> future;
   private Connection<?> connection;
   private boolean over;
 
-  ConnectAttempt(EventLoopSelector selector, Handler outcome) {
+  ConnectAttempt(EventLoopSelector selector, Handler handler) {
     this.selector = selector;
-    this.outcome = outcome;
+    this.handler = handler;
   }
 
   void start(TCPNIOTransport transport, FilterChain chain, InetSocketAddress address) {
@@ -38,30 +38,33 @@
     future.addCompletionHandler(this);
   }
 
-  /** Loopback connects are up, or refused, within the call: whoever made it hears of it later. */
-  private void notifyLater(Runnable news) {
+  /**
+   * Notifies the handler from the event loop. A connect over loopback completes within {@link
+   * #start}, and the caller must not be notified from within its own call.
+   */
+  private void notifyLater(Runnable notification) {
     selector.execute(
         () -> {
           if (!over) {
             over = true;
-            news.run();
+            notification.run();
           }
         });
   }
 
   @Override
-  public void completed(Connection up) {
+  public void completed(Connection established) {
     if (over) {
-      up.terminateSilently();
+      established.terminateSilently();
       return;
     }
-    connection = up;
-    notifyLater(() -> outcome.connected(connection));
+    connection = established;
+    notifyLater(() -> handler.connected(connection));
   }
 
   @Override
   public void failed(Throwable cause) {
-    notifyLater(() -> outcome.failed(cause));
+    notifyLater(() -> handler.failed(cause));
   }
 
   @Override
--- a/src/main/java/brassbank/grizzly/EventLoopIoStrategy.java
+++ b/src/main/java/brassbank/grizzly/EventLoopIoStrategy.java
@@ -10,9 +10,9 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Grizzly's strategy of one thread, but for two things. A filter chain never sees that a socket can
- * be written again, since Grizzly keeps that for its own write queue: a channel is told here. And
- * timers have their turn between two events, however many there are.
+ * Grizzly's same-thread strategy with two additions. Grizzly does not pass writable events to
+ * filter chains, since it uses them for its own write queue; this strategy reports them to the
+ * channel. And it lets timers run between two events when many events are ready at once.
  */
 final class EventLoopIoStrategy implements IOStrategy {
   private final IOStrategy filterChains = SameThreadIOStrategy.getInstance();
--- a/src/main/java/brassbank/grizzly/EventLoopSelector.java
+++ b/src/main/java/brassbank/grizzly/EventLoopSelector.java
@@ -21,42 +21,49 @@
 import org.glassfish.grizzly.nio.DefaultSelectorHandler;
 import org.glassfish.grizzly.nio.SelectorRunner;
 
-/** Grizzly's selector loop with the project's timers and tasks in it, on the selector thread. */
+/** Grizzly's selector handler, extended to run the timers and tasks of the event loop. */
 final class EventLoopSelector extends DefaultSelectorHandler {
   private static final long MAX_SELECT_MILLIS = 1_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** How long events may follow one another before timers and tasks have their turn. */
+  /** How long events are processed in a row before due timers and tasks run. */
   private static final long MAX_EVENT_BATCH_NANOS = 500_000;
 
   /**
-   * The keys of one turn. The selector's own set of them is a hash table, which keeps the size of
-   * the largest crowd that it ever held and is walked through and cleared in full at each turn.
+   * The selected keys of one loop iteration. The selector's own set is a hash table, which never
+   * shrinks below the largest number of keys it ever held and is traversed and cleared completely
+   * in each iteration.
    */
   private static final class ReadyKeys extends AbstractSet<SelectionKey>
       implements Consumer<SelectionKey>, Iterator<SelectionKey> {
     private final List<SelectionKey> keys = new ArrayList<>();
 
-    /** What is ready and none of Grizzly's; null while there was none, as on the platform. */
-    private List<Runnable> others;
+    /**
+     * Callbacks of ready channels that Grizzly does not manage (datagrams); null until the first
+     * one, since a proxy without datagrams has none.
+     */
+    private List<Runnable> callbacks;
 
-    private int first;
+    private int prioritizedCount;
     private int next;
 
-    /** Called by the selector, once for each key. */
+    /** Receives each ready key from the selector. */
     @Override
     public void accept(SelectionKey key) {
       if (key.attachment() instanceof Connection<?> connection && PRIORITIZED.isSet(connection)) {
-        keys.add(first++, key);
-      } else if (key.attachment() instanceof Runnable other) {
-        others = others == null ? new ArrayList<>() : others;
-        others.add(other);
+        keys.add(prioritizedCount++, key);
+      } else if (key.attachment() instanceof Runnable callback) {
+        callbacks = callbacks == null ? new ArrayList<>() : callbacks;
+        callbacks.add(callback);
       } else {
         keys.add(key);
       }
     }
 
-    /** The same one each time: a turn walks through its keys once, and there are many turns. */
+    /**
+     * Returns the same iterator each time, to avoid an allocation per loop iteration: the keys are
+     * traversed once in each.
+     */
     @Override
     public Iterator<SelectionKey> iterator() {
       next = 0;
@@ -84,7 +91,7 @@
     @Override
     public void clear() {
       keys.clear();
-      first = 0;
+      prioritizedCount = 0;
     }
   }
 
@@ -97,31 +104,32 @@
   private volatile EventLoop loop;
   private volatile Selector selector;
 
-  /** When timers and tasks last had their turn. */
+  /** When timers and tasks last ran. */
   private long lastRunNanos;
 
   EventLoopSelector(Clock clock) {
     this.clock = clock;
   }
 
-  /** Has the connection's events go before the others of a turn. */
+  /** Lets the connection's events precede the other events of a loop iteration. */
   static void prioritize(Connection<?> connection) {
     PRIORITIZED.set(connection, true);
   }
 
-  /** To be called before the selector's first turn. */
-  void loop(EventLoop turned) {
-    loop = turned;
+  /** Sets the event loop; must be called before the selector's first iteration. */
+  void loop(EventLoop eventLoop) {
+    loop = eventLoop;
   }
 
   /**
-   * Has the task run whenever the channel can be read, on the selector thread; to be called there.
+   * Registers a callback to run on the selector thread whenever the channel is readable. Must be
+   * called on that thread.
    */
   SelectionKey register(SelectableChannel channel, Runnable readable) throws IOException {
     return channel.register(selector, SelectionKey.OP_READ, readable);
   }
 
-  /** Runs the task once this turn's events are through; any thread may call. */
+  /** Runs the task after the events of the current loop iteration; any thread may call. */
   void execute(Runnable task) {
     tasks.add(task);
     Selector waiting = selector;
@@ -132,7 +140,7 @@
 
   @Override
   public Set<SelectionKey> select(SelectorRunner runner) throws IOException {
-    // Set before the look at the tasks: one that comes after the look wakes this selector up.
+    // Set before checking for tasks: a task added after the check then wakes this selector up.
     selector = runner.getSelector();
     long wait = tasks.isEmpty() ? millisToNextTimer() : 0;
     ready.clear();
@@ -141,16 +149,16 @@
     } else {
       selector.select(ready, wait);
     }
-    if (ready.others != null) {
-      ready.others.forEach(EventLoop::runGuarded);
-      ready.others.clear();
+    if (ready.callbacks != null) {
+      ready.callbacks.forEach(EventLoop::runGuarded);
+      ready.callbacks.clear();
     }
     return ready;
   }
 
   /**
-   * To be called before each event of a channel: where many have something to tell in one turn of
-   * the selector, timers and tasks do not wait for the last of them.
+   * Runs due timers and tasks if events have been processed for too long. Called before each event
+   * of a channel, so that timers do not wait for all events of a large loop iteration.
    */
   void beforeEvent() {
     if (clock.nanos() - lastRunNanos >= MAX_EVENT_BATCH_NANOS) {
@@ -171,7 +179,9 @@
     lastRunNanos = clock.nanos();
   }
 
-  /** Rounded up: a wait that ends before its time would only be begun again. */
+  /**
+   * Returns the wait until the next timer, rounded up: a shorter wait would have to be repeated.
+   */
   private long millisToNextTimer() {
     long due = loop.nextDeadlineNanos();
     if (due == Long.MAX_VALUE) {
--- a/src/main/java/brassbank/grizzly/GrizzlyChannel.java
+++ b/src/main/java/brassbank/grizzly/GrizzlyChannel.java
@@ -15,8 +15,8 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * A connection of Grizzly's as a channel. Grizzly keeps the socket, its interests and its events;
- * bytes pass between the socket and the callers' own buffers, without Grizzly's write queue.
+ * A {@link Channel} on a Grizzly connection. Grizzly manages the socket's interest set and events;
+ * bytes pass directly between the socket and the callers' buffers, without Grizzly's write queue.
  */
 final class GrizzlyChannel implements Channel {
   private static final Log LOG = Log.of("channel");
@@ -31,14 +31,14 @@
     this.connection = connection;
   }
 
-  /** Makes a channel of a connection that is up. */
-  static GrizzlyChannel on(Connection<?> connection) {
+  /** Creates the channel of an established connection. */
+  static GrizzlyChannel create(Connection<?> connection) {
     GrizzlyChannel channel = new GrizzlyChannel((NIOConnection) connection);
     CHANNEL.set(connection, channel);
     return channel;
   }
 
-  /** The connection's channel, or null where it has none. */
+  /** Returns the connection's channel, or null if it has none. */
   static GrizzlyChannel of(Connection<?> connection) {
     return CHANNEL.get(connection);
   }
@@ -48,8 +48,8 @@
   }
 
   @Override
-  public void handler(Handler told) {
-    handler = told;
+  public void handler(Handler next) {
+    handler = next;
   }
 
   @Override
@@ -80,7 +80,7 @@
         connection.disableIOEvent(event);
       }
     } catch (IOException e) {
-      // Stands in Grizzly's signature; its selector handler does not throw it.
+      // Declared by Grizzly's method; the selector handler in use does not throw it.
       LOG.error("interest-failed", e);
     }
   }
@@ -90,7 +90,7 @@
     try {
       socket().setOption(StandardSocketOptions.SO_SNDBUF, bytes);
     } catch (IOException e) {
-      // A connection that is gone is told by its next read or write.
+      // If the connection has failed, its next read or write reports that.
       LOG.info("send-buffer-unset", value("reason", e.getMessage()));
     }
   }
@@ -129,10 +129,10 @@
   }
 
   void broken() {
-    Handler told = handler;
+    Handler last = handler;
     handler = null;
-    if (told != null) {
-      told.broken();
+    if (last != null) {
+      last.broken();
     }
   }
 }
--- a/src/main/java/brassbank/grizzly/GrizzlyNetwork.java
+++ b/src/main/java/brassbank/grizzly/GrizzlyNetwork.java
@@ -26,17 +26,19 @@
 import org.glassfish.grizzly.threadpool.DefaultWorkerThread;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** The kernel's sockets by Grizzly, with one selector thread, which is the loop's. */
+/**
+ * The operating system's sockets by Grizzly. Its one selector thread is the event loop's thread.
+ */
 public final class GrizzlyNetwork implements Network {
   private static final Log LOG = Log.of("net");
 
-  private static final int READ_SIZE = 8 * 1024;
-  private static final int BACKLOG = 1024;
+  private static final int READ_BUFFER_BYTES = 8 * 1024;
+  private static final int ACCEPT_BACKLOG = 1024;
 
   private final Clock clock;
   private final EventLoopSelector selector;
   private final TCPNIOTransport transport;
-  private final FilterChain connected = chain(false, channel -> {});
+  private final FilterChain connectedChain = chain(false, channel -> {});
 
   public GrizzlyNetwork(Clock clock) {
     this.clock = clock;
@@ -48,16 +50,16 @@
             .setSelectorHandler(selector)
             .setReuseAddress(true)
             .setTcpNoDelay(true)
-            .setServerConnectionBackLog(BACKLOG)
-            .setReadBufferSize(READ_SIZE)
+            .setServerConnectionBackLog(ACCEPT_BACKLOG)
+            .setReadBufferSize(READ_BUFFER_BYTES)
             .setSelectorThreadPoolConfig(oneThread())
             .build();
     transport.setName("net");
   }
 
   /**
-   * The selector's thread. Grizzly's own factory puts its name together, and the first such
-   * concatenation in a program costs a tenth of the start.
+   * Returns the configuration of the selector's thread. Grizzly's own thread factory builds the
+   * name by string concatenation, whose first use in a process costs a tenth of the start-up time.
    */
   private static ThreadPoolConfig oneThread() {
     ThreadLocalPool<?> pool =
@@ -112,18 +114,19 @@
     if (!(System.inheritedChannel() instanceof ServerSocketChannel)) {
       throw new InheritedSocketException("descriptor 0 is no listening socket");
     }
-    return new Inherited(accepted);
+    return new InheritedListener(accepted);
   }
 
   /**
-   * Grizzly begins to accept as it binds: that is left until the listener is first turned on. It is
-   * never closed, which would put /dev/null in the place of descriptors 0 to 2.
+   * The listener on the inherited socket. Grizzly accepts from the moment it binds, so that binding
+   * is deferred until the listener is first turned on. The socket is never closed: closing it would
+   * make the runtime open /dev/null in place of descriptors 0 to 2.
    */
-  private final class Inherited implements Listener {
+  private final class InheritedListener implements Listener {
     private final Consumer<Channel> accepted;
     private TCPNIOServerConnection server;
 
-    Inherited(Consumer<Channel> accepted) {
+    InheritedListener(Consumer<Channel> accepted) {
       this.accepted = accepted;
     }
 
@@ -146,36 +149,40 @@
   }
 
   @Override
-  public Attempt connect(InetSocketAddress address, ConnectHandler then) {
-    ConnectAttempt dial =
+  public Attempt connect(InetSocketAddress address, ConnectHandler handler) {
+    ConnectAttempt attempt =
         new ConnectAttempt(
             selector,
             new ConnectAttempt.Handler() {
               @Override
               public void connected(Connection<?> connection) {
-                then.connected(GrizzlyChannel.on(connection));
+                handler.connected(GrizzlyChannel.create(connection));
               }
 
               @Override
               public void failed(Throwable cause) {
-                then.failed(cause instanceof IOException e ? e : new IOException(cause));
+                handler.failed(cause instanceof IOException e ? e : new IOException(cause));
               }
             });
-    dial.start(transport, connected, address);
-    return dial;
+    attempt.start(transport, connectedChain, address);
+    return attempt;
   }
 
   @Override
-  public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
-    HttpCall call = new HttpCall(selector, address, path, answer);
+  public Attempt get(InetSocketAddress address, String path, ResponseHandler handler) {
+    HttpCall call = new HttpCall(selector, address, path, handler);
     call.start(transport);
     return call;
   }
 
-  /** Grizzly's own transport for datagrams has threads of its own: this has the one selector's. */
+  /**
+   * Does not use Grizzly's UDP transport, which would start threads of its own: datagrams are
+   * received on the one selector thread.
+   */
   @Override
-  public Datagrams datagrams(InetSocketAddress address, DatagramHandler heard) throws IOException {
-    return NioDatagrams.open(selector, address, heard);
+  public Datagrams datagrams(InetSocketAddress address, DatagramHandler handler)
+      throws IOException {
+    return NioDatagrams.open(selector, address, handler);
   }
 
   @Override
--- a/src/main/java/brassbank/grizzly/HttpCall.java
+++ b/src/main/java/brassbank/grizzly/HttpCall.java
@@ -19,14 +19,14 @@
 import org.glassfish.grizzly.http.Protocol;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** One HTTP call by Grizzly's HTTP filters. It owns its connection. */
+/** One HTTP request and its response, by Grizzly's HTTP filters, on a connection of its own. */
 final class HttpCall implements Network.Attempt, ConnectAttempt.Handler {
   private final InetSocketAddress address;
   private final String path;
-  private final ConnectAttempt dial;
+  private final ConnectAttempt connect;
 
   /** Null once the call is over. */
-  private Network.ResponseHandler answer;
+  private Network.ResponseHandler handler;
 
   private Connection<?> connection;
 
@@ -34,11 +34,11 @@
       EventLoopSelector selector,
       InetSocketAddress address,
       String path,
-      Network.ResponseHandler answer) {
+      Network.ResponseHandler handler) {
     this.address = address;
     this.path = path;
-    this.answer = answer;
-    dial = new ConnectAttempt(selector, this);
+    this.handler = handler;
+    connect = new ConnectAttempt(selector, this);
   }
 
   void start(TCPNIOTransport transport) {
@@ -48,14 +48,14 @@
             .add(new ResponseFilter())
             .add(new ContentFilter())
             .build();
-    dial.start(transport, chain, address);
+    connect.start(transport, chain, address);
   }
 
   @Override
   public void connected(Connection<?> connected) {
     connection = connected;
-    answer.connected();
-    if (answer == null) {
+    handler.connected();
+    if (handler == null) {
       return;
     }
     String[] parts = path.split("\\?", 2);
@@ -77,30 +77,30 @@
   }
 
   private void fail(String why) {
-    Network.ResponseHandler told = answer;
+    Network.ResponseHandler last = handler;
     cancel();
-    if (told != null) {
-      told.failed(why);
+    if (last != null) {
+      last.failed(why);
     }
   }
 
-  /** The one place where the call's connection is given back. */
+  /** Closes the call's connection; the only place that does so. */
   @Override
   public void cancel() {
-    answer = null;
-    dial.cancel();
+    handler = null;
+    connect.cancel();
     if (connection != null) {
       connection.terminateSilently();
     }
   }
 
-  private void content(HttpContent content) {
-    Network.ResponseHandler told = answer;
+  private void deliver(HttpContent content) {
+    Network.ResponseHandler receiver = handler;
     boolean last = content.isLast();
     if (last) {
-      answer = null;
+      handler = null;
     }
-    told.contentReceived(
+    receiver.contentReceived(
         ((HttpResponsePacket) content.getHttpHeader()).getStatus(),
         content.getContent().toByteBuffer(),
         last);
@@ -109,23 +109,26 @@
     }
   }
 
-  /** The HTTP filter, which by itself tells of an answer only once content has come. */
+  /**
+   * Grizzly's HTTP filter, which by itself passes a response on only once content has arrived: this
+   * one reports the status as soon as the head is parsed.
+   */
   private final class ResponseFilter extends HttpClientFilter {
     @Override
     protected boolean onHttpHeaderParsed(HttpHeader head, Buffer buffer, FilterChainContext ctx) {
-      if (answer != null) {
-        answer.statusReceived(((HttpResponsePacket) head).getStatus());
+      if (handler != null) {
+        handler.statusReceived(((HttpResponsePacket) head).getStatus());
       }
       return super.onHttpHeaderParsed(head, buffer, ctx);
     }
   }
 
-  /** The end of the chain: takes the parts of the answer as the HTTP filter finds them. */
+  /** The last filter of the chain: receives the pieces of the response from the HTTP filter. */
   private final class ContentFilter extends BaseFilter {
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-      if (answer != null) {
-        content(ctx.getMessage());
+      if (handler != null) {
+        deliver(ctx.getMessage());
       }
       return ctx.getStopAction();
     }
--- a/src/main/java/brassbank/grizzly/NioDatagrams.java
+++ b/src/main/java/brassbank/grizzly/NioDatagrams.java
@@ -8,34 +8,43 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.DatagramChannel;
 
-/** The kernel's socket for datagrams, on the selector thread. */
+/** A UDP socket that is read on the selector thread. */
 final class NioDatagrams implements Network.Datagrams {
   private static final Log LOG = Log.of("datagrams");
 
-  /** One turn takes so many, and the rest waits in the kernel: connections have their turn too. */
+  /**
+   * The most datagrams received per loop iteration. The rest stays in the kernel's buffer, so that
+   * a burst does not delay the connections.
+   */
   private static final int MAX_DATAGRAMS_PER_READ = 64;
 
-  /** What the kernel keeps while the program does not run: a whole view of a large fleet. */
+  /**
+   * The kernel's receive buffer. It holds a complete membership exchange of a large fleet while the
+   * process is paused.
+   */
   private static final int RECEIVE_BUFFER_BYTES = 256 * 1024;
 
-  /** Longer ones are cut off by the kernel, and are nobody's. */
+  /** The kernel truncates longer datagrams; no sender of the fleet produces them. */
   private static final int MAX_DATAGRAM_BYTES = 2_048;
 
   private final DatagramChannel channel;
   private final Network.DatagramHandler handler;
   private final ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
 
-  /** By its contract's type, so that whoever opens none loads neither. */
+  /**
+   * Opens a socket. The return type is the interface, so that a process without datagrams loads
+   * neither this class nor {@code DatagramChannel}.
+   */
   static Network.Datagrams open(
-      EventLoopSelector selector, InetSocketAddress address, Network.DatagramHandler heard)
+      EventLoopSelector selector, InetSocketAddress address, Network.DatagramHandler handler)
       throws IOException {
-    return new NioDatagrams(selector, address, heard);
+    return new NioDatagrams(selector, address, handler);
   }
 
   private NioDatagrams(
-      EventLoopSelector selector, InetSocketAddress address, Network.DatagramHandler heard)
+      EventLoopSelector selector, InetSocketAddress address, Network.DatagramHandler handler)
       throws IOException {
-    this.handler = heard;
+    this.handler = handler;
     channel = DatagramChannel.open();
     try {
       channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
@@ -60,7 +69,7 @@
         handler.received(from, bytes);
       }
     } catch (IOException e) {
-      // The kernel tells so of one that was sent before and came to nothing.
+      // The kernel reports here that a datagram sent earlier could not be delivered.
     }
   }
 
@@ -69,7 +78,7 @@
     try {
       channel.send(ByteBuffer.wrap(bytes), to);
     } catch (IOException e) {
-      // No way there, or no room: lost, as a datagram may be.
+      // No route or no buffer space: the datagram is lost, as the interface allows.
     }
   }
 
--- a/src/main/java/brassbank/grizzly/package-info.java
+++ b/src/main/java/brassbank/grizzly/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The real network under {@link brassbank.net.Network}: Grizzly's transport with one selector
- * thread, and its filter chains. The only package that knows Grizzly; only the command line, which
- * makes one, knows this package.
+ * The implementation of {@link brassbank.net.Network} on operating-system sockets: Grizzly's
+ * transport with one selector thread and its filter chains. The only package that depends on
+ * Grizzly; only the command line, which creates the network, depends on this package.
  */
 package brassbank.grizzly;
--- a/src/main/java/brassbank/net/BufferPool.java
+++ b/src/main/java/brassbank/net/BufferPool.java
@@ -8,20 +8,21 @@
 import java.util.List;
 
 /**
- * The one owner of the memory that passing bytes take, for the loop's thread. All links read into
- * one buffer, in turns; what their peers do not take at once waits in pieces that are lent out here
- * and given back when they are empty, so that an idle link holds none.
+ * The buffer memory of all links. All links read into one shared direct buffer. Bytes that a peer
+ * does not accept at once are kept in heap blocks, which a link leases from this pool and returns
+ * when they are empty, so that an idle link holds no block.
  *
- * <p>Pieces are powers of two; lending and giving back take constant time.
+ * <p>The length of a block is a power of two; leasing and returning one take constant time. Not
+ * thread-safe: for the event loop's thread only.
  */
 public final class BufferPool {
   private static final int MIN_BLOCK_BYTES = 1024;
   private static final int SIZE_CLASSES = 21;
 
   /**
-   * What is kept of given back pieces for those who are slow next: so many bytes, or half of what
-   * is lent where that is more. Where many are slow, and each comes again, their pieces would else
-   * be garbage, and collections would delay everybody.
+   * The pool retains returned blocks up to this total, or up to half of the leased bytes where that
+   * is more. Without retained blocks, many slow peers that fall behind repeatedly would turn their
+   * blocks into garbage, and the collections would delay all sessions.
    */
   private static final int MIN_RETAINED_BYTES = 256 * 1024;
 
@@ -29,22 +30,23 @@
 
   private final List<Deque<byte[]>> free = new ArrayList<>();
   private ByteBuffer input;
-  private ByteBuffer discarded;
+  private ByteBuffer discardBuffer;
   private long retainedBytes;
   private long leasedBytes;
 
   /**
-   * @param turn bytes that a link reads in one turn at most
+   * @param readQuotaBytes the most bytes that a link reads per readable event
    */
-  public BufferPool(int turn) {
+  public BufferPool(int readQuotaBytes) {
     for (int i = 0; i < SIZE_CLASSES; i++) {
       free.add(new ArrayDeque<>(0));
     }
-    readQuota(turn);
+    readQuota(readQuotaBytes);
   }
 
   /**
-   * Changes how many bytes a link reads in one turn at most; not while one is being told of some.
+   * Sets the most bytes that a link reads per readable event. Must not be called while a handler is
+   * processing bytes of the shared buffer.
    */
   public void readQuota(int bytes) {
     if (input == null || input.capacity() != bytes) {
@@ -52,44 +54,45 @@
     }
   }
 
-  /** The buffer that is read into next, empty. Its bytes last until the next link reads. */
+  /** Returns the shared read buffer, cleared. Its content is valid until the next link reads. */
   ByteBuffer input() {
     return input.clear();
   }
 
-  /** Takes what is thrown away, of all links in turn. */
-  ByteBuffer discarded() {
-    if (discarded == null) {
-      discarded = ByteBuffer.allocateDirect(DISCARD_BUFFER_BYTES);
+  /** Returns the buffer, cleared, into which all links read the bytes that they discard. */
+  ByteBuffer discardBuffer() {
+    if (discardBuffer == null) {
+      discardBuffer = ByteBuffer.allocateDirect(DISCARD_BUFFER_BYTES);
     }
-    return discarded.clear();
+    return discardBuffer.clear();
   }
 
-  /** Lends a piece of so many bytes or more; {@link #release} ends it. */
+  /** Leases a block of at least this length; the caller returns it by {@link #release}. */
   byte[] lease(int bytes) {
     int size = sizeClass(bytes);
-    byte[] piece = free.get(size).poll();
-    if (piece == null) {
-      piece = new byte[MIN_BLOCK_BYTES << size];
+    byte[] block = free.get(size).poll();
+    if (block == null) {
+      block = new byte[MIN_BLOCK_BYTES << size];
     } else {
-      retainedBytes -= piece.length;
+      retainedBytes -= block.length;
     }
-    leasedBytes += piece.length;
-    return piece;
+    leasedBytes += block.length;
+    return block;
   }
 
-  void release(byte[] piece) {
-    leasedBytes -= piece.length;
-    retainedBytes += piece.length;
-    free.get(sizeClass(piece.length)).push(piece);
-    // The largest go first: they are the fewest.
+  /** Returns a leased block, and frees retained blocks beyond the limit. */
+  void release(byte[] block) {
+    leasedBytes -= block.length;
+    retainedBytes += block.length;
+    free.get(sizeClass(block.length)).push(block);
+    // Frees the largest blocks first: fewest blocks have to be freed that way.
     for (int size = SIZE_CLASSES - 1;
         retainedBytes > Math.max(MIN_RETAINED_BYTES, leasedBytes / 2); ) {
-      byte[] dropped = free.get(size).poll();
-      if (dropped == null) {
+      byte[] freed = free.get(size).poll();
+      if (freed == null) {
         size--;
       } else {
-        retainedBytes -= dropped.length;
+        retainedBytes -= freed.length;
       }
     }
   }
@@ -100,12 +103,12 @@
         : 32 - Integer.numberOfLeadingZeros((bytes - 1) / MIN_BLOCK_BYTES);
   }
 
-  /** Bytes that are lent out now. */
+  /** Returns the total length of the leased blocks. */
   public long leasedBytes() {
     return leasedBytes;
   }
 
-  /** Bytes that are kept to be lent again. */
+  /** Returns the total length of the blocks that are retained for reuse. */
   long retainedBytes() {
     return retainedBytes;
   }
--- a/src/main/java/brassbank/net/Channel.java
+++ b/src/main/java/brassbank/net/Channel.java
@@ -4,75 +4,84 @@
 import java.nio.ByteBuffer;
 
 /**
- * One TCP connection as the kernel shows it to a program that never waits: bytes in, bytes out,
- * what is to be told, and its end. It holds one descriptor, from its making to {@link #close} or
- * {@link #reset}. All of it is for the loop's thread only.
+ * A non-blocking TCP connection. It holds one file descriptor from its creation to {@link #close}
+ * or {@link #reset}. All methods are for the event loop's thread only.
  */
 public interface Channel {
   /**
-   * Who is told what can be done, on a turn of the loop each and never from within a call of the
-   * channel's. Nothing is told after {@link Channel#close} or {@link Channel#reset}, nor of what
-   * there is no interest in: a reset that comes meanwhile is told with the next interest.
+   * Receives the events of a channel. Each is delivered by the event loop, never from within a call
+   * of a channel method. No event is delivered after {@link Channel#close} or {@link
+   * Channel#reset}, and none while its interest is off: a reset that arrives meanwhile is reported
+   * once an interest is on again.
    */
   interface Handler {
     /**
-     * While reading is on, once a turn for as long as there are bytes, the end of the peer's
-     * sending, or a break that a read would tell.
+     * Called once per loop iteration while reading is on and a read would return bytes, the end of
+     * the stream or an error.
      */
     void readable();
 
-    /** While writing is on, once a turn for as long as a write would take a byte or fail. */
+    /**
+     * Called once per loop iteration while writing is on and a write would accept a byte or fail.
+     */
     void writable();
 
-    /** The connection is gone through no doing of the handler's; nothing is told after it. */
+    /** Reports that the connection failed or was closed by the peer; no event follows. */
     void broken();
   }
 
-  /** Sets who is told; whoever gets a channel does so before it returns to the loop. */
+  /**
+   * Sets the receiver of the channel's events. Code that receives a new channel must call this
+   * before it returns to the event loop.
+   */
   void handler(Handler handler);
 
   /**
-   * Reads what there is, as far as there is room; never waits.
+   * Reads the available bytes, as far as the buffer has space; never blocks.
    *
-   * @return how many bytes, 0 where none has come yet, -1 once the peer has ended its sending
-   * @throws IOException where the connection was reset or is broken otherwise
+   * @return the number of bytes read, 0 where none is available, -1 at end of stream
+   * @throws IOException if the connection was reset or failed otherwise
    */
   int read(ByteBuffer into) throws IOException;
 
   /**
-   * Writes as much as the kernel takes at once and leaves the rest in the buffer; never waits.
+   * Writes as many bytes as the kernel accepts and leaves the rest in the buffer; never blocks.
    *
-   * @return how many bytes it took, 0 where its buffer is full
-   * @throws IOException where the connection is broken; a peer that was reset or has closed may
-   *     take one more write before that
+   * @return the number of bytes written, 0 where the kernel's send buffer is full
+   * @throws IOException if the connection has failed; after a reset or close by the peer, one more
+   *     write may succeed first
    */
   int write(ByteBuffer from) throws IOException;
 
-  /** Whether {@link Handler#readable} is told; it is so from the start. */
+  /** Sets whether {@link Handler#readable} is called; initially it is. */
   void reading(boolean on);
 
-  /** Whether {@link Handler#writable} is told; it is not so from the start. */
+  /** Sets whether {@link Handler#writable} is called; initially it is not. */
   void writing(boolean on);
 
   /**
-   * Bounds what the kernel keeps of what was written and the peer has not taken yet, in bytes; from
-   * the start it sets the bound itself. A carrier without such a bound leaves it as it is.
+   * Sets the size of the kernel's send buffer in bytes ({@code SO_SNDBUF}). Without this call the
+   * kernel chooses the size. An implementation without such a buffer ignores the call.
    */
   default void sendBuffer(int bytes) {}
 
   /**
-   * Ends our sending after all that was written; what the peer sends can still be read.
+   * Shuts down the sending direction after all written bytes; the peer's bytes can still be read.
    *
-   * @throws IOException where the connection is broken
+   * @throws IOException if the connection has failed
    */
   void shutdownOutput() throws IOException;
 
   /**
-   * Gives the descriptor back. What was written is still sent, unless bytes have come that nobody
-   * has read: then the peer sees a reset, as with any TCP. The second call does nothing.
+   * Closes the connection and frees its descriptor. Written bytes are still sent, unless received
+   * bytes were left unread: then the peer sees a reset, as TCP prescribes. A second call does
+   * nothing.
    */
   void close();
 
-  /** Gives the descriptor back at once; the peer sees a reset and may lose what is on its way. */
+  /**
+   * Resets the connection and frees its descriptor at once; bytes in transit to the peer may be
+   * lost.
+   */
   void reset();
 }
--- a/src/main/java/brassbank/net/EventLoop.java
+++ b/src/main/java/brassbank/net/EventLoop.java
@@ -6,25 +6,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The timers of the one loop, so that sockets, timers and decisions share a thread and need no
- * locks. The {@link Network} turns it: it asks {@link #nextDeadlineNanos} and calls {@link
- * #runDueTimers}. All of it is for the loop's thread only.
+ * The timers of the event loop. Sockets, timers and decisions share the loop's one thread and need
+ * no locks. The {@link Network} drives the loop: it waits for events no longer than until {@link
+ * #nextDeadlineNanos} and then calls {@link #runDueTimers}. For the event loop's thread only.
  */
 public final class EventLoop {
   private static final Log LOG = Log.of("loop");
 
-  /** Something to be done later, unless it is cancelled before. */
+  /** A scheduled task, which can be cancelled before it runs. */
   public static final class Timer {
     private final long deadlineNanos;
     private final long sequence;
     private Runnable task;
 
-    private Timer(long due, long order, Runnable task) {
-      this.deadlineNanos = due;
-      this.sequence = order;
+    private Timer(long deadlineNanos, long sequence, Runnable task) {
+      this.deadlineNanos = deadlineNanos;
+      this.sequence = sequence;
       this.task = task;
     }
 
+    /** Cancels the task; has no effect once it has run. */
     public void cancel() {
       task = null;
     }
@@ -32,7 +33,7 @@
 
   private final Clock clock;
 
-  /** By due time; of those due at once, the one that was set first. */
+  /** Ordered by deadline; timers with the same deadline in the order in which they were set. */
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
           (a, b) ->
@@ -46,16 +47,21 @@
     this.clock = clock;
   }
 
-  /** Runs the task after so many microseconds; with 0 or less, soon, but not within this call. */
-  public Timer schedule(long micros, Runnable task) {
-    long due = clock.nanos() + TimeUnit.MICROSECONDS.toNanos(Math.max(0, micros));
-    Timer timer = new Timer(due, nextSequence++, task);
+  /**
+   * Schedules a task. It never runs within this call, even with a delay of 0.
+   *
+   * @param delayMicros the delay in microseconds; a negative one counts as 0
+   */
+  public Timer schedule(long delayMicros, Runnable task) {
+    long deadline = clock.nanos() + TimeUnit.MICROSECONDS.toNanos(Math.max(0, delayMicros));
+    Timer timer = new Timer(deadline, nextSequence++, task);
     timers.add(timer);
     return timer;
   }
 
   /**
-   * When {@link #runDueTimers} is next wanted, by {@link Clock#nanos}; Long.MAX_VALUE for never.
+   * Returns the time of {@link Clock#nanos} at which {@link #runDueTimers} is next to be called;
+   * {@code Long.MAX_VALUE} if no timer is set.
    */
   public long nextDeadlineNanos() {
     while (!timers.isEmpty() && timers.peek().task == null) {
@@ -64,7 +70,7 @@
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().deadlineNanos;
   }
 
-  /** Runs what is due, in the order of its time. */
+  /** Runs the tasks whose deadline has passed, in the order of their deadlines. */
   public void runDueTimers() {
     long now = clock.nanos();
     while (nextDeadlineNanos() <= now) {
@@ -72,7 +78,10 @@
     }
   }
 
-  /** A failure in one task must not end the loop, which all connections share. */
+  /**
+   * Runs a task and logs a runtime exception that it throws: a failure in one task must not end the
+   * event loop, which all connections share.
+   */
   public static void runGuarded(Runnable task) {
     try {
       task.run();
@@ -82,7 +91,8 @@
   }
 
   /**
-   * What {@link #runGuarded} says of a failure, for those who cannot afford a task for each event.
+   * Logs a failure as {@link #runGuarded} does, for callers on a hot path that would otherwise
+   * allocate a {@code Runnable} for each event.
    */
   static void logFailure(RuntimeException failure) {
     LOG.error("task-failed", failure);
--- a/src/main/java/brassbank/net/InheritedSocketException.java
+++ b/src/main/java/brassbank/net/InheritedSocketException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The program was told of a listening socket that it has not inherited. */
+/** Thrown when the process was to use an inherited listening socket and has none. */
 public final class InheritedSocketException extends IOException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brassbank/net/LineBuffer.java
+++ b/src/main/java/brassbank/net/LineBuffer.java
@@ -5,8 +5,9 @@
 import java.util.Arrays;
 
 /**
- * The buffer of a connection whose lines are read one by one: it grows as it needs and is compacted
- * in place. Lines are taken from its front.
+ * The receive buffer of a connection that is read line by line. Received bytes are appended at its
+ * end and lines are removed from its front. It grows on demand and is compacted in place. Not
+ * thread-safe.
  */
 public final class LineBuffer {
   private static final int INITIAL_BYTES = 512;
@@ -20,11 +21,14 @@
   private boolean skipping;
   private boolean hasOverlongLine;
 
+  /**
+   * @param maxLineBytes the longest line that is returned, in bytes; longer ones are skipped
+   */
   public LineBuffer(int longestLine) {
     this.maxLineBytes = longestLine;
   }
 
-  /** Room for what is read next; {@link #advance} says how much was. */
+  /** Returns free space to read into; {@link #advance} then reports how many bytes were read. */
   public ByteBuffer space() {
     if (data.length - end < MIN_SPACE_BYTES) {
       compact();
@@ -35,10 +39,12 @@
     return ByteBuffer.wrap(data, end, data.length - end);
   }
 
+  /** Adds the bytes that were read into {@link #space}. */
   public void advance(int bytes) {
     end += bytes;
   }
 
+  /** Appends a copy of the bytes. */
   public void append(ByteBuffer bytes) {
     while (bytes.hasRemaining()) {
       ByteBuffer space = space();
@@ -55,7 +61,7 @@
     start = 0;
   }
 
-  /** The next complete line without its end, or null where none is there yet. */
+  /** Removes and returns the next complete line without its line end; null if there is none. */
   public String nextLine() {
     while (true) {
       int at = scanned;
@@ -64,7 +70,7 @@
       }
       scanned = at;
       if (at == end) {
-        // Guards memory against a peer that never ends its line.
+        // Bounds the memory that a peer which never ends its line can occupy.
         if (end - start > maxLineBytes) {
           hasOverlongLine = true;
           skipping = true;
@@ -86,24 +92,24 @@
     }
   }
 
-  /** Whether a line was longer than allowed; such a line is skipped. */
+  /** Returns whether a line exceeded the maximum length and was skipped. */
   public boolean hasOverlongLine() {
     return hasOverlongLine;
   }
 
-  /** Throws away what has come and is in no line taken yet. */
+  /** Discards the received bytes that no returned line contained. */
   public void clear() {
     start = 0;
     scanned = 0;
     end = 0;
   }
 
-  /** Bytes that have come and are in no line taken yet. */
+  /** Returns the number of received bytes that no returned line contained. */
   public int unreadBytes() {
     return end - start;
   }
 
-  /** The same bytes themselves. */
+  /** Returns the received bytes that no returned line contained; shares the buffer's memory. */
   ByteBuffer unread() {
     return ByteBuffer.wrap(data, start, end - start);
   }
--- a/src/main/java/brassbank/net/Link.java
+++ b/src/main/java/brassbank/net/Link.java
@@ -5,96 +5,105 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One connection: its socket, its buffer, and who is told what comes. At first that is an {@link
- * LineHandler}, who takes lines out of the link's {@link #buffer}; once the connection stands it is
- * a {@link StreamHandler}, which takes the bytes as they come. The socket is given back in {@link
- * #release}, and nowhere else.
+ * One TCP connection of the proxy, with its socket and its buffer. At first its events go to a
+ * {@link LineHandler}, which removes lines from the link's {@link #buffer}. Once a session is
+ * established, {@link #startStreaming} hands the events to a {@link StreamHandler}, which receives
+ * the bytes as they arrive. {@link #release} is the only place that closes the socket.
  *
- * <p>A link has one buffer at a time: that of its lines, or later that of what waits for its peer,
- * which it holds only while something does.
+ * <p>A link has one buffer at a time: the receive buffer for lines, or, once it is streaming, the
+ * queue of bytes that the peer has not accepted, which it holds only while there are such bytes.
+ *
+ * <p>Not thread-safe: for the event loop's thread only.
  */
 public final class Link {
-  /** The longest line that the protocol allows. */
+  /** The longest line that the protocol allows, in bytes. */
   public static final int MAX_LINE_BYTES = 4 * 1024;
 
-  /** How long a link lives whose one direction has ended, so that no reset eats the last lines. */
+  /**
+   * How long a link stays open after one direction has ended. Closing it earlier could make TCP
+   * send a reset that destroys the last lines in transit.
+   */
   private static final long LINGER_MICROS = 1_000_000;
 
-  /** How much is thrown away of what a peer sends after its last answer. */
+  /** The most bytes that are read and discarded from a peer after the proxy's final line. */
   private static final long MAX_DISCARDED_BYTES = 128L << 20;
 
-  /** How long at most it is read after its last answer, and how long a quiet peer has gone. */
+  /** The longest time for which a rejected peer is read after its final line. */
   private static final long REJECTED_LINGER_MICROS = 5_000_000;
 
+  /** A rejected peer that sends nothing for this long is taken to have stopped sending. */
   private static final long QUIET_PERIOD_MICROS = 250_000;
 
-  /** Who is told of a link's lines and of its end. */
+  /** Receives the events of a link that is read line by line. */
   public interface LineHandler {
-    /** Bytes have come into the link's buffer. */
+    /** Reports that bytes were appended to the link's buffer. */
     void received(Link link);
 
     /**
-     * The peer has ended its sending, or the link was reset. Told once, and not after {@link
-     * #close} or {@link #reset}; after an end that was no reset, the owner may still send, and must
-     * close.
+     * Reports that the peer has ended its stream, or that the connection was reset. Called at most
+     * once, and not after {@link #close} or {@link #reset}. Unless it was a reset, the handler may
+     * still send, and must close the link.
      */
     void ended(Link link, boolean reset);
   }
 
-  /** Who is told of a link's bytes, and of its end. */
+  /** Receives the events of a link that is read as a byte stream. */
   public interface StreamHandler {
-    /** How many bytes may be read now; 1 or more. */
+    /** Returns the most bytes that may be read now; 1 or more. */
     int readQuota(Link link);
 
     /**
-     * Bytes have come. They stand in a buffer that all links share: whoever wants them later has
-     * taken them before it returns.
+     * Reports received bytes. The buffer is shared by all links: its content is valid during the
+     * call only.
      */
     void received(Link link, ByteBuffer bytes);
 
-    /** So many of the bytes that were sent wait for the peer to read. */
+    /** Reports that the kernel did not accept this many of the bytes sent, which are now queued. */
     void queued(Link link, int bytes);
 
-    /** The peer has taken so many of the bytes that waited. */
+    /** Reports that the kernel has accepted this many of the queued bytes. */
     void drained(Link link, int bytes);
 
-    /** As {@link LineHandler#ended}. */
+    /** See {@link LineHandler#ended}. */
     void ended(Link link, boolean reset);
 
-    /** The link's memory and its descriptor are free; told once, after all else. */
+    /** Reports that the link's memory and descriptor are free; called once, as the last event. */
     void released(Link link);
   }
 
   private final Net net;
   private final Channel channel;
-  private final SendQueue outbox;
+  private final SendQueue sendQueue;
 
-  /** Until the link is a stream. */
+  /** Null once the link is streaming. */
   private LineBuffer buffer = new LineBuffer(MAX_LINE_BYTES);
 
   private LineHandler handler;
-  private StreamHandler startStreaming;
+  private StreamHandler streamHandler;
   private boolean paused;
   private long lingerMicros = LINGER_MICROS;
 
-  /** Nobody hears of what comes any longer: the link was closed, or its end was told. */
+  /** The link was closed, or its end was reported: no further events go to the handler. */
   private boolean notificationsOff;
 
   private boolean inputEnded;
+
+  /** The sending direction ends once the queued bytes are written. */
   private boolean outputEnding;
+
   private boolean outputShut;
   private boolean released;
-  private long discarded;
+  private long discardedBytes;
   private EventLoop.Timer lingerTimer;
 
-  /** The channel tells when it takes more. */
+  /** The channel reports when it accepts more bytes. */
   private boolean writing;
 
-  Link(Net net, Channel channel, LineHandler owner) {
+  Link(Net net, Channel channel, LineHandler handler) {
     this.net = net;
     this.channel = channel;
-    this.handler = owner;
-    outbox = new SendQueue(net.buffers());
+    this.handler = handler;
+    sendQueue = new SendQueue(net.buffers());
     channel.handler(
         new Channel.Handler() {
           @Override
@@ -126,34 +135,36 @@
         });
   }
 
-  /** What has come and was not taken yet; null once the link is a stream. */
+  /** Returns the buffer of received lines; null once the link is streaming. */
   public LineBuffer buffer() {
     return buffer;
   }
 
+  /** Sets the receiver of the link's events while it is read line by line. */
   public void handler(LineHandler next) {
     handler = next;
   }
 
   /**
-   * Hands all that comes from here on to the stream, as it comes.
+   * Switches the link from lines to a byte stream, whose events go to the handler from here on.
    *
-   * @return what has come already and is in no line that was taken
+   * @return the bytes received so far that no returned line contained
    */
   public ByteBuffer startStreaming(StreamHandler next) {
-    startStreaming = next;
-    ByteBuffer rest = buffer.unread();
+    streamHandler = next;
+    ByteBuffer unread = buffer.unread();
     buffer = null;
     handler = null;
-    if (!outbox.isEmpty()) {
-      startStreaming.queued(this, outbox.size());
+    if (!sendQueue.isEmpty()) {
+      streamHandler.queued(this, sendQueue.size());
     }
     if (released) {
-      startStreaming.released(this);
+      streamHandler.released(this);
     }
-    return rest;
+    return unread;
   }
 
+  /** Returns whether neither direction has ended and the link was not closed. */
   public boolean isOpen() {
     return !inputEnded && !outputEnding && !released;
   }
@@ -162,32 +173,38 @@
     return (inputEnded || outputEnding) && !released;
   }
 
+  /** Sends a line; the line end is added. */
   public void send(String line) {
     send((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1), null);
   }
 
-  /** Writes the bytes; {@code written} runs once the last of them is with the kernel. */
+  /**
+   * Sends the bytes.
+   *
+   * @param written runs once the kernel has accepted the last byte; may be null. It does not run if
+   *     the link has ended or ends before
+   */
   public void send(byte[] bytes, Runnable written) {
     if (outputEnding || released || bytes.length == 0) {
       return;
     }
     send(ByteBuffer.wrap(bytes));
     if (!released && written != null) {
-      outbox.whenWritten(written);
-      outbox.runWrittenCallbacks();
+      sendQueue.whenWritten(written);
+      sendQueue.runWrittenCallbacks();
     }
   }
 
   /**
-   * Writes the bytes: at once as far as the kernel takes them; the rest is kept, and follows as the
-   * peer reads. None of them is left in the buffer.
+   * Sends the bytes: writes as many as the kernel accepts at once and queues the rest. The buffer
+   * is always consumed, also on a link that has ended, which drops the bytes.
    */
   public void send(ByteBuffer bytes) {
     if (outputEnding || released) {
       bytes.position(bytes.limit());
       return;
     }
-    if (outbox.isEmpty()) {
+    if (sendQueue.isEmpty()) {
       try {
         channel.write(bytes);
       } catch (IOException e) {
@@ -196,53 +213,53 @@
         return;
       }
     }
-    int rest = bytes.remaining();
-    if (rest > 0) {
-      outbox.add(bytes);
+    int remaining = bytes.remaining();
+    if (remaining > 0) {
+      sendQueue.add(bytes);
       if (!writing) {
         writing = true;
         channel.writing(true);
       }
-      if (startStreaming != null) {
-        startStreaming.queued(this, rest);
+      if (streamHandler != null) {
+        streamHandler.queued(this, remaining);
       }
     }
   }
 
-  /** The channel takes more. */
+  /** Writes queued bytes; the channel accepts more. */
   private void write() {
     int count;
     try {
-      count = outbox.writeTo(channel);
+      count = sendQueue.writeTo(channel);
     } catch (IOException e) {
       connectionBroken();
       return;
     }
-    if (outbox.isEmpty()) {
+    if (sendQueue.isEmpty()) {
       writing = false;
       channel.writing(false);
     }
-    if (startStreaming != null && count > 0) {
-      startStreaming.drained(this, count);
+    if (streamHandler != null && count > 0) {
+      streamHandler.drained(this, count);
     }
     if (!released) {
-      outbox.runWrittenCallbacks();
+      sendQueue.runWrittenCallbacks();
     }
   }
 
-  /** Bounds what the kernel keeps for the peer, in bytes, see {@link Channel#sendBuffer}. */
+  /** Sets the size of the kernel's send buffer in bytes; see {@link Channel#sendBuffer}. */
   public void sendBuffer(int bytes) {
     if (!released) {
       channel.sendBuffer(bytes);
     }
   }
 
-  /** How many bytes wait for the peer to read, beside what the kernel keeps. */
+  /** Returns the number of sent bytes that the kernel has not accepted yet. */
   public int queuedBytes() {
-    return outbox.size();
+    return sendQueue.size();
   }
 
-  /** Stops reading, so that TCP holds the peer back. */
+  /** Stops reading, so that TCP flow control slows the peer down. */
   public void pause() {
     if (!inputEnded && !released && !paused) {
       paused = true;
@@ -250,6 +267,7 @@
     }
   }
 
+  /** Reads again after {@link #pause}. */
   public void resume() {
     if (paused) {
       paused = false;
@@ -260,15 +278,15 @@
   }
 
   /**
-   * Ends the link after all that was sent, as {@link #close()}, and by a reset if that has not gone
-   * in time.
+   * Closes the link as {@link #close()} does, with another time limit for the queued bytes. If they
+   * are not written within it, the link is reset.
    */
   public void close(long limitMicros) {
     lingerMicros = limitMicros;
     close();
   }
 
-  /** Ends the link after all that was sent; what still comes is thrown away. */
+  /** Closes the link once all sent bytes are written; bytes that still arrive are discarded. */
   public void close() {
     notificationsOff = true;
     resume();
@@ -276,8 +294,9 @@
   }
 
   /**
-   * Ends the link with a last line. A peer that is still sending is read for a while, until it has
-   * been quiet: a close with bytes unread would send a reset, which can overtake the line.
+   * Sends a final line and closes the link. A peer that is still sending is read until it pauses,
+   * for a limited time: closing with unread bytes would send a reset, which can destroy the line
+   * before the peer has read it.
    */
   public void reject(String line) {
     send(line);
@@ -286,31 +305,36 @@
     awaitQuiet(0);
   }
 
-  private void awaitQuiet(long seen) {
+  private void awaitQuiet(long discardedBefore) {
     net.loop()
         .schedule(
             QUIET_PERIOD_MICROS,
             () -> {
-              if (discarded == seen || net.isAtCapacity()) {
+              if (discardedBytes == discardedBefore || net.isAtCapacity()) {
                 release();
               } else {
-                awaitQuiet(discarded);
+                awaitQuiet(discardedBytes);
               }
             });
   }
 
-  /** Ends our sending after all that was sent; what the peer sends is still told. */
+  /**
+   * Shuts down the sending direction once all sent bytes are written. Bytes of the peer are still
+   * reported.
+   */
   public void shutdownOutput() {
     if (outputEnding || released) {
       return;
     }
     outputEnding = true;
     startLinger();
-    outbox.whenWritten(this::shutdownChannelOutput);
-    outbox.runWrittenCallbacks();
+    sendQueue.whenWritten(this::shutdownChannelOutput);
+    sendQueue.runWrittenCallbacks();
   }
 
-  /** Ends the link with a last line and without waiting for the peer, so that its room is free. */
+  /**
+   * Sends a final line and closes at once, without waiting for the peer, to free the descriptor.
+   */
   public void closeNow(String line) {
     send(line);
     release();
@@ -318,8 +342,9 @@
 
   private void startLinger() {
     if (lingerTimer == null) {
-      // What still waits then is lost: the peer must not take the end for a proper one.
-      lingerTimer = net.loop().schedule(lingerMicros, () -> release(!outbox.isEmpty()));
+      // Bytes that are still queued then are lost. A reset keeps the peer from taking the close for
+      // a regular end of stream.
+      lingerTimer = net.loop().schedule(lingerMicros, () -> release(!sendQueue.isEmpty()));
     }
   }
 
@@ -335,7 +360,7 @@
     }
   }
 
-  /** Ends the link at once; the peer sees a reset. */
+  /** Closes the link at once; the peer sees a reset. */
   public void reset() {
     if (released) {
       return;
@@ -348,7 +373,7 @@
     release(false);
   }
 
-  /** The one place where the socket is given back. */
+  /** Closes the socket and frees the link's memory; the only place that does so. */
   private void release(boolean abruptly) {
     if (!released) {
       released = true;
@@ -360,29 +385,29 @@
       } else {
         channel.close();
       }
-      outbox.clear();
+      sendQueue.clear();
       net.released(this);
-      if (startStreaming != null) {
-        startStreaming.released(this);
+      if (streamHandler != null) {
+        streamHandler.released(this);
       }
     }
   }
 
-  /** Reads now what has come already, without waiting to be told of it. */
+  /** Reads the bytes that have already arrived, without waiting for the event loop's event. */
   public void readNow() {
     if (!inputEnded && !released) {
       read();
     }
   }
 
-  /** Reads what there is, as much as may be at once. */
+  /** Reads the available bytes, up to the read quota. */
   private void read() {
     ByteBuffer into;
     if (notificationsOff) {
-      into = net.buffers().discarded();
-    } else if (startStreaming != null) {
+      into = net.buffers().discardBuffer();
+    } else if (streamHandler != null) {
       into = net.buffers().input();
-      into.limit(Math.min(into.capacity(), startStreaming.readQuota(this)));
+      into.limit(Math.min(into.capacity(), streamHandler.readQuota(this)));
     } else {
       into = buffer.space();
     }
@@ -394,27 +419,27 @@
       return;
     }
     if (count < 0) {
-      inputEnded();
+      endInput();
     } else if (count > 0) {
-      took(into, count);
+      deliver(into, count);
     }
   }
 
-  private void took(ByteBuffer bytes, int count) {
+  private void deliver(ByteBuffer bytes, int count) {
     if (notificationsOff) {
-      discarded += count;
-      if (discarded > MAX_DISCARDED_BYTES) {
+      discardedBytes += count;
+      if (discardedBytes > MAX_DISCARDED_BYTES) {
         release();
       }
-    } else if (startStreaming != null) {
-      startStreaming.received(this, bytes.flip());
+    } else if (streamHandler != null) {
+      streamHandler.received(this, bytes.flip());
     } else {
       buffer.advance(count);
       handler.received(this);
     }
   }
 
-  private void inputEnded() {
+  private void endInput() {
     inputEnded = true;
     if (outputShut) {
       release();
@@ -425,7 +450,7 @@
     notifyEnded(false);
   }
 
-  /** The link is broken, as seen by a read, a write or the channel. */
+  /** Ends the link after a read, a write or the channel has reported a failed connection. */
   private void connectionBroken() {
     if (!released) {
       release();
@@ -436,8 +461,8 @@
   private void notifyEnded(boolean reset) {
     if (!notificationsOff) {
       notificationsOff = true;
-      if (startStreaming != null) {
-        startStreaming.ended(this, reset);
+      if (streamHandler != null) {
+        streamHandler.ended(this, reset);
       } else {
         handler.ended(this, reset);
       }
--- a/src/main/java/brassbank/net/Net.java
+++ b/src/main/java/brassbank/net/Net.java
@@ -12,24 +12,25 @@
 import java.util.function.Consumer;
 
 /**
- * The way in to the network: links and calls, and the one count of the descriptors that they hold.
- * Everything but {@link #execute} is for the loop's thread, or for the time before {@link #start}.
+ * Opens and accepts the connections of the proxy and accounts for the descriptors that they hold.
+ * All methods except {@link #execute} are for the event loop's thread, or for the time before
+ * {@link #start}.
  */
 public final class Net {
   private static final Log LOG = Log.of("net");
 
-  /** Descriptors kept for discovery's calls, an accept under way and what the runtime opens. */
+  /** Reserve for discovery calls, an accept in progress and files that the Java runtime opens. */
   private static final int RESERVED_DESCRIPTORS = 12;
 
-  /** Descriptors that the runtime is taken to hold where they cannot be counted. */
+  /** Assumed number of descriptors of the Java runtime where they cannot be counted. */
   private static final int DEFAULT_RUNTIME_DESCRIPTORS = 44;
 
   private static final int MIN_LINKS = 8;
 
-  /** What a link reads in one turn, where nothing else is configured. */
+  /** What a link reads per readable event unless configured otherwise. */
   private static final int DEFAULT_READ_QUOTA_BYTES = 32 * 1024;
 
-  /** What becomes of a connect: exactly one of the two is told, on a later turn. */
+  /** Receives the result of a connect: exactly one of the two calls, from the event loop. */
   public interface ConnectHandler {
     void connected(Link link);
 
@@ -39,49 +40,58 @@
   private final Network network;
   private final EventLoop loop;
 
-  /** In the order of their making, so that a run can be replayed whatever walks through them. */
+  /** In the order of creation, so that iterating over them is the same in each replay of a run. */
   private final Set<Link> links = new LinkedHashSet<>();
 
-  /** Links of the operators' door, which have descriptors of their own and make nobody wait. */
+  /**
+   * Links of the management address. They have reserved descriptors, so that they never take one
+   * from a client.
+   */
   private final Set<Link> managementLinks = new LinkedHashSet<>();
 
-  /** Descriptors kept back for them. */
+  /** Descriptors reserved for the management links and their listener. */
   private int managementDescriptors;
 
   private final BufferPool buffers = new BufferPool(DEFAULT_READ_QUOTA_BYTES);
 
   private int runtimeDescriptors = DEFAULT_RUNTIME_DESCRIPTORS;
   private int maxDescriptors;
+
+  /** The most links and pending connects together. */
   private int maxLinks;
 
-  /** Connects under way, each of which holds a descriptor too. */
+  /** Connects in progress, each of which holds a descriptor too. */
   private int pendingConnects;
 
   private Network.Listener listener;
   private boolean accepting = true;
 
-  /** False while another process takes the clients. */
+  /** False while another process accepts the clients. */
   private boolean acceptClients = true;
 
-  public Net(int sockets, Network network) {
+  /**
+   * @param descriptors the most descriptors that the process may hold
+   */
+  public Net(int descriptors, Network network) {
     this.network = network;
     loop = new EventLoop(network.clock());
-    descriptorLimit(sockets);
+    descriptorLimit(descriptors);
   }
 
+  /** Starts the event loop. */
   public void start() throws IOException {
     network.start(loop);
   }
 
-  /** Takes clients at this address and no other. */
+  /** Accepts clients at exactly this address. */
   public void listen(InetSocketAddress address, Consumer<Link> onAccept) throws IOException {
     listener = network.listen(address, acceptHandler(onAccept));
     countRuntimeDescriptors();
   }
 
   /**
-   * Takes clients from the listening socket that the program inherited, once {@link #acceptClients}
-   * says.
+   * Accepts clients from the listening socket that the process inherited, from the call of {@link
+   * #acceptClients} on.
    */
   public void inherit(Consumer<Link> onAccept) throws IOException {
     listener = network.inherit(acceptHandler(onAccept));
@@ -105,28 +115,29 @@
     descriptorLimit(maxDescriptors);
   }
 
-  /** Whether clients are taken, as far as there is room. */
+  /** Sets whether clients are accepted while descriptors are available. */
   public void acceptClients(boolean on) {
     acceptClients = on;
     updateAccepting();
   }
 
-  /** Whether clients are taken. */
+  /** Returns whether clients are accepted while descriptors are available. */
   public boolean isAcceptingClients() {
     return acceptClients;
   }
 
   /**
-   * Takes connections at one more address, apart from the clients': their events come first, and
-   * they hold no more than so many descriptors, which are kept back for them. To be called before
-   * {@link #listen}.
+   * Accepts management connections at a further address. Their events are delivered before those of
+   * other connections, and descriptors are reserved for them. Must be called before {@link
+   * #listen}.
    *
-   * @param onAccept gets each new link; where there is one more than that, it ends one at once, or
-   *     the oldest ends without a word
+   * @param maxConnections the most management connections at a time
+   * @param onAccept receives each new link. If the limit is exceeded, it closes a link at once;
+   *     otherwise the oldest one is closed without a reply
    */
-  public void listenManagement(InetSocketAddress address, int places, Consumer<Link> onAccept)
-      throws IOException {
-    this.managementDescriptors = places + 1;
+  public void listenManagement(
+      InetSocketAddress address, int maxConnections, Consumer<Link> onAccept) throws IOException {
+    this.managementDescriptors = maxConnections + 1;
     network.listen(
         address,
         true,
@@ -136,13 +147,13 @@
                   Link link = new Link(this, channel, null);
                   managementLinks.add(link);
                   onAccept.accept(link);
-                  if (managementLinks.size() > places) {
+                  if (managementLinks.size() > maxConnections) {
                     managementLinks.iterator().next().release();
                   }
                 }));
   }
 
-  /** Sets how many descriptors this process may hold. */
+  /** Sets the most descriptors that this process may hold. */
   public void descriptorLimit(int descriptors) {
     maxDescriptors = descriptors;
     maxLinks =
@@ -153,21 +164,21 @@
   }
 
   /**
-   * How many descriptors the process needs for what it has, where it takes no more clients: no flow
-   * of it is refused under this limit.
+   * Returns the smallest descriptor limit under which a process that accepts no more clients
+   * refuses none of its flows.
    *
-   * @param promised descriptors that are promised and not held yet
+   * @param reserved descriptors that flows will need and do not hold yet
    */
-  public int requiredDescriptors(int promised) {
+  public int requiredDescriptors(int reserved) {
     return runtimeDescriptors
         + RESERVED_DESCRIPTORS
         + managementDescriptors
         + usedDescriptors()
-        + promised
+        + reserved
         + MIN_LINKS;
   }
 
-  /** The memory of all links. */
+  /** Returns the buffer memory of all links. */
   public BufferPool buffers() {
     return buffers;
   }
@@ -180,30 +191,33 @@
     return network.clock();
   }
 
-  /** Runs a task on the loop's thread, from any other. */
+  /** Runs a task on the event loop's thread; any thread may call. */
   public void execute(Runnable task) {
     network.execute(() -> EventLoop.runGuarded(task));
   }
 
-  /** Whether a link that was closed still has something to send, or waits for its peer's end. */
+  /** Returns whether a closed link still has bytes to send or waits for its peer to close. */
   public boolean hasClosingLinks() {
     return links.stream().anyMatch(Link::isClosing);
   }
 
-  /** Whether descriptors run short: a new flow must be refused while there is room to say so. */
+  /**
+   * Returns whether new flows are to be refused for lack of descriptors. An eighth of the
+   * descriptors is still free then, so that clients can be accepted and receive a refusal.
+   */
   public boolean isAtCapacity() {
     return isAtCapacity(0);
   }
 
   /**
-   * As {@link #isAtCapacity()}, with so many descriptors that are promised and not held yet.
-   * Nothing is kept back for refusals where no new clients come.
+   * As {@link #isAtCapacity()}, counting descriptors that flows will need and do not hold yet.
+   * While no new clients are accepted, nothing is set aside for refusals.
    */
-  public boolean isAtCapacity(int promised) {
-    return usedDescriptors() + promised > maxLinks - (acceptClients ? maxLinks / 8 : 0);
+  public boolean isAtCapacity(int reserved) {
+    return usedDescriptors() + reserved > maxLinks - (acceptClients ? maxLinks / 8 : 0);
   }
 
-  /** How many clients that have said nothing yet there may be. */
+  /** Returns the most clients that may be connected without having sent a line yet. */
   public int maxSilentClients() {
     return Math.max(1, Math.min(maxLinks / 4, maxLinks - maxLinks / 8 - usedDescriptors()));
   }
@@ -212,8 +226,8 @@
     return links.size() + pendingConnects;
   }
 
-  private Link adopt(Channel channel, Link.LineHandler owner) {
-    Link link = new Link(this, channel, owner);
+  private Link adopt(Channel channel, Link.LineHandler handler) {
+    Link link = new Link(this, channel, handler);
     links.add(link);
     return link;
   }
@@ -225,24 +239,34 @@
     }
   }
 
-  /** An accept without a descriptor would end the listening socket: the backlog waits instead. */
+  /**
+   * Turns the listener on or off. It is off while no descriptor is free, because an accept that
+   * fails for lack of one would end the listening socket; clients then wait in the backlog.
+   */
   private void updateAccepting() {
-    boolean room = usedDescriptors() < maxLinks;
-    boolean wanted = room && acceptClients;
+    boolean hasCapacity = usedDescriptors() < maxLinks;
+    boolean wanted = hasCapacity && acceptClients;
     if (wanted == accepting || listener == null) {
       return;
     }
     accepting = wanted;
-    if (!room) {
+    if (!hasCapacity) {
       LOG.warn("descriptors-short", value("open", usedDescriptors()));
     }
     listener.accepting(wanted);
   }
 
-  /** Opens a connection of lines; it has a time limit, since a silent machine never answers. */
+  /**
+   * Opens a connection that is read line by line.
+   *
+   * @param timeoutMicros the time limit of the connect: a machine that is down never answers
+   */
   public Network.Attempt connect(
-      InetSocketAddress address, long limitMicros, Link.LineHandler owner, ConnectHandler then) {
-    TimedConnect dial =
+      InetSocketAddress address,
+      long timeoutMicros,
+      Link.LineHandler handler,
+      ConnectHandler result) {
+    TimedConnect connect =
         new TimedConnect() {
           @Override
           Network.Attempt attempt() {
@@ -251,30 +275,37 @@
                 new Network.ConnectHandler() {
                   @Override
                   public void connected(Channel channel) {
-                    settled();
-                    EventLoop.runGuarded(() -> then.connected(adopt(channel, owner)));
+                    settle();
+                    EventLoop.runGuarded(() -> result.connected(adopt(channel, handler)));
                   }
 
                   @Override
                   public void failed(IOException cause) {
-                    lost(cause);
+                    abort(cause);
                   }
                 });
           }
 
           @Override
           void failed(Throwable cause) {
-            then.failed(cause);
+            result.failed(cause);
           }
         };
-    dial.start(limitMicros);
-    return dial;
+    connect.start(timeoutMicros);
+    return connect;
   }
 
-  /** Asks by HTTP, see {@link Network#get}; its connect has a time limit. */
+  /**
+   * Sends an HTTP request, see {@link Network#get}.
+   *
+   * @param connectTimeoutMicros the time limit of the connect; the response has none
+   */
   public Network.Attempt get(
-      InetSocketAddress address, String path, long connectMicros, Network.ResponseHandler answer) {
-    TimedConnect dial =
+      InetSocketAddress address,
+      String path,
+      long connectTimeoutMicros,
+      Network.ResponseHandler handler) {
+    TimedConnect connect =
         new TimedConnect() {
           @Override
           Network.Attempt attempt() {
@@ -284,80 +315,80 @@
                 new Network.ResponseHandler() {
                   @Override
                   public void connected() {
-                    settled();
-                    EventLoop.runGuarded(answer::connected);
+                    settle();
+                    EventLoop.runGuarded(handler::connected);
                   }
 
                   @Override
                   public void statusReceived(int status) {
-                    EventLoop.runGuarded(() -> answer.statusReceived(status));
+                    EventLoop.runGuarded(() -> handler.statusReceived(status));
                   }
 
                   @Override
                   public void contentReceived(int status, ByteBuffer bytes, boolean last) {
-                    EventLoop.runGuarded(() -> answer.contentReceived(status, bytes, last));
+                    EventLoop.runGuarded(() -> handler.contentReceived(status, bytes, last));
                   }
 
                   @Override
                   public void failed(String why) {
-                    settled();
-                    EventLoop.runGuarded(() -> answer.failed(why));
+                    settle();
+                    EventLoop.runGuarded(() -> handler.failed(why));
                   }
                 });
           }
 
           @Override
           void failed(Throwable cause) {
-            answer.failed(cause.getMessage());
+            handler.failed(cause.getMessage());
           }
         };
-    dial.start(connectMicros);
-    return dial;
+    connect.start(connectTimeoutMicros);
+    return connect;
   }
 
   /**
-   * Takes datagrams, see {@link Network#datagrams}. The one descriptor comes out of those that are
-   * kept for the runtime: no client waits for it.
+   * Receives datagrams, see {@link Network#datagrams}. The socket's descriptor is one of those
+   * reserved for the Java runtime, so that clients do not compete for it.
    */
-  public Network.Datagrams datagrams(InetSocketAddress address, Network.DatagramHandler heard)
+  public Network.Datagrams datagrams(InetSocketAddress address, Network.DatagramHandler handler)
       throws IOException {
     return network.datagrams(
-        address, (from, bytes) -> EventLoop.runGuarded(() -> heard.received(from, bytes)));
+        address, (from, bytes) -> EventLoop.runGuarded(() -> handler.received(from, bytes)));
   }
 
-  /** A connect within its time limit; it counts as a descriptor until it is settled. */
+  /** A connect with a time limit. It counts as a descriptor until it succeeds, fails or ends. */
   private abstract class TimedConnect implements Network.Attempt {
     private Network.Attempt attempt;
-    private EventLoop.Timer limit;
+    private EventLoop.Timer timeout;
     private boolean settled;
 
     abstract Network.Attempt attempt();
 
     abstract void failed(Throwable cause);
 
-    void start(long limitMicros) {
+    void start(long timeoutMicros) {
       pendingConnects++;
-      limit = loop.schedule(limitMicros, () -> lost(new IOException("not up in time")));
+      timeout = loop.schedule(timeoutMicros, () -> abort(new IOException("connect timed out")));
       attempt = attempt();
     }
 
-    /** The one place where a connect's descriptor is no longer counted. */
-    void settled() {
+    /** Stops counting the connect's descriptor; the only place that does so. */
+    void settle() {
       if (!settled) {
         settled = true;
-        limit.cancel();
+        timeout.cancel();
         pendingConnects--;
       }
     }
 
-    void lost(Throwable cause) {
+    void abort(Throwable cause) {
       cancel();
       EventLoop.runGuarded(() -> failed(cause));
     }
 
     @Override
     public void cancel() {
-      settled();
+      settle();
       attempt.cancel();
     }
   }
--- a/src/main/java/brassbank/net/Network.java
+++ b/src/main/java/brassbank/net/Network.java
@@ -7,137 +7,144 @@
 import java.util.function.Consumer;
 
 /**
- * The machine and its network, as one program sees them: the contract between the network code, of
- * which {@link Net} is the way in, and what carries it. {@code brassbank.grizzly} is the real one;
- * a simulated one can stand in for it, and nothing above can tell.
+ * The operating system's network as one process sees it: the interface between {@link Net} and an
+ * implementation. {@code brassbank.grizzly} implements it on sockets, and the simulator in virtual
+ * time.
  *
- * <p>There is one loop with one thread. A turn of it is an event of a channel, of a connect or of a
- * listener, a task given to {@link #execute}, or a timer. Everything but {@link #execute} and
- * {@link #clock} is for that thread, or for the time before {@link #start}.
+ * <p>There is one event loop with one thread. It delivers events of channels, connects and
+ * listeners, tasks given to {@link #execute}, and timers, one after the other. All methods except
+ * {@link #execute} and {@link #clock} are for that thread, or for the time before {@link #start}.
  */
 public interface Network {
-  /** An attempt that can be given up. After {@link #cancel} nothing of it is told. */
+  /** A connect or call in progress. After {@link #cancel} its handler is not called any more. */
   interface Attempt {
-    /** Gives the attempt up, with its descriptor. After its end this does nothing. */
+    /** Cancels the attempt and frees its descriptor. Has no effect once the attempt is over. */
     void cancel();
   }
 
-  /** What becomes of a connect; exactly one of the two is told, on a later turn. */
+  /** Receives the result of a connect: exactly one of the two calls, from the event loop. */
   interface ConnectHandler {
-    /** The channel is the callee's, who sets its handler before it returns. */
+    /** Hands over the channel; the callee sets the channel's handler before it returns. */
     void connected(Channel channel);
 
-    /** The connect was refused or came to nothing; its descriptor is free. */
+    /** Reports that the connect was refused or failed; its descriptor is free. */
     void failed(IOException cause);
   }
 
-  /** A socket that takes connections. */
+  /** A listening socket. */
   interface Listener {
-    /** While off, new connections wait in the backlog and take no descriptor of ours. */
+    /**
+     * Sets whether connections are accepted. While they are not, new connections wait in the
+     * kernel's backlog and use no descriptor of this process.
+     */
     void accepting(boolean on);
   }
 
-  /** A socket for datagrams. It holds one descriptor, from its making to {@link #close}. */
+  /** A UDP socket. It holds one descriptor from its creation to {@link #close}. */
   interface Datagrams {
-    /** Sends one, or loses it where the kernel has no room or no way: nobody is told. */
+    /**
+     * Sends a datagram. It is lost without notice if the kernel has no buffer space or no route.
+     */
     void send(InetSocketAddress to, byte[] bytes);
 
-    /** Gives the descriptor back; nothing is told after it. */
+    /** Closes the socket and frees its descriptor; no datagram is delivered afterwards. */
     void close();
   }
 
-  /** Who is told of datagrams, each on a turn of the loop. */
+  /** Receives datagrams from the event loop. */
   interface DatagramHandler {
     /**
-     * One has come, whole as it was sent.
+     * Delivers one complete datagram.
      *
-     * @param from where an answer goes
+     * @param from the sender's address, to which a reply goes
      */
     void received(InetSocketAddress from, byte[] bytes);
   }
 
-  /** What comes of an HTTP call, on later turns each. */
+  /** Receives the events of an HTTP call from the event loop. */
   interface ResponseHandler {
-    /** The connection is up and the call is being sent. */
+    /** Reports that the connection is established and the request is being sent. */
     void connected();
 
-    /** The answer has begun: its head has come, and content may follow at any time. */
+    /** Reports that the head of the response has arrived; content may follow. */
     void statusReceived(int status);
 
     /**
-     * A part of the answer's content, in order and without any transfer coding; the bytes are valid
-     * during the call only.
+     * Delivers a piece of the response's content, in order and without transfer coding; the bytes
+     * are valid during the call only.
      *
-     * @param last the answer is whole with these bytes; nothing is told after it
+     * @param last whether the response is complete with these bytes; no call follows then
      */
     void contentReceived(int status, ByteBuffer bytes, boolean last);
 
-    /** The call has come to nothing or has broken off; told once, and nothing after it. */
+    /** Reports that the call failed; called at most once, and no call follows. */
     void failed(String why);
   }
 
   /**
-   * Begins to turn. From here on the implementation runs {@link EventLoop#runDueTimers} whenever
-   * {@link EventLoop#nextDeadlineNanos} has come.
+   * Starts the event loop. From here on the implementation calls {@link EventLoop#runDueTimers}
+   * whenever {@link EventLoop#nextDeadlineNanos} has been reached.
    */
   void start(EventLoop loop) throws IOException;
 
   /**
-   * Takes connections at this address and no other; the callee sets each channel's handler.
+   * Accepts connections at exactly this address.
    *
-   * @param first whether what the listener and its channels tell goes before all else that is to be
-   *     told at the same time
+   * @param first whether events of the listener and of its channels are delivered before other
+   *     events that are ready at the same time
+   * @param accepted receives each new channel and sets its handler
    */
   Listener listen(InetSocketAddress address, boolean first, Consumer<Channel> accepted)
       throws IOException;
 
-  /** As above, in no order. */
+  /** Accepts connections at exactly this address, without priority for their events. */
   default Listener listen(InetSocketAddress address, Consumer<Channel> accepted)
       throws IOException {
     return listen(address, false, accepted);
   }
 
   /**
-   * Takes connections from the listening socket that the program was started with as descriptor 0.
-   * It is off from the start, and is never closed: other processes hold it too, and what waits in
-   * its queue is theirs as well.
+   * Accepts connections from the listening socket that the process inherited as descriptor 0. The
+   * listener is initially off. It is never closed: other processes share the socket and the
+   * connections in its backlog.
    *
-   * @throws InheritedSocketException where descriptor 0 is no listening socket
+   * @throws InheritedSocketException if descriptor 0 is no listening socket
    */
   default Listener inherit(Consumer<Channel> accepted) throws IOException {
     throw new InheritedSocketException("no listening socket is inherited");
   }
 
   /**
-   * Opens a connection. There is no time limit but the kernel's, which is minutes: whoever asks
-   * sets one by a timer.
+   * Opens a connection. The only time limit is the kernel's, which is minutes: the caller sets a
+   * shorter one by a timer.
    */
   Attempt connect(InetSocketAddress address, ConnectHandler then);
 
   /**
-   * Asks by HTTP/1.1 for JSON, on a connection of its own. There is no time limit, as with {@link
-   * #connect}. The attempt lasts until the answer has come, and cancelling it closes the
+   * Sends a GET request for JSON by HTTP/1.1, on a new connection. There is no time limit, as with
+   * {@link #connect}. The attempt lasts until the response is complete; cancelling it closes the
    * connection.
    *
-   * @param path path and query, as they stand in the request line
+   * @param path path and query, as in the request line
    */
   Attempt get(InetSocketAddress address, String path, ResponseHandler answer);
 
   /**
-   * Takes datagrams at this address and no other; for the loop's thread, after {@link #start}.
+   * Receives datagrams at exactly this address; for the event loop's thread, after {@link #start}.
    *
-   * @throws IOException where the address cannot be had
+   * @throws IOException if the address cannot be bound
    */
-  default Datagrams datagrams(InetSocketAddress address, DatagramHandler heard) throws IOException {
-    throw new IOException("this network carries no datagrams");
+  default Datagrams datagrams(InetSocketAddress address, DatagramHandler handler)
+      throws IOException {
+    throw new IOException("this network does not support datagrams");
   }
 
-  /** Runs the task on a turn of its own; any thread may call. */
+  /** Runs the task on the event loop's thread; any thread may call. */
   void execute(Runnable task);
 
-  /** How many descriptors the program holds now, of whatever kind; -1 where it cannot be told. */
+  /** Returns how many descriptors of any kind the process holds now; -1 if unknown. */
   int descriptors();
 
-  /** The machine's clocks. */
+  /** Returns the clocks of the machine. */
   Clock clock();
 }
--- a/src/main/java/brassbank/net/SendQueue.java
+++ b/src/main/java/brassbank/net/SendQueue.java
@@ -6,13 +6,17 @@
 import java.util.Deque;
 
 /**
- * What a link has been given to send and the kernel has not taken yet: one buffer, which grows as
- * it needs, is compacted in place, and is given back when it is empty. It is bounded by those who
- * fill it: they stop reading the other side while much waits here.
+ * The bytes of a link that the kernel has not accepted yet. They are kept in one block of the
+ * {@link BufferPool}, which grows on demand, is compacted in place and returned when it is empty.
+ * The queue itself has no limit: its callers stop reading the other side of the session while much
+ * is queued here.
  */
 final class SendQueue {
-  /** What runs once the bytes up to here, counted from the first ever, are with the kernel. */
-  private record WriteCallback(long upTo, Runnable written) {}
+  /**
+   * A task to run once the kernel has accepted the first {@code position} bytes ever added to this
+   * queue.
+   */
+  private record WriteCallback(long position, Runnable written) {}
 
   private final BufferPool buffers;
   private byte[] data;
@@ -29,22 +33,22 @@
     return start == end;
   }
 
-  /** How many bytes wait. */
+  /** Returns the number of queued bytes. */
   int size() {
     return end - start;
   }
 
-  /** Keeps the bytes behind those that wait. */
+  /** Appends the bytes to the queue. */
   void add(ByteBuffer bytes) {
-    int more = bytes.remaining();
-    if (more == 0) {
+    int added = bytes.remaining();
+    if (added == 0) {
       return;
     }
-    if (data == null || data.length - end < more) {
-      ensureCapacity(size() + more);
+    if (data == null || data.length - end < added) {
+      ensureCapacity(size() + added);
     }
-    bytes.get(data, end, more);
-    end += more;
+    bytes.get(data, end, added);
+    end += added;
   }
 
   private void ensureCapacity(int needed) {
@@ -62,7 +66,7 @@
     start = 0;
   }
 
-  /** Runs the task once all that waits now is with the kernel. */
+  /** Registers a task to run once the kernel has accepted all bytes that are queued now. */
   void whenWritten(Runnable task) {
     if (callbacks == null) {
       callbacks = new ArrayDeque<>(2);
@@ -70,7 +74,7 @@
     callbacks.add(new WriteCallback(writtenBytes + size(), task));
   }
 
-  /** Writes as much as the channel takes, and returns how many bytes that was. */
+  /** Writes as many bytes as the channel accepts and returns their number. */
   int writeTo(Channel channel) throws IOException {
     if (isEmpty()) {
       return 0;
@@ -84,14 +88,14 @@
     return count;
   }
 
-  /** Runs what was to run once the bytes were taken that now are. What runs may add more. */
+  /** Runs the tasks whose bytes have been written. A task may queue more bytes. */
   void runWrittenCallbacks() {
-    while (callbacks != null && !callbacks.isEmpty() && callbacks.peek().upTo <= writtenBytes) {
+    while (callbacks != null && !callbacks.isEmpty() && callbacks.peek().position <= writtenBytes) {
       callbacks.poll().written.run();
     }
   }
 
-  /** Throws away what waits, and gives the buffer back. */
+  /** Discards the queued bytes and returns the block to the pool. */
   void clear() {
     if (data != null) {
       buffers.release(data);
--- a/src/main/java/brassbank/relay/ClientLineTracker.java
+++ b/src/main/java/brassbank/relay/ClientLineTracker.java
@@ -2,11 +2,11 @@
 
 import java.nio.ByteBuffer;
 
-/** The lines of a client: all that matters is whether one has ended, and whether one has begun. */
+/** Tracks in a client's bytes whether a line has ended and whether an unfinished one has begun. */
 final class ClientLineTracker {
   private boolean inLine;
 
-  /** Follows the bytes; true where a line ends within them. */
+  /** Processes the bytes and returns whether a line ends within them. */
   boolean follow(ByteBuffer bytes, int from, int to) {
     if (from == to) {
       return false;
@@ -16,12 +16,15 @@
     return feed >= 0;
   }
 
-  /** Whether a line has begun that has not ended. */
+  /** Returns whether the bytes so far end within a line. */
   boolean inLine() {
     return inLine;
   }
 
-  /** The place of the last line feed before {@code to}, or -1: few bytes back in most cases. */
+  /**
+   * Returns the index of the last line feed before {@code to}, or -1. Searches backwards, since it
+   * is usually among the last bytes.
+   */
   private static int lastFeed(ByteBuffer bytes, int from, int to) {
     int at = to - 1;
     while (at >= from && bytes.get(at) != '\n') {
--- a/src/main/java/brassbank/relay/HostLineParser.java
+++ b/src/main/java/brassbank/relay/HostLineParser.java
@@ -5,56 +5,56 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The lines of a stream host, told apart by their first word as PROTOCOL has it: {@code LOAD X},
- * {@code BYE}, {@code MOVE}, and all others, which are answers. A line longer than the protocol
- * allows is passed on like any other and means nothing.
+ * Parses the lines of a stream host by their first word: {@code LOAD X}, {@code BYE}, {@code MOVE};
+ * every other line is a response. A line longer than the protocol allows is relayed like any other,
+ * and is ignored here.
  */
 final class HostLineParser {
-  /** Of a line that comes in pieces so many bytes are kept: a word and a figure. */
+  /** How much of a line that arrives in pieces is kept: enough for a keyword and a number. */
   private static final int MAX_HEAD_BYTES = 64;
 
-  /** Who is told what lines say, in their order. */
+  /** Receives the parsed lines, in their order. */
   interface Listener {
-    /** The host tells a load; the text after the word. */
+    /** Reports {@code LOAD}, with the text after the keyword. */
     void loadReported(String text);
 
-    /** The host has served the session to its end. */
+    /** Reports {@code BYE}: the host has served the session completely. */
     void byeReceived();
 
-    /** The host sends its client away. */
+    /** Reports {@code MOVE}: the host asks the client to leave. */
     void moveReceived();
 
-    /** Any other line. */
+    /** Reports any other line. */
     void responseReceived();
   }
 
-  private final LineFeedScanner feeds;
+  private final LineFeedScanner lineFeeds;
   private final Listener listener;
 
-  /** Bytes of the line that has begun. */
+  /** Bytes so far of the line that has not ended. */
   private int length;
 
-  /** Its first bytes, where it may be more than an answer. */
+  /** The first bytes of that line if it may start with a keyword; otherwise null. */
   private byte[] head;
 
-  HostLineParser(LineFeedScanner feeds, Listener told) {
-    this.feeds = feeds;
-    this.listener = told;
+  HostLineParser(LineFeedScanner lineFeeds, Listener listener) {
+    this.lineFeeds = lineFeeds;
+    this.listener = listener;
   }
 
-  /** Follows the bytes; true where a line ends within them. */
+  /** Processes the bytes and returns whether a line ends within them. */
   boolean follow(ByteBuffer bytes, int from, int to) {
     if (from == to) {
       return false;
     }
-    feeds.reset(bytes, from, to);
+    lineFeeds.reset(bytes, from, to);
     int start = from;
-    int feed = feeds.next(start);
+    int feed = lineFeeds.next(start);
     boolean ended = feed >= 0;
     while (feed >= 0) {
       lineEnded(bytes, start, feed);
       start = feed + 1;
-      feed = start < to ? feeds.next(start) : -1;
+      feed = start < to ? lineFeeds.next(start) : -1;
     }
     if (start < to) {
       lineContinued(bytes, start, to);
@@ -62,12 +62,12 @@
     return ended;
   }
 
-  /** Whether a line has begun that has not ended. */
+  /** Returns whether the bytes so far end within a line. */
   boolean inLine() {
     return length > 0;
   }
 
-  /** Whether the line that has begun is longer than the protocol allows. */
+  /** Returns whether the unfinished line is already longer than the protocol allows. */
   boolean isOverlong() {
     return length > Link.MAX_LINE_BYTES;
   }
@@ -79,7 +79,7 @@
     if (head != null && length < MAX_HEAD_BYTES) {
       bytes.get(from, head, length, Math.min(MAX_HEAD_BYTES - length, to - from));
     }
-    // Beyond what any line may have, only that it is beyond counts.
+    // Saturates: beyond the maximum length, the exact length does not matter.
     length = (int) Math.min(Integer.MAX_VALUE, (long) length + to - from);
   }
 
--- a/src/main/java/brassbank/relay/LineFeedScanner.java
+++ b/src/main/java/brassbank/relay/LineFeedScanner.java
@@ -5,26 +5,27 @@
 import java.nio.LongBuffer;
 
 /**
- * The line feeds of a piece of bytes, found eight bytes at a time: the bytes of a word that are
- * line feeds are those whose exclusive or with a line feed is zero (H. Warren, "Hacker's Delight",
- * 6-1, in the form without false hits).
+ * Finds the line feeds in a range of bytes, eight bytes at a time: a byte of a word is a line feed
+ * where its exclusive or with a line feed is zero (H. Warren, "Hacker's Delight", 6-1, in the form
+ * without false positives).
  *
- * <p>The words are copied out first. The runtime that the platform's proxy has compiles a loop over
- * an array well, and one over a direct buffer badly: 0.5 ns a byte here, 1.5 by the buffer's words
- * and 8 by its bytes (docs/relay.md). One object serves all sessions in turn.
+ * <p>The words are copied into an array first. The Java runtime of the deployment compiles a loop
+ * over an array well and one over a direct buffer badly: 0.5 ns per byte with the array, 1.5 ns
+ * reading words from the buffer and 8 ns reading bytes (docs/relay.md). One scanner serves all
+ * sessions in turn. Not thread-safe.
  */
 final class LineFeedScanner {
   private static final long FEED_PATTERN = 0x0a0a0a0a0a0a0a0aL;
   private static final long LOW_BITS = 0x7f7f7f7f7f7f7f7fL;
   private static final long HIGH_BITS = ~LOW_BITS;
 
-  /** Words that are looked at together where no line feed is near. */
+  /** Number of words that are tested together while none of them holds a line feed. */
   private static final int STRIDE = 4;
 
   /**
-   * The same as the constant of that name, and a field that is not final, on purpose: the first
-   * compiler writes a constant of eight bytes into every instruction that uses it, and keeps a
-   * variable in a register.
+   * Holds {@link #FEED_PATTERN}; deliberately an instance field that is not final. The C1 compiler
+   * embeds an eight-byte constant in every instruction that uses it, but keeps a variable in a
+   * register.
    */
   private long feedPattern = FEED_PATTERN;
 
@@ -34,12 +35,12 @@
   private int from;
   private int to;
 
-  /** The buffer that most pieces come in, and its words. */
+  /** The direct buffer scanned last, usually the shared read buffer, and its view as words. */
   private ByteBuffer lastBuffer;
 
   private LongBuffer lastBufferWords;
 
-  /** Looks at these bytes from here on, in which places are the buffer's own. */
+  /** Selects the bytes to scan, by their indices in the buffer. */
   void reset(ByteBuffer bytes, int start, int end) {
     from = start;
     to = end;
@@ -65,15 +66,15 @@
     }
   }
 
-  /** The first line feed at this place or behind it, or -1 where there is none. */
-  int next(int place) {
-    int at = place - from;
+  /** Returns the index of the first line feed at or after this index, or -1 if there is none. */
+  int next(int index) {
+    int at = index - from;
     int count = (to - from + Long.BYTES - 1) / Long.BYTES;
     int word = at / Long.BYTES;
     if (word == count) {
       return -1;
     }
-    // What stands before the place in its word does not count.
+    // Masks out the bytes of the word before the index.
     long hits = lineFeedBits(words[word]) & -1L << (at % Long.BYTES * Byte.SIZE);
     if (hits == 0) {
       for (word = skipWithoutLineFeed(word + 1, count); word < count && hits == 0; word++) {
@@ -88,15 +89,16 @@
     return found < to ? found : -1;
   }
 
-  /** The highest bit of each byte that is a line feed, and no others. */
+  /** Returns a word in which the highest bit of each byte that is a line feed is set, no others. */
   private static long lineFeedBits(long word) {
     long zeros = word ^ FEED_PATTERN;
     return ~(((zeros & LOW_BITS) + LOW_BITS) | zeros | LOW_BITS);
   }
 
   /**
-   * Leaves out words without a line feed, several at a time. A word x has a byte of zero exactly
-   * where {@code (x - 0x01..01) & ~x & 0x80..80} is not zero (the same book, 6-1).
+   * Skips words without a line feed, several at a time, and returns the index of the first word not
+   * skipped. A word x contains a zero byte exactly if {@code (x - 0x01..01) & ~x & 0x80..80} is not
+   * zero (the same book, 6-1).
    */
   private int skipWithoutLineFeed(int first, int count) {
     long[] in = words;
--- a/src/main/java/brassbank/relay/Relay.java
+++ b/src/main/java/brassbank/relay/Relay.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** All standing sessions, and what their slow peers may cost together. */
+/** All established sessions, and the enforcement of the limits on their slow peers. */
 public final class Relay {
   private static final Log LOG = Log.of("relay");
 
@@ -24,7 +24,7 @@
   private final PeerLimits limits;
   private final LineFeedScanner lineFeeds = new LineFeedScanner();
 
-  /** Sessions whose links are not both given back, by the flow's number. */
+  /** Sessions of which a link is still open, by the number of the flow. */
   private final Map<Long, RelayedSession> sessions = new LinkedHashMap<>();
 
   private EventLoop.Timer evaluationTimer;
@@ -35,7 +35,7 @@
     net.buffers().readQuota(limits.readQuotaBytes());
   }
 
-  /** Other limits hold from here on, for the sessions that stand as well. */
+  /** Changes the limits, also for established sessions. */
   public void configure(RelayLimits next) {
     limits.configure(next);
     net.buffers().readQuota(next.readQuotaBytes());
@@ -43,36 +43,39 @@
   }
 
   /**
-   * Two links become one session, which {@link RelayedSession#start} begins.
+   * Creates the session of two links; {@link RelayedSession#start} starts relaying.
    *
-   * @param flow its number, which no other open session has
-   * @param practice whose budget it counts to, or null
+   * @param flow the flow's number, which no other open session has
+   * @param practice the practice to whose budget the session counts, or null
    */
   public RelayedSession openSession(
-      long flow, String practice, Link client, Link target, SessionObserver watcher) {
-    RelayedSession pair =
+      long flow, String practice, Link client, Link target, SessionObserver observer) {
+    RelayedSession session =
         new RelayedSession(
-            this, limits.open(flow, practice == null ? "" : practice), client, target, watcher);
-    sessions.put(flow, pair);
-    return pair;
+            this, limits.open(flow, practice == null ? "" : practice), client, target, observer);
+    sessions.put(flow, session);
+    return session;
   }
 
-  /** Whether a client is still owed bytes, or a last line behind a line that is on its way. */
+  /** Returns whether a session still has bytes or a final line to send to its client. */
   public boolean hasPendingClientData() {
     return sessions.values().stream().anyMatch(RelayedSession::hasPendingClientData);
   }
 
-  /** The program ends: whoever is still owed something must not take that for a proper end. */
+  /**
+   * Resets the sessions that still have data to send to their client; called when the process ends.
+   * A reset keeps those clients from taking the close for a regular end of the session.
+   */
   public void resetPending() {
     List.copyOf(sessions.values()).stream()
         .filter(RelayedSession::hasPendingClientData)
         .forEach(RelayedSession::reset);
   }
 
-  /** Both links of a session are given back. */
-  void closed(RelayedSession pair) {
-    sessions.remove(pair.peers().id());
-    limits.close(pair.peers());
+  /** Removes a session whose links are both closed. */
+  void closed(RelayedSession session) {
+    sessions.remove(session.peers().id());
+    limits.close(session.peers());
   }
 
   PeerLimits limits() {
@@ -91,20 +94,20 @@
     return net;
   }
 
-  /** Microseconds for the limits. */
+  /** Returns the time for the limits, in microseconds of the monotonic clock. */
   long nowMicros() {
     return TimeUnit.NANOSECONDS.toMicros(net.clock().nanos());
   }
 
-  /** Something waits, or has begun, that may one day be too much. */
+  /** Schedules the next evaluation of the limits, unless one is scheduled or none is needed. */
   void scheduleEvaluation() {
-    long period = limits.evaluationDelayMicros();
-    if (evaluationTimer == null && period >= 0) {
-      evaluationTimer = net.loop().schedule(period, this::evaluate);
+    long delay = limits.evaluationDelayMicros();
+    if (evaluationTimer == null && delay >= 0) {
+      evaluationTimer = net.loop().schedule(delay, this::evaluate);
     }
   }
 
-  /** A budget is broken: who pays for it is decided next. */
+  /** Schedules an evaluation without delay, because a budget is exceeded. */
   void evaluateSoon() {
     if (evaluationTimer != null) {
       evaluationTimer.cancel();
@@ -117,32 +120,32 @@
       evaluationTimer.cancel();
       evaluationTimer = null;
     }
-    List<DisconnectDecision> verdicts = limits.evaluate(nowMicros());
-    for (DisconnectDecision verdict : verdicts) {
-      RelayedSession pair = sessions.get(verdict.session().id());
-      logDecision(verdict);
-      pair.disconnect(verdict);
+    List<DisconnectDecision> decisions = limits.evaluate(nowMicros());
+    for (DisconnectDecision decision : decisions) {
+      RelayedSession session = sessions.get(decision.session().id());
+      logDecision(decision);
+      session.disconnect(decision);
     }
-    if (!verdicts.isEmpty()) {
+    if (!decisions.isEmpty()) {
       LOG.warn(
           "slow-peers",
-          value("given_up", verdicts.size()),
+          value("given_up", decisions.size()),
           value("waiting", limits.queuedBytes()),
           value("sessions", limits.sessions()));
     }
     scheduleEvaluation();
   }
 
-  private static void logDecision(DisconnectDecision verdict) {
+  private static void logDecision(DisconnectDecision decision) {
     LOG.info(
         "slow-peer",
-        flow(verdict.session().id()),
-        value("practice", verdict.session().practice()),
-        value("side", logName(verdict.side())),
-        value("reason", logName(verdict.reason())),
-        value("at_once", verdict.immediate()),
-        value("waiting", verdict.queuedBytes()),
-        value("age_ms", TimeUnit.MICROSECONDS.toMillis(verdict.ageMicros())));
+        flow(decision.session().id()),
+        value("practice", decision.session().practice()),
+        value("side", logName(decision.side())),
+        value("reason", logName(decision.reason())),
+        value("at_once", decision.immediate()),
+        value("waiting", decision.queuedBytes()),
+        value("age_ms", TimeUnit.MICROSECONDS.toMillis(decision.ageMicros())));
   }
 
   private static String logName(Enum<?> constant) {
--- a/src/main/java/brassbank/relay/RelayedSession.java
+++ b/src/main/java/brassbank/relay/RelayedSession.java
@@ -10,17 +10,17 @@
 import java.nio.ByteOrder;
 
 /**
- * A standing session: a client's link and its target's. All bytes pass both ways as they come, out
- * of the buffer that they were read into; what a peer does not take at once waits, and while too
- * much does the other side is not read. What one side ends is ended on the other the same way: a
- * reset resets both, and where one side ends its sending, the last lines of the other still pass
- * while the links linger.
+ * An established session, which relays bytes between the link of a client and that of its target.
+ * Bytes are written from the buffer into which they were read. What a peer does not accept at once
+ * is queued, and while too much is queued for one side, the other side is not read. When one side
+ * ends, the other is ended in the same way: a reset resets both links; after an end of stream the
+ * last lines of the other side are still relayed while the links linger.
  */
 public final class RelayedSession implements Link.StreamHandler, HostLineParser.Listener {
-  /** A farewell waits this long for the end of a line that is on its way. */
+  /** How long the final line waits for the end of a line that has been relayed in part. */
   private static final long LINE_END_TIMEOUT_MICROS = 500_000;
 
-  /** After a farewell a link lives this long at most, where no slow peer was given up. */
+  /** Time limit for the final line to be written, unless the session ends for a slow peer. */
   private static final long LINGER_MICROS = 1_000_000;
 
   private final Relay relay;
@@ -33,38 +33,42 @@
   private final HostLineParser hostLines;
   private int released;
 
-  /** A line of the client's is unanswered. */
+  /** The target has not answered the client's last line yet. */
   private boolean requestPending;
 
-  private String sendFinalLine;
+  /** The line to send to the client before closing; null until the session is to be closed. */
+  private String finalLine;
+
   private Runnable onClosed;
   private long finalLineLimitMicros = LINGER_MICROS;
 
-  /** The target does not read any longer: it is not waited for. */
+  /** The target does not read: its link is reset instead of waiting for it. */
   private boolean targetUnresponsive;
 
-  /** Nothing is told any longer: one side has ended its sending, or was given up. */
+  /** One side has ended or is being disconnected: the observer is not notified any more. */
   private boolean ending;
 
-  /** Nothing passes any longer. */
+  /** No bytes are relayed any more. */
   private boolean closed;
 
   RelayedSession(
-      Relay relay, SessionPeers peers, Link client, Link target, SessionObserver watcher) {
+      Relay relay, SessionPeers peers, Link client, Link target, SessionObserver observer) {
     this.relay = relay;
     this.limits = relay.limits();
     this.hostLines = new HostLineParser(relay.lineFeeds(), this);
     this.peers = peers;
     this.client = client;
     this.target = target;
-    this.observer = watcher;
+    this.observer = observer;
   }
 
   SessionPeers peers() {
     return peers;
   }
 
-  /** Takes both links over, with what has come on them after the lines taken so far. */
+  /**
+   * Starts relaying; the first bytes relayed are those that the links had received and not read.
+   */
   public void start() {
     applyKernelBuffer(client, limits.limits().client());
     applyKernelBuffer(target, limits.limits().target());
@@ -72,7 +76,7 @@
     ByteBuffer fromClient = client.startStreaming(this).order(ByteOrder.LITTLE_ENDIAN);
     received(target, fromTarget);
     received(client, fromClient);
-    // The first line to a client that has just been reset breaks its link before it is ours.
+    // A link that failed before this session received its events does not report that again.
     if (!client.isOpen()) {
       ended(client, true);
     }
@@ -105,8 +109,8 @@
     int start = bytes.position();
     int end = bytes.limit();
     boolean toClient = from == target;
-    if (toClient && sendFinalLine != null) {
-      // The line that the farewell waits for ends here; what is behind it is left out.
+    if (toClient && finalLine != null) {
+      // The final line follows the end of the current line; the bytes behind that are dropped.
       relay.lineFeeds().reset(bytes, start, end);
       int feed = relay.lineFeeds().next(start);
       end = feed < 0 ? end : feed + 1;
@@ -117,25 +121,25 @@
     if (closed) {
       return;
     }
-    if (limits.isFull(peers, side(to)) && !(toClient && sendFinalLine != null)) {
+    if (limits.isFull(peers, side(to)) && !(toClient && finalLine != null)) {
       from.pause();
     }
     trackLines(from, bytes, start, end);
     if (!closed
         && toClient
-        && sendFinalLine != null
+        && finalLine != null
         && (!hostLines.inLine() || hostLines.isOverlong())) {
       finish();
     }
   }
 
-  /** Looks at lines where they lie, once they have gone: the peer waits for nothing of it. */
+  /** Finds the lines in bytes that have been sent already, so that this delays no peer. */
   private void trackLines(Link from, ByteBuffer bytes, int start, int end) {
-    boolean before;
+    boolean wasInLine;
     boolean lineEnded;
     boolean inLine;
     if (from == client) {
-      before = clientLines.inLine();
+      wasInLine = clientLines.inLine();
       lineEnded = clientLines.follow(bytes, start, end);
       inLine = clientLines.inLine();
       if (lineEnded && !requestPending && !ending) {
@@ -143,14 +147,14 @@
         observer.requestRelayed();
       }
     } else {
-      before = hostLines.inLine();
+      wasInLine = hostLines.inLine();
       lineEnded = hostLines.follow(bytes, start, end);
       inLine = hostLines.inLine();
     }
-    if (inLine && (lineEnded || !before)) {
+    if (inLine && (lineEnded || !wasInLine)) {
       limits.lineStarted(peers, side(from), relay.nowMicros());
       relay.scheduleEvaluation();
-    } else if (before && !inLine) {
+    } else if (wasInLine && !inLine) {
       limits.lineEnded(peers, side(from));
     }
   }
@@ -198,7 +202,8 @@
   public void drained(Link link, int bytes) {
     limits.bytesDrained(peers, side(link), bytes);
     SideLimits side = limits.limits().of(side(link));
-    // Not at the first free byte: then each turn would read and write a handful.
+    // Resumes at half the limit: resuming at the first free byte would read and write a few bytes
+    // per loop iteration.
     if (!closed && link.queuedBytes() <= side.maxQueuedBytes() / 2) {
       other(link).resume();
     }
@@ -221,7 +226,7 @@
       from.reset();
       other(from).reset();
     } else if (closed) {
-      // Both sides have ended, or descriptors run short: then nobody's last lines are waited for.
+      // Both sides have ended, or descriptors are short: no further lines are waited for.
       from.close();
       other(from).close();
     } else {
@@ -237,13 +242,13 @@
   }
 
   /**
-   * Sends the client a last line, between two lines, and ends both sides.
+   * Sends a final line to the client, between two lines of the target, and closes both links. The
+   * session closes at once, or after the end of a line that has been relayed in part.
    *
-   * @param ended runs once both are ended, by this or otherwise: at once, or after a wait for the
-   *     end of a line that is on its way
+   * @param closedCallback runs once the session is closed, by this call or for another reason
    */
-  public void sendFinalLine(String line, Runnable ended) {
-    onClosed = ended;
+  public void sendFinalLine(String line, Runnable closedCallback) {
+    onClosed = closedCallback;
     sendFinalLine(line);
     if (closed) {
       notifyClosed();
@@ -252,21 +257,21 @@
 
   private void notifyClosed() {
     if (onClosed != null) {
-      Runnable told = onClosed;
+      Runnable callback = onClosed;
       onClosed = null;
-      told.run();
+      callback.run();
     }
   }
 
   private void sendFinalLine(String line) {
-    if (closed || sendFinalLine != null) {
+    if (closed || finalLine != null) {
       return;
     }
-    sendFinalLine = line;
+    finalLine = line;
     if (!hostLines.inLine()) {
       finish();
     } else {
-      // Whatever waits for the client, the end of this line must come.
+      // Reads the target even if the client's queue is full: the current line has to end.
       target.resume();
       relay.loop().schedule(LINE_END_TIMEOUT_MICROS, this::finish);
     }
@@ -278,10 +283,11 @@
     }
     closed = true;
     if (hostLines.inLine()) {
-      // Half a line must not look like a whole one, nor an end in its midst like a proper one.
+      // A reset keeps the client from taking a truncated line for a complete one, or the close for
+      // a regular end of the session.
       client.reset();
     } else {
-      client.send(sendFinalLine);
+      client.send(finalLine);
       client.close(finalLineLimitMicros);
     }
     if (targetUnresponsive) {
@@ -292,11 +298,12 @@
     notifyClosed();
   }
 
-  /** Whether the client is owed bytes that wait, or a farewell that waits for a line. */
+  /** Returns whether bytes are queued for the client, or a final line waits for a line's end. */
   boolean hasPendingClientData() {
-    return client.queuedBytes() > 0 || (sendFinalLine != null && !closed);
+    return client.queuedBytes() > 0 || (finalLine != null && !closed);
   }
 
+  /** Closes the session at once by resetting both links. */
   void reset() {
     closed = true;
     client.reset();
@@ -304,19 +311,19 @@
     notifyClosed();
   }
 
-  /** Carries out that a peer of this session is given up. */
-  void disconnect(DisconnectDecision verdict) {
-    boolean first = !ending && sendFinalLine == null;
+  /** Applies the decision to disconnect a slow peer of this session. */
+  void disconnect(DisconnectDecision decision) {
+    boolean first = !ending && finalLine == null;
     ending = true;
-    String line = first ? observer.slowPeerDisconnected(verdict.side(), verdict.reason()) : null;
-    if (verdict.immediate()) {
+    String line = first ? observer.slowPeerDisconnected(decision.side(), decision.reason()) : null;
+    if (decision.immediate()) {
       closed = true;
       client.reset();
       target.reset();
       notifyClosed();
     } else if (first) {
-      finalLineLimitMicros = limits.limits().farewellMicros();
-      targetUnresponsive = verdict.side() == Side.TARGET;
+      finalLineLimitMicros = limits.limits().finalLineTimeoutMicros();
+      targetUnresponsive = decision.side() == Side.TARGET;
       sendFinalLine(line);
     }
   }
--- a/src/main/java/brassbank/relay/SessionObserver.java
+++ b/src/main/java/brassbank/relay/SessionObserver.java
@@ -3,30 +3,37 @@
 import brassbank.relay.limits.DisconnectDecision;
 import brassbank.relay.limits.Side;
 
-/** Who is told what changes in a standing session; never of each line. */
+/** Receives the state changes of an established session; it is not notified of every line. */
 public interface SessionObserver {
-  /** The client has sent a line, and the one before it had been answered. */
+  /** Reports a line of the client, the first since the target last responded. */
   void requestRelayed();
 
-  /** The target has sent a line other than those below, the first since {@link #requestRelayed}. */
+  /**
+   * Reports a line of the target other than {@code LOAD}, {@code BYE} and {@code MOVE}, the first
+   * since {@link #requestRelayed}.
+   */
   void responseRelayed();
 
-  /** The target tells a load; the text is anybody's. */
+  /**
+   * Reports a {@code LOAD} line of the target.
+   *
+   * @param text the rest of the line, as the target sent it and unchecked
+   */
   void loadReported(String text);
 
-  /** The target has served the session to its end: what comes next is the end. */
+  /** Reports {@code BYE}: the target has served the session completely and closes it next. */
   void byeReceived();
 
-  /** The target sends its client away: what comes next is the end. */
+  /** Reports {@code MOVE}: the target asks the client to leave and closes the session next. */
   void moveReceived();
 
-  /** One side has ended the session; nothing is told after that. */
+  /** Reports that one side has ended the session; no call follows. */
   void ended(boolean byClient, boolean reset);
 
   /**
-   * One side is too slow and is given up; nothing is told after that.
+   * Reports that a side is disconnected for being too slow; no call follows.
    *
-   * @return the last line for the client, which is sent where it can be
+   * @return the final line for the client, which is sent if it still can be
    */
   String slowPeerDisconnected(Side side, DisconnectDecision.Reason reason);
 }
--- a/src/main/java/brassbank/relay/limits/Backlog.java
+++ b/src/main/java/brassbank/relay/limits/Backlog.java
@@ -1,13 +1,13 @@
 package brassbank.relay.limits;
 
 /**
- * The history of what waits for one peer: when the oldest byte came, and what was taken over a
- * window. Both in rings of a fixed size, so that a peer costs the same however long it is behind;
- * each operation takes constant time.
+ * The history of the bytes queued for one peer: when the oldest byte was queued, and how many bytes
+ * were drained over the measuring window. Both are kept in ring buffers of a fixed size, so that
+ * memory and time per operation do not grow while the peer is behind.
  *
- * <p>Bytes that are queued close to each other share a mark, and a window is cut into steps: a peer
- * is found too slow a sixteenth of its age limit, or an eighth of its window, late at most, and
- * never early.
+ * <p>Bytes queued within a short time share a mark, and the window is divided into samples. A
+ * violation is therefore detected late by up to a sixteenth of the age limit or an eighth of the
+ * window, and never early.
  */
 final class Backlog {
   private static final int MAX_MARKS = 32;
@@ -20,7 +20,11 @@
   private long queued;
   private long drained;
 
-  /** Bytes that have come; nothing waited before where {@code first}. */
+  /**
+   * Adds queued bytes.
+   *
+   * @param first whether no bytes were queued before
+   */
   void queued(long bytes, boolean first, long now, SideLimits limits) {
     long step = limits.maxAgeMicros() / MARKS_PER_AGE_LIMIT;
     if (first) {
@@ -34,26 +38,27 @@
     queued += bytes;
   }
 
+  /** Removes drained bytes. */
   void drained(long bytes) {
     drained += bytes;
-    // The mark that the oldest byte belongs to is the last one that begins at or before it.
+    // The oldest queued byte belongs to the last mark that starts at or before it.
     while (marks.size() > 1 && marks.secondValue() <= drained) {
       marks.removeFirst();
     }
   }
 
-  /** When the oldest byte that waits came, or up to a sixteenth of the limit before that. */
+  /** Returns when the oldest queued byte was queued, or up to a sixteenth of the limit earlier. */
   long oldestByteMicros() {
     return marks.firstTime();
   }
 
-  /** Whether the oldest byte has waited for longer than its limit. */
+  /** Returns whether the oldest byte has been queued for longer than the limit. */
   boolean exceedsMaxAge(long now, SideLimits limits) {
     return now - oldestByteMicros() - limits.maxAgeMicros() / MARKS_PER_AGE_LIMIT
         > limits.maxAgeMicros();
   }
 
-  /** Whether too little was taken over the window, something waiting all the time. */
+  /** Returns whether too few bytes were drained over the window, with bytes queued throughout. */
   boolean isBelowMinRate(long now, SideLimits limits) {
     long window = limits.windowMicros();
     while (samples.size() > 1 && now - samples.secondTime() >= window) {
@@ -69,7 +74,7 @@
     return slow;
   }
 
-  /** Times and values, oldest first; a full ring forgets its oldest. */
+  /** A ring buffer of times and values, oldest first; adding to a full one removes the oldest. */
   private static final class Ring {
     private final long[] times;
     private final long[] values;
--- a/src/main/java/brassbank/relay/limits/DisconnectDecision.java
+++ b/src/main/java/brassbank/relay/limits/DisconnectDecision.java
@@ -1,12 +1,13 @@
 package brassbank.relay.limits;
 
 /**
- * A peer that is given up. A session gets two of them at most: one that leaves time for a farewell,
- * and later one that does not.
+ * The decision to disconnect a slow peer. A session gets at most two of them: a graceful one, which
+ * leaves the client time to read a final line, and later an immediate one.
  *
- * @param immediate its memory is needed now; else it may read its last line first
- * @param queuedBytes bytes that wait for it
- * @param ageMicros how long the oldest of them has waited, 0 where none does
+ * @param immediate whether the session ends at once, because its memory is needed; otherwise the
+ *     client may read its final line first
+ * @param queuedBytes the bytes queued for the peer
+ * @param ageMicros how long the oldest of them has been queued; 0 if there are none
  */
 public record DisconnectDecision(
     SessionPeers session,
@@ -16,17 +17,17 @@
     long queuedBytes,
     long ageMicros) {
 
-  /** Which limit it was. */
+  /** The limit that the peer exceeded; logged in lower case. */
   public enum Reason {
-    /** A byte has waited for longer than {@link SideLimits#maxAgeMicros}. */
+    /** A byte was queued for longer than {@link SideLimits#maxAgeMicros}. */
     AGE,
-    /** It has read less than {@link SideLimits#minBytesPerSecond} over the window. */
+    /** The peer read less than {@link SideLimits#minBytesPerSecond} over the window. */
     RATE,
-    /** It has not finished a line within {@link SideLimits#maxLineMicros}. */
+    /** The peer did not finish a line within {@link SideLimits#maxLineMicros}. */
     LINE,
-    /** The worst offender of a practice that is over its budget. */
+    /** The practice's budget is exceeded, and its sessions are ended by severity. */
     PRACTICE_BUDGET,
-    /** The worst offender of all, which are over theirs. */
+    /** The budget of all sessions is exceeded, and sessions are ended by severity. */
     BUDGET
   }
 }
--- a/src/main/java/brassbank/relay/limits/Peer.java
+++ b/src/main/java/brassbank/relay/limits/Peer.java
@@ -1,22 +1,22 @@
 package brassbank.relay.limits;
 
-/** One end of a session: what waits for it, and the line that it has begun. */
+/** One end of a session: the bytes queued for it and the unfinished line that it is sending. */
 final class Peer {
   static final long NO_LINE = Long.MIN_VALUE;
 
   final SessionPeers session;
   final Side side;
 
-  /** Bytes that wait for it now. */
+  /** Bytes queued for the peer now. */
   long queuedBytes;
 
-  /** While something waits, and for a while after: kept off sessions that idle. */
+  /** Set while bytes are queued and for some time after; idle sessions have none. */
   Backlog backlog;
 
-  /** When the line that is not finished began, or NONE. */
+  /** When the unfinished line began, or {@link #NO_LINE}. */
   long lineStartMicros = NO_LINE;
 
-  /** Its place among those that are watched, or -1. */
+  /** Index in the list of watched peers, or -1. */
   int watchedIndex = -1;
 
   Peer(SessionPeers session, Side side) {
@@ -32,7 +32,10 @@
     return isBehind() ? now - backlog.oldestByteMicros() : 0;
   }
 
-  /** How bad it is: bytes times microseconds, so that neither a young nor a small backlog leads. */
+  /**
+   * Returns the severity of the backlog: queued bytes times age in microseconds, so that neither a
+   * recent nor a small backlog ranks first.
+   */
   double severity(long now) {
     return (double) queuedBytes * (ageMicros(now) + 1);
   }
--- a/src/main/java/brassbank/relay/limits/PeerLimits.java
+++ b/src/main/java/brassbank/relay/limits/PeerLimits.java
@@ -10,23 +10,24 @@
 import java.util.Map;
 
 /**
- * The limits on slow peers, over all sessions. A peer is <em>behind</em> while bytes wait for it;
- * who is not, and who is in no line, costs nothing here but its entry.
+ * Enforces the limits on slow peers over all sessions. A peer is <em>behind</em> while bytes are
+ * queued for it. A session whose peers are not behind and have no unfinished line costs only its
+ * entry.
  *
- * <p>Each call takes constant time, but for {@link #evaluate}, which looks at those that are behind
- * or in a line, and sorts them only where a budget is broken.
+ * <p>All methods take constant time except {@link #evaluate}, which iterates over the peers that
+ * are behind or have an unfinished line, and sorts them only if a budget is exceeded.
  */
 public final class PeerLimits {
   private static final long MAX_EVALUATION_DELAY_MICROS = 1_000_000;
   private static final long MIN_EVALUATION_DELAY_MICROS = 20_000;
 
-  /** How often the shortest of the limits is looked at while it runs. */
+  /** Number of evaluations during the shortest of the time limits. */
   private static final int EVALUATIONS_PER_LIMIT = 16;
 
   private RelayLimits limits;
   private final Map<String, Practice> practices = new HashMap<>();
 
-  /** Peers that are behind or in a line, and some that were so lately. */
+  /** Peers that are behind or have an unfinished line, and some that recently were or had. */
   private final List<Peer> watched = new ArrayList<>();
 
   private final Map<Reason, Long> disconnects = new EnumMap<>(Reason.class);
@@ -37,7 +38,7 @@
     this.limits = limits;
   }
 
-  /** Other limits hold from here on; what was measured goes on. */
+  /** Changes the limits; the measurements so far are kept. */
   public void configure(RelayLimits next) {
     limits = next;
   }
@@ -47,19 +48,20 @@
   }
 
   /**
-   * A session stands. {@link #close} gives it back.
+   * Adds a session, until {@link #close}.
    *
-   * @param id the caller's number for it; of two equal offenders the lower one goes first
-   * @param practice whose budget it counts to; "" where it has none
+   * @param id the caller's number of the session; of two equally severe peers, the one with the
+   *     lower number is disconnected first
+   * @param practice the practice to whose budget the session counts; "" if there is none
    */
   public SessionPeers open(long id, String practice) {
-    Practice of = practices.computeIfAbsent(practice, Practice::new);
-    of.sessions++;
+    Practice owner = practices.computeIfAbsent(practice, Practice::new);
+    owner.sessions++;
     sessions++;
-    return new SessionPeers(id, of);
+    return new SessionPeers(id, owner);
   }
 
-  /** A session is over, and what waited in it is gone; the second call does nothing. */
+  /** Removes a session and its queued bytes; a second call does nothing. */
   public void close(SessionPeers session) {
     if (session.closed) {
       return;
@@ -75,18 +77,18 @@
 
   private void remove(Peer peer) {
     if (peer != null) {
-      count(peer, -peer.queuedBytes);
+      addQueued(peer, -peer.queuedBytes);
       forget(peer);
     }
   }
 
-  /** Nothing waits for it and it is in no line. */
+  /** Drops the state of a peer that is not behind and has no unfinished line. */
   private void forget(Peer peer) {
     unwatch(peer);
     peer.session.forget(peer.side);
   }
 
-  /** So many more bytes wait for this side. */
+  /** Reports bytes that were queued for this side. */
   public void bytesQueued(SessionPeers session, Side side, long bytes, long now) {
     if (bytes == 0) {
       return;
@@ -96,44 +98,49 @@
       peer.backlog = new Backlog();
     }
     peer.backlog.queued(bytes, !peer.isBehind(), now, limits.of(side));
-    count(peer, bytes);
+    addQueued(peer, bytes);
     watch(peer);
   }
 
-  /** This side has taken so many of the bytes that waited. */
+  /**
+   * Reports queued bytes that this side has accepted.
+   *
+   * @throws IllegalArgumentException if there are more than were queued
+   */
   public void bytesDrained(SessionPeers session, Side side, long bytes) {
     if (bytes > session.queuedBytes(side)) {
       throw new IllegalArgumentException(
-          bytes + " bytes taken, " + session.queuedBytes(side) + " waited");
+          bytes + " bytes drained, but only " + session.queuedBytes(side) + " were queued");
     }
     if (bytes > 0) {
       Peer peer = peer(session, side, bytes);
       peer.backlog.drained(bytes);
-      count(peer, -bytes);
+      addQueued(peer, -bytes);
     }
   }
 
   private static Peer peer(SessionPeers session, Side side, long bytes) {
     if (session.closed || bytes < 0) {
-      throw new IllegalArgumentException("the session is over, or there are " + bytes + " bytes");
+      throw new IllegalArgumentException(
+          "the session is closed, or the number of bytes is negative: " + bytes);
     }
     return session.getOrCreate(side);
   }
 
-  private void count(Peer peer, long bytes) {
+  private void addQueued(Peer peer, long bytes) {
     peer.queuedBytes += bytes;
     peer.session.practice.queuedBytes += bytes;
     queuedBytes += bytes;
   }
 
-  /** What came last from this side ends within a line, which began now. */
+  /** Reports that the bytes from this side now end within a line, which began now. */
   public void lineStarted(SessionPeers session, Side side, long now) {
     Peer peer = peer(session, side, 0);
     peer.lineStartMicros = now;
     watch(peer);
   }
 
-  /** What came last from this side ends with a line's end. */
+  /** Reports that the bytes from this side now end with the end of a line. */
   public void lineEnded(SessionPeers session, Side side) {
     Peer peer = session.get(side);
     if (peer != null) {
@@ -141,7 +148,7 @@
     }
   }
 
-  /** Whether this side has as much waiting as it may, so that the other one is not to be read. */
+  /** Returns whether the queue of this side is full, so that the other side must not be read. */
   public boolean isFull(SessionPeers session, Side side) {
     return session.queuedBytes(side) >= limits.of(side).maxQueuedBytes();
   }
@@ -165,7 +172,8 @@
   }
 
   /**
-   * Whether a budget is broken, so that {@link #evaluate} should be asked now and not in a while.
+   * Returns whether a budget that the session counts to is exceeded, so that {@link #evaluate} is
+   * to be called without delay.
    */
   public boolean isOverBudget(SessionPeers session) {
     return queuedBytes > limits.budgetBytes()
@@ -173,7 +181,8 @@
   }
 
   /**
-   * How many microseconds from now {@link #evaluate} is to be asked again, or -1: not until news.
+   * Returns the delay until the next call of {@link #evaluate} in microseconds, or -1 if none is
+   * needed before further bytes are queued or a line is started.
    */
   public long evaluationDelayMicros() {
     if (watched.isEmpty() || !limits.canDisconnect()) {
@@ -190,11 +199,12 @@
   }
 
   /**
-   * Who is given up now. A session is told once politely and once at once, at most. The caller ends
-   * them all; whoever is told at once is taken to be gone, with what waits on both its sides.
+   * Decides which peers are to be disconnected now. A session gets at most one graceful and one
+   * immediate decision. The caller carries out all decisions; the queued bytes of both sides of an
+   * immediately disconnected session count as freed.
    */
   public List<DisconnectDecision> evaluate(long now) {
-    List<DisconnectDecision> given = new ArrayList<>();
+    List<DisconnectDecision> decisions = new ArrayList<>();
     for (int i = watched.size() - 1; i >= 0; i--) {
       Peer peer = watched.get(i);
       if (!peer.isBehind() && peer.lineStartMicros == Peer.NO_LINE) {
@@ -203,18 +213,18 @@
         Reason reason = violatedLimit(peer, now);
         if (reason != null) {
           peer.session.disconnecting = true;
-          given.add(verdict(peer, reason, false, now));
+          decisions.add(decision(peer, reason, false, now));
         }
       }
     }
-    if (enforceBudgets(now, given)) {
-      given.removeIf(verdict -> !verdict.immediate() && verdict.session().disconnected);
+    if (enforceBudgets(now, decisions)) {
+      decisions.removeIf(decision -> !decision.immediate() && decision.session().disconnected);
     }
-    given.forEach(verdict -> disconnects.merge(verdict.reason(), 1L, Long::sum));
-    return given;
+    decisions.forEach(decision -> disconnects.merge(decision.reason(), 1L, Long::sum));
+    return decisions;
   }
 
-  /** What is wrong with a peer by itself, or null. */
+  /** Returns which of its own limits the peer violates, or null. */
   private Reason violatedLimit(Peer peer, long now) {
     SideLimits own = limits.of(peer.side);
     if (peer.isBehind()) {
@@ -227,7 +237,7 @@
     }
     if (peer.lineStartMicros != Peer.NO_LINE) {
       if (isFull(peer.session, peer.side.other())) {
-        // It is not read while the other side is full, and so cannot end its line: no fault of its.
+        // The peer is not read while the other side's queue is full and cannot end its line.
         peer.lineStartMicros = now;
       } else if (now - peer.lineStartMicros > own.maxLineMicros()) {
         return Reason.LINE;
@@ -236,77 +246,80 @@
     return null;
   }
 
-  /** Drops sessions until all budgets hold; false where none was broken. */
-  private boolean enforceBudgets(long now, List<DisconnectDecision> given) {
-    long all = queuedBytes;
-    Map<Practice, Long> held = new LinkedHashMap<>();
+  /** Disconnects sessions until all budgets are kept; returns false if none was exceeded. */
+  private boolean enforceBudgets(long now, List<DisconnectDecision> decisions) {
+    long total = queuedBytes;
+    Map<Practice, Long> totals = new LinkedHashMap<>();
     for (Peer peer : watched) {
       Practice practice = peer.session.practice;
-      held.putIfAbsent(practice, practice.queuedBytes);
+      totals.putIfAbsent(practice, practice.queuedBytes);
       if (peer.session.disconnected) {
-        all -= peer.queuedBytes;
-        held.merge(practice, -peer.queuedBytes, Long::sum);
+        total -= peer.queuedBytes;
+        totals.merge(practice, -peer.queuedBytes, Long::sum);
       }
     }
-    if (all <= limits.budgetBytes() && held.entrySet().stream().noneMatch(this::isOver)) {
+    if (total <= limits.budgetBytes()
+        && totals.entrySet().stream().noneMatch(this::exceedsBudget)) {
       return false;
     }
-    // Those that were given up before go first, the worst offenders next.
-    List<Peer> worst = new ArrayList<>(watched);
-    worst.removeIf(peer -> !peer.isBehind() || peer.session.disconnected);
-    worst.sort(
+    // Sessions that are being disconnected come first, then peers by descending severity.
+    List<Peer> candidates = new ArrayList<>(watched);
+    candidates.removeIf(peer -> !peer.isBehind() || peer.session.disconnected);
+    candidates.sort(
         Comparator.comparing((Peer peer) -> !peer.session.disconnecting)
             .thenComparing(peer -> -peer.severity(now))
             .thenComparing(peer -> peer.session.id)
             .thenComparing(peer -> peer.side));
-    for (Map.Entry<Practice, Long> practice : held.entrySet()) {
-      for (int i = 0; i < worst.size() && isOver(practice); i++) {
-        if (worst.get(i).session.practice == practice.getKey()) {
-          long freed = disconnectImmediately(worst.get(i), Reason.PRACTICE_BUDGET, now, given);
+    for (Map.Entry<Practice, Long> practice : totals.entrySet()) {
+      for (int i = 0; i < candidates.size() && exceedsBudget(practice); i++) {
+        Peer peer = candidates.get(i);
+        if (peer.session.practice == practice.getKey()) {
+          long freed = disconnectImmediately(peer, Reason.PRACTICE_BUDGET, now, decisions);
           practice.setValue(practice.getValue() - freed);
-          all -= freed;
+          total -= freed;
         }
       }
     }
-    for (int i = 0; i < worst.size() && all > limits.budgetBytes(); i++) {
-      all -= disconnectImmediately(worst.get(i), Reason.BUDGET, now, given);
+    for (int i = 0; i < candidates.size() && total > limits.budgetBytes(); i++) {
+      total -= disconnectImmediately(candidates.get(i), Reason.BUDGET, now, decisions);
     }
     return true;
   }
 
-  private boolean isOver(Map.Entry<Practice, Long> held) {
-    return held.getValue() > limits.budgetOf(held.getKey().name);
+  private boolean exceedsBudget(Map.Entry<Practice, Long> total) {
+    return total.getValue() > limits.budgetOf(total.getKey().name);
   }
 
-  /** Gives a session up at once, and returns how many bytes that frees. */
+  /** Decides to disconnect a session at once and returns how many bytes that frees. */
   private long disconnectImmediately(
-      Peer peer, Reason reason, long now, List<DisconnectDecision> given) {
+      Peer peer, Reason reason, long now, List<DisconnectDecision> decisions) {
     SessionPeers session = peer.session;
     if (session.disconnected) {
       return 0;
     }
     session.disconnected = true;
     session.disconnecting = true;
-    given.add(verdict(peer, reason, true, now));
+    decisions.add(decision(peer, reason, true, now));
     return session.queuedBytes(Side.CLIENT) + session.queuedBytes(Side.TARGET);
   }
 
-  private static DisconnectDecision verdict(Peer peer, Reason reason, boolean atOnce, long now) {
+  private static DisconnectDecision decision(
+      Peer peer, Reason reason, boolean immediate, long now) {
     return new DisconnectDecision(
-        peer.session, peer.side, reason, atOnce, peer.queuedBytes, peer.ageMicros(now));
+        peer.session, peer.side, reason, immediate, peer.queuedBytes, peer.ageMicros(now));
   }
 
-  /** Bytes that wait for all peers. */
+  /** Returns the number of bytes queued for all peers. */
   public long queuedBytes() {
     return queuedBytes;
   }
 
-  /** Sessions that are open. */
+  /** Returns the number of open sessions. */
   public int sessions() {
     return sessions;
   }
 
-  /** How many peers have been given up for this reason so far. */
+  /** Returns how many disconnect decisions had this reason so far. */
   public long disconnects(Reason reason) {
     return disconnects.getOrDefault(reason, 0L);
   }
--- a/src/main/java/brassbank/relay/limits/Practice.java
+++ b/src/main/java/brassbank/relay/limits/Practice.java
@@ -1,6 +1,6 @@
 package brassbank.relay.limits;
 
-/** What the sessions of one practice hold together; it is forgotten with the last of them. */
+/** The totals over the open sessions of one practice; removed with the last session. */
 final class Practice {
   final String name;
   int sessions;
--- a/src/main/java/brassbank/relay/limits/RelayLimits.java
+++ b/src/main/java/brassbank/relay/limits/RelayLimits.java
@@ -5,13 +5,16 @@
 import java.util.TreeMap;
 
 /**
- * What passing sessions on may cost.
+ * The limits on the memory and time that relayed sessions may use.
  *
- * @param readQuotaBytes the most bytes that are taken from one link before others have their turn
- * @param budgetBytes the most bytes that may wait for all peers together
- * @param practiceBudgetBytes the same for the peers of each practice
- * @param practiceBudgets budgets of single practices, in place of {@code practiceBudget}
- * @param farewellMicros how long a slow client may take to read up to its last line
+ * @param readQuotaBytes the most bytes read from one link per loop iteration
+ * @param budgetBytes the most bytes queued for all peers together
+ * @param practiceBudgetBytes the most bytes queued for all peers of one practice
+ * @param practiceBudgets budgets of individual practices in bytes, in place of {@code
+ *     practiceBudgetBytes}
+ * @param client the limits of clients
+ * @param target the limits of stream hosts
+ * @param finalLineTimeoutMicros how long a slow client may take to read up to the final line
  */
 public record RelayLimits(
     int readQuotaBytes,
@@ -20,15 +23,20 @@
     Map<String, Long> practiceBudgets,
     SideLimits client,
     SideLimits target,
-    long farewellMicros) {
+    long finalLineTimeoutMicros) {
   private static final long NEVER = Long.MAX_VALUE / 4;
 
-  /** Without a file: a cap for each peer, and nobody is given up. */
+  /** The limits without a configuration file: queues are bounded, and no peer is disconnected. */
   public static final RelayLimits NONE = none();
 
-  /** Throws IllegalArgumentException where a figure cannot be meant. */
+  /**
+   * @throws IllegalArgumentException if a limit is below 1
+   */
   public RelayLimits {
-    if (readQuotaBytes < 1 || budgetBytes < 1 || practiceBudgetBytes < 1 || farewellMicros < 1) {
+    if (readQuotaBytes < 1
+        || budgetBytes < 1
+        || practiceBudgetBytes < 1
+        || finalLineTimeoutMicros < 1) {
       throw new IllegalArgumentException("a limit must be above 0");
     }
     practiceBudgets = Collections.unmodifiableMap(new TreeMap<>(practiceBudgets));
@@ -39,17 +47,17 @@
     return new RelayLimits(32 * 1024, NEVER, NEVER, Collections.emptyMap(), side, side, 1_000_000);
   }
 
-  /** Whether anybody can be given up at all. */
+  /** Returns whether any limit can lead to a disconnect. */
   boolean canDisconnect() {
     return this != NONE;
   }
 
-  /** What may wait for the peers of this practice. */
+  /** Returns the most bytes that may be queued for the peers of this practice. */
   long budgetOf(String practice) {
     return practiceBudgets.getOrDefault(practice, practiceBudgetBytes);
   }
 
-  /** The limits of one side. */
+  /** Returns the limits of one side. */
   public SideLimits of(Side side) {
     return side == Side.CLIENT ? client : target;
   }
--- a/src/main/java/brassbank/relay/limits/SessionPeers.java
+++ b/src/main/java/brassbank/relay/limits/SessionPeers.java
@@ -1,21 +1,24 @@
 package brassbank.relay.limits;
 
-/** The two peers of one standing session, as {@link PeerLimits} knows them. */
+/** The state that {@link PeerLimits} keeps of one established session and its two peers. */
 public final class SessionPeers {
   final long id;
   final Practice practice;
 
-  /** Only where something waits or has begun, or did so lately: idle sessions have none. */
+  /**
+   * Set while the peer is behind or has an unfinished line, and for some time after; null in idle
+   * sessions. The same holds for {@code target}.
+   */
   private Peer client;
 
   private Peer target;
 
   boolean closed;
 
-  /** Given up politely, or at once. */
+  /** A graceful or an immediate disconnect was decided. */
   boolean disconnecting;
 
-  /** Given up at once. */
+  /** An immediate disconnect was decided. */
   boolean disconnected;
 
   SessionPeers(long id, Practice practice) {
@@ -23,17 +26,17 @@
     this.practice = practice;
   }
 
-  /** The number it was opened with. */
+  /** Returns the number with which the session was opened. */
   public long id() {
     return id;
   }
 
-  /** The practice it was opened with. */
+  /** Returns the practice with which the session was opened. */
   public String practice() {
     return practice.name;
   }
 
-  /** The peer of a side, made where there is none. */
+  /** Returns the peer of a side, creating it if necessary. */
   Peer getOrCreate(Side side) {
     if (side == Side.CLIENT) {
       client = client == null ? new Peer(this, Side.CLIENT) : client;
@@ -43,7 +46,7 @@
     return target;
   }
 
-  /** The peer of a side, or null where there is none. */
+  /** Returns the peer of a side, or null if there is none. */
   Peer get(Side side) {
     return side == Side.CLIENT ? client : target;
   }
@@ -56,7 +59,7 @@
     }
   }
 
-  /** Bytes that wait for this side. */
+  /** Returns the number of bytes queued for this side. */
   long queuedBytes(Side side) {
     Peer peer = get(side);
     return peer == null ? 0 : peer.queuedBytes;
--- a/src/main/java/brassbank/relay/limits/Side.java
+++ b/src/main/java/brassbank/relay/limits/Side.java
@@ -1,6 +1,6 @@
 package brassbank.relay.limits;
 
-/** Which end of a session a peer is. */
+/** The side of a session on which a peer is. */
 public enum Side {
   CLIENT,
   TARGET;
--- a/src/main/java/brassbank/relay/limits/SideLimits.java
+++ b/src/main/java/brassbank/relay/limits/SideLimits.java
@@ -1,17 +1,17 @@
 package brassbank.relay.limits;
 
 /**
- * What a peer on one side of a session may do.
+ * The limits of a peer on one side of a session.
  *
- * @param maxQueuedBytes the most bytes that wait for it; while so many do, the other side is not
- *     read
- * @param kernelBufferBytes bytes that the kernel may keep for it beside those; 0 leaves that to the
- *     kernel
- * @param maxAgeMicros the longest that a byte may wait for it
- * @param minBytesPerSecond the least it must read while bytes wait for it all the time, in bytes a
- *     second; 0 asks for nothing
- * @param windowMicros the span over which {@code rate} is measured
- * @param maxLineMicros the longest it may take for a line that it has begun
+ * @param maxQueuedBytes the most bytes queued for the peer; while that many are queued, the other
+ *     side is not read
+ * @param kernelBufferBytes the size of the kernel's send buffer, in addition to the queued bytes; 0
+ *     leaves the size to the kernel
+ * @param maxAgeMicros the longest time for which a byte may be queued
+ * @param minBytesPerSecond the rate at which the peer must read while bytes are queued throughout;
+ *     0 for no minimum
+ * @param windowMicros the window over which the rate is measured
+ * @param maxLineMicros the longest time from the start of a line until its end
  */
 public record SideLimits(
     int maxQueuedBytes,
@@ -20,7 +20,9 @@
     long minBytesPerSecond,
     long windowMicros,
     long maxLineMicros) {
-  /** Throws IllegalArgumentException where a figure cannot be meant. */
+  /**
+   * @throws IllegalArgumentException if a limit is out of range
+   */
   public SideLimits {
     if (maxQueuedBytes < 1
         || kernelBufferBytes < 0
@@ -28,7 +30,8 @@
         || minBytesPerSecond < 0
         || windowMicros < 1
         || maxLineMicros < 1) {
-      throw new IllegalArgumentException("a limit must be above 0");
+      throw new IllegalArgumentException(
+          "a limit must be above 0; the kernel buffer and the rate may be 0");
     }
   }
 }
--- a/src/main/java/brassbank/relay/package-info.java
+++ b/src/main/java/brassbank/relay/package-info.java
@@ -1,11 +1,12 @@
 /**
- * Standing sessions: a client's link and its target's, and the bytes between them.
+ * Established sessions: the link of a client, the link of its target, and the bytes relayed between
+ * them.
  *
- * <p>{@link brassbank.relay.RelayedSession} passes the bytes of one session, {@link
- * brassbank.relay.HostLineParser} and {@link brassbank.relay.ClientLineTracker} follow their lines
- * where they lie, and {@link brassbank.relay.Relay} carries out what {@link brassbank.relay.limits}
- * decides on slow peers. All of it is for the loop's thread. Arrows point to the network and to the
- * limits; who is served, and what becomes of a flow, is the business of those who hand the links
- * in.
+ * <p>{@link brassbank.relay.RelayedSession} relays the bytes of one session. {@link
+ * brassbank.relay.HostLineParser} and {@link brassbank.relay.ClientLineTracker} find the lines in
+ * the shared read buffer, without copying them. {@link brassbank.relay.Relay} applies the decisions
+ * of {@link brassbank.relay.limits} on slow peers. For the event loop's thread only. The package
+ * depends on the network and on the limits; admission and placement of flows are up to the caller
+ * that hands in the links.
  */
 package brassbank.relay;
--- a/src/test/java/brassbank/config/file/OptionsFileTest.java
+++ b/src/test/java/brassbank/config/file/OptionsFileTest.java
@@ -39,7 +39,7 @@
     assertThat(relay.readQuotaBytes()).isEqualTo(32 * 1024);
     assertThat(relay.budgetBytes()).isEqualTo(1 << 30);
     assertThat(relay.practiceBudgets()).isEqualTo(Map.of("two words", 20L << 20));
-    assertThat(relay.farewellMicros()).isEqualTo(60_000_000);
+    assertThat(relay.finalLineTimeoutMicros()).isEqualTo(60_000_000);
     assertThat(relay.client())
         .isEqualTo(new SideLimits(64 * 1024, 32 * 1024, 60_000_000, 0, 500_000, 30_000_000));
     assertThat(relay.target().minBytesPerSecond()).isEqualTo(2048);
--- a/src/test/java/brassbank/net/LineBufferTest.java
+++ b/src/test/java/brassbank/net/LineBufferTest.java
@@ -9,43 +9,43 @@
 class LineBufferTest {
   private final LineBuffer buffer = new LineBuffer(16);
 
-  private void come(String text) {
+  private void receive(String text) {
     buffer.append(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
   }
 
   @Test
-  void givesWholeLinesAndKeepsTheRest() {
-    come("ab\r\nc");
+  void returnsCompleteLinesAndKeepsTheRest() {
+    receive("ab\r\nc");
     assertThat(buffer.nextLine()).isEqualTo("ab");
     assertThat(buffer.nextLine()).isNull();
     assertThat(buffer.unreadBytes()).isEqualTo(1);
-    come("d\nmore");
+    receive("d\nmore");
     assertThat(buffer.nextLine()).isEqualTo("cd");
     assertThat(StandardCharsets.ISO_8859_1.decode(buffer.unread()).toString()).isEqualTo("more");
   }
 
   @Test
-  void skipsAnOverlongLineAndNotTheNext() {
+  void skipsAnOverlongLineButNotTheNextOne() {
     for (int i = 0; i < 1000; i++) {
-      come("0123456789");
+      receive("0123456789");
       assertThat(buffer.nextLine()).isNull();
     }
-    come("BYE\r\nnext\r\n");
+    receive("BYE\r\nnext\r\n");
     assertThat(buffer.nextLine()).isEqualTo("next");
     assertThat(buffer.hasOverlongLine()).isTrue();
   }
 
   @Test
   void keepsEveryLineWhileItGrowsAndCompacts() {
-    int taken = 0;
+    int linesRead = 0;
     for (int i = 0; i < 500; i++) {
-      come("line " + i + "\r\n");
+      receive("line " + i + "\r\n");
       if (i % 3 == 0) {
-        assertThat(buffer.nextLine()).isEqualTo("line " + taken++);
+        assertThat(buffer.nextLine()).isEqualTo("line " + linesRead++);
       }
     }
-    for (; taken < 500; taken++) {
-      assertThat(buffer.nextLine()).isEqualTo("line " + taken);
+    for (; linesRead < 500; linesRead++) {
+      assertThat(buffer.nextLine()).isEqualTo("line " + linesRead);
     }
     assertThat(buffer.unreadBytes()).isZero();
   }
--- a/src/test/java/brassbank/net/LinkTest.java
+++ b/src/test/java/brassbank/net/LinkTest.java
@@ -14,24 +14,24 @@
 import org.junit.jupiter.api.Test;
 
 class LinkTest {
-  /** A connection that takes so many bytes and then no more until it is given room again. */
-  private static final class Narrow implements Channel {
+  /** A channel that accepts a limited number of bytes and records all calls. */
+  private static final class LimitedChannel implements Channel {
     final StringBuilder log = new StringBuilder();
-    int room;
-    int unread;
+    int writableBytes;
+    int readableBytes;
     boolean broken;
     Handler handler;
 
     @Override
-    public void handler(Handler told) {
-      handler = told;
+    public void handler(Handler next) {
+      handler = next;
     }
 
     @Override
     public int read(ByteBuffer into) {
-      int count = Math.min(unread, into.remaining());
+      int count = Math.min(readableBytes, into.remaining());
       into.position(into.position() + count);
-      unread -= count;
+      readableBytes -= count;
       return count;
     }
 
@@ -40,12 +40,12 @@
       if (broken) {
         throw new IOException("reset by peer");
       }
-      int taken = Math.min(room, from.remaining());
-      byte[] bytes = new byte[taken];
+      int count = Math.min(writableBytes, from.remaining());
+      byte[] bytes = new byte[count];
       from.get(bytes);
       log.append(new String(bytes, StandardCharsets.US_ASCII));
-      room -= taken;
-      return taken;
+      writableBytes -= count;
+      return count;
     }
 
     @Override
@@ -71,14 +71,14 @@
       log.append(" reset");
     }
 
-    void room(int bytes) {
-      room = bytes;
+    void accept(int bytes) {
+      writableBytes = bytes;
       handler.writable();
     }
   }
 
-  /** A network without any, for what needs its clock only. */
-  private static final class Still implements Network {
+  /** A network that provides a clock and nothing else. */
+  private static final class ClockOnlyNetwork implements Network {
     @Override
     public void start(EventLoop loop) {}
 
@@ -113,7 +113,7 @@
     }
   }
 
-  private final class Told implements Link.StreamHandler {
+  private final class RecordingHandler implements Link.StreamHandler {
     @Override
     public int readQuota(Link from) {
       return 7;
@@ -121,33 +121,33 @@
 
     @Override
     public void received(Link from, ByteBuffer bytes) {
-      told.add("came " + bytes.remaining());
+      events.add("received " + bytes.remaining());
     }
 
     @Override
     public void queued(Link to, int bytes) {
-      told.add("waits " + bytes);
+      events.add("queued " + bytes);
     }
 
     @Override
     public void drained(Link to, int bytes) {
-      told.add("took " + bytes);
+      events.add("drained " + bytes);
     }
 
     @Override
     public void ended(Link from, boolean reset) {
-      told.add("ended " + reset);
+      events.add("ended " + reset);
     }
 
     @Override
     public void released(Link from) {
-      told.add("released");
+      events.add("released");
     }
   }
 
-  private final Narrow channel = new Narrow();
-  private final List<String> told = new ArrayList<>();
-  private final Net net = new Net(1024, new Still());
+  private final LimitedChannel channel = new LimitedChannel();
+  private final List<String> events = new ArrayList<>();
+  private final Net net = new Net(1024, new ClockOnlyNetwork());
   private final Link link =
       new Link(
           net,
@@ -158,74 +158,74 @@
 
             @Override
             public void ended(Link from, boolean reset) {
-              told.add("ended " + reset);
+              events.add("ended " + reset);
             }
           });
 
   private void send(String text) {
-    link.send(text.getBytes(StandardCharsets.US_ASCII), () -> told.add("written " + text));
+    link.send(text.getBytes(StandardCharsets.US_ASCII), () -> events.add("written " + text));
   }
 
   @Test
-  void writesAtOnceAndAsksToBeToldOnlyForTheRest() {
-    channel.room = 5;
+  void writesAtOnceAndTurnsWritableEventsOnOnlyWhileBytesAreQueued() {
+    channel.writableBytes = 5;
     send("one");
     assertThat(channel.log).hasToString("one");
     send("two");
     send("three");
     assertThat(channel.log).hasToString("onetw[");
-    assertThat(told).containsExactly("written one");
-    channel.room(3);
-    channel.room(9);
+    assertThat(events).containsExactly("written one");
+    channel.accept(3);
+    channel.accept(9);
     assertThat(channel.log).hasToString("onetw[othree]");
-    assertThat(told).containsExactly("written one", "written two", "written three");
+    assertThat(events).containsExactly("written one", "written two", "written three");
   }
 
   @Test
-  void endsItsSendingBehindTheLastByteThatWaits() {
-    channel.room = 2;
+  void shutsDownOutputAfterTheLastQueuedByte() {
+    channel.writableBytes = 2;
     send("last");
     link.shutdownOutput();
     send("too late");
     assertThat(channel.log).hasToString("la[");
-    channel.room(10);
+    channel.accept(10);
     assertThat(channel.log).hasToString("la[st] shut");
   }
 
   @Test
-  void tellsAStreamWhatWaitsWhatWasTakenAndThatItsMemoryIsFree() {
-    channel.room = 4;
+  void reportsQueuedAndDrainedBytesAndReleasedMemoryToTheStreamHandler() {
+    channel.writableBytes = 4;
     link.send("UP r-1");
-    link.startStreaming(new Told());
+    link.startStreaming(new RecordingHandler());
     link.send(ByteBuffer.wrap(new byte[20_000]));
     assertThat(link.queuedBytes()).isEqualTo(20_004);
     assertThat(net.buffers().leasedBytes()).isGreaterThanOrEqualTo(20_004);
-    channel.room(3_000);
-    channel.room(20_000);
-    assertThat(told).containsExactly("waits 4", "waits 20000", "took 3000", "took 17004");
+    channel.accept(3_000);
+    channel.accept(20_000);
+    assertThat(events).containsExactly("queued 4", "queued 20000", "drained 3000", "drained 17004");
     assertThat(net.buffers().leasedBytes()).isZero();
-    channel.room = 0;
+    channel.writableBytes = 0;
     link.send("x");
     link.reset();
-    assertThat(told).endsWith("waits 3", "released");
+    assertThat(events).endsWith("queued 3", "released");
     assertThat(net.buffers().leasedBytes()).isZero();
   }
 
   @Test
-  void readsNoMoreInATurnThanTheStreamHasRoomFor() {
-    link.startStreaming(new Told());
-    channel.unread = 10;
+  void readsNoMorePerEventThanTheReadQuota() {
+    link.startStreaming(new RecordingHandler());
+    channel.readableBytes = 10;
     channel.handler.readable();
     channel.handler.readable();
-    assertThat(told).containsExactly("came 7", "came 3");
+    assertThat(events).containsExactly("received 7", "received 3");
   }
 
   @Test
-  void isGivenBackOnceWhereAWriteFails() {
+  void isReleasedOnceWhenAWriteFails() {
     channel.broken = true;
     send("lost");
     send("lost too");
-    assertThat(told).containsExactly("ended true");
+    assertThat(events).containsExactly("ended true");
     assertThat(channel.log).hasToString(" closed");
   }
 }
--- a/src/test/java/brassbank/relay/LinesTest.java
+++ b/src/test/java/brassbank/relay/LinesTest.java
@@ -11,88 +11,88 @@
 import org.junit.jupiter.api.Test;
 
 class LinesTest {
-  private final List<String> told = new ArrayList<>();
+  private final List<String> parsed = new ArrayList<>();
   private final HostLineParser host =
       new HostLineParser(
           new LineFeedScanner(),
           new HostLineParser.Listener() {
             @Override
             public void loadReported(String text) {
-              told.add("load " + text);
+              parsed.add("load " + text);
             }
 
             @Override
             public void byeReceived() {
-              told.add("bye");
+              parsed.add("bye");
             }
 
             @Override
             public void moveReceived() {
-              told.add("moving");
+              parsed.add("move");
             }
 
             @Override
             public void responseReceived() {
-              told.add("answer");
+              parsed.add("response");
             }
           });
   private final ByteBuffer shared = ByteBuffer.allocateDirect(64 * 1024);
 
-  /** Comes as a piece of its own, in the buffer that all links share, or in one of its own. */
-  private boolean come(String text, boolean direct) {
+  /** Parses a piece of the stream from the shared direct buffer or from a heap buffer. */
+  private boolean receive(String text, boolean direct) {
     byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
     ByteBuffer piece = direct ? shared.clear().put(bytes).flip() : ByteBuffer.wrap(bytes);
     return host.follow(piece.order(ByteOrder.LITTLE_ENDIAN), 0, bytes.length);
   }
 
   @Test
-  void tellsLinesApartWhereverTheyAreSplit() {
+  void recognizesLinesWhereverTheStreamIsSplit() {
     String text =
         "r 1\r\nLOAD 0.25\r\n\r\nLOADED\nBYE\r\nMOVE\nLOAD\r\nBYEBYE\r\nB\rx\r\nMOVE now\r\nLOAD x y\n";
     for (int first = 0; first <= text.length(); first++) {
       for (int second = first; second <= text.length(); second++) {
         boolean direct = (first + second) % 2 == 0;
-        come(text.substring(0, first), direct);
-        come(text.substring(first, second), !direct);
-        come(text.substring(second), direct);
-        assertThat(told)
+        receive(text.substring(0, first), direct);
+        receive(text.substring(first, second), !direct);
+        receive(text.substring(second), direct);
+        assertThat(parsed)
             .as("split at " + first + " and " + second)
             .containsExactly(
-                "answer",
+                "response",
                 "load 0.25",
-                "answer",
-                "answer",
+                "response",
+                "response",
                 "bye",
-                "moving",
+                "move",
                 "load ",
-                "answer",
-                "answer",
-                "moving",
+                "response",
+                "response",
+                "move",
                 "load x y");
         assertThat(host.inLine()).isFalse();
-        told.clear();
+        parsed.clear();
       }
     }
   }
 
   @Test
-  void takesALongLineInSingleBytesForOneAnswerAndALongerOneForNothing() {
+  void countsALineOfMaximumLengthAsOneResponseAndIgnoresALongerOne() {
     for (int i = 0; i < 4096; i++) {
-      assertThat(come("L", true)).isFalse();
+      assertThat(receive("L", true)).isFalse();
     }
     assertThat(host.isOverlong()).isFalse();
-    assertThat(come("\n", true)).isTrue();
-    assertThat(told).containsExactly("answer");
+    assertThat(receive("\n", true)).isTrue();
+    assertThat(parsed).containsExactly("response");
     for (int i = 0; i < 4097; i++) {
-      come("M", true);
+      receive("M", true);
     }
     assertThat(host.isOverlong()).isTrue();
-    come("\r\n" + "x".repeat(5_000) + "\r\nr\r\n", false);
-    assertThat(told).containsExactly("answer", "answer");
+    receive("\r\n" + "x".repeat(5_000) + "\r\nr\r\n", false);
+    assertThat(parsed).containsExactly("response", "response");
   }
 
   @Test
-  void findsEveryLineFeedAndNoOther() {
+  void findsEveryLineFeedAndNothingElse() {
     Random random = new Random(1);
     LineFeedScanner feeds = new LineFeedScanner();
     for (int round = 0; round < 2_000; round++) {
@@ -102,8 +102,7 @@
       bytes.order(ByteOrder.LITTLE_ENDIAN);
       List<Integer> expected = new ArrayList<>();
       for (int i = 0; i < length; i++) {
-        // Neighbours of the line feed in value, and bytes above 127, are what such a search gets
-        // wrong.
+        // A search by words typically fails on values next to the line feed and on bytes above 127.
         byte value = new byte[] {'\n', '\n' + 1, '\n' - 1, (byte) 0x8a, 0, -1}[random.nextInt(6)];
         bytes.put(i, value);
         if (value == '\n' && i >= from) {
@@ -120,7 +119,7 @@
   }
 
   @Test
-  void knowsWhetherAClientsLineHasEndedAndWhetherOneHasBegun() {
+  void tracksWhetherAClientLineHasEndedAndWhetherOneHasBegun() {
     ClientLineTracker client = new ClientLineTracker();
     assertThat(client.follow(ByteBuffer.wrap("m".getBytes()), 0, 1)).isFalse();
     assertThat(client.inLine()).isTrue();
--- a/src/test/java/brassbank/relay/limits/PeerLimitsModelTest.java
+++ b/src/test/java/brassbank/relay/limits/PeerLimitsModelTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.IntRange;
 
-/** Whatever the order of events, against a model that remembers every byte and every instant. */
+/** Checks {@link PeerLimits} under random events against a model that records every byte. */
 class PeerLimitsModelTest {
   private static final long SECOND = 1_000_000;
   private static final long AGE = 8 * SECOND;
@@ -27,75 +27,75 @@
   private static final RelayLimits LIMITS =
       new RelayLimits(1_000, 6_000, 2_500, Map.of("b", 900L), SIDE, SIDE, SECOND);
 
-  /** What is known of one peer, in full. */
+  /** The complete history of one peer. */
   private static final class Model {
-    final Deque<long[]> waiting = new ArrayDeque<>();
-    final List<long[]> taken = new ArrayList<>();
+    final Deque<long[]> queued = new ArrayDeque<>();
+    final List<long[]> drained = new ArrayList<>();
     long behindSince = -1;
     long lineSince = -1;
 
     long bytes() {
-      return waiting.stream().mapToLong(part -> part[1]).sum();
+      return queued.stream().mapToLong(part -> part[1]).sum();
     }
 
     void queue(long now, long bytes) {
-      behindSince = waiting.isEmpty() ? now : behindSince;
-      waiting.add(new long[] {now, bytes});
+      behindSince = queued.isEmpty() ? now : behindSince;
+      queued.add(new long[] {now, bytes});
     }
 
-    void take(long now, long bytes) {
-      taken.add(new long[] {now, bytes});
-      for (long left = bytes; left > 0; ) {
-        long[] part = waiting.peek();
-        long count = Math.min(left, part[1]);
+    void drain(long now, long bytes) {
+      drained.add(new long[] {now, bytes});
+      for (long remaining = bytes; remaining > 0; ) {
+        long[] part = queued.peek();
+        long count = Math.min(remaining, part[1]);
         part[1] -= count;
-        left -= count;
+        remaining -= count;
         if (part[1] == 0) {
-          waiting.poll();
+          queued.poll();
         }
       }
     }
 
     long age(long now) {
-      return waiting.isEmpty() ? 0 : now - waiting.peek()[0];
+      return queued.isEmpty() ? 0 : now - queued.peek()[0];
     }
 
-    long takenSince(long time) {
-      return taken.stream().filter(part -> part[0] >= time).mapToLong(part -> part[1]).sum();
+    long drainedSince(long time) {
+      return drained.stream().filter(part -> part[0] >= time).mapToLong(part -> part[1]).sum();
     }
   }
 
   private final PeerLimits limits = new PeerLimits(LIMITS);
   private final Map<SessionPeers, Map<Side, Model>> models = new HashMap<>();
   private final List<SessionPeers> open = new ArrayList<>();
-  private final Map<SessionPeers, Integer> told = new HashMap<>();
+  private final Map<SessionPeers, Integer> decided = new HashMap<>();
   private long now;
 
   @Property(seed = "1", tries = 300, shrinking = ShrinkingMode.OFF)
-  void nobodyIsGivenUpEarlyAndNobodyForLongPastALimit(
-      @ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int most) {
+  void noPeerIsDisconnectedBeforeALimitOrLongAfterIt(
+      @ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int maxSessions) {
     Random random = new Random(seed);
     for (int step = 0; step < 400; step++) {
-      if (open.size() < most) {
-        enter(random);
+      if (open.size() < maxSessions) {
+        openSession(random);
       }
       SessionPeers session = open.get(random.nextInt(open.size()));
       Side side = random.nextBoolean() ? Side.CLIENT : Side.TARGET;
       act(random, session, side);
       if (random.nextInt(3) == 0) {
-        long period = limits.evaluationDelayMicros();
-        now += period < 0 ? SECOND : Math.min(period, 1 + random.nextInt(400_000));
-        judge();
+        long delay = limits.evaluationDelayMicros();
+        now += delay < 0 ? SECOND : Math.min(delay, 1 + random.nextInt(400_000));
+        evaluate();
       }
       check();
     }
-    List.copyOf(open).forEach(this::leave);
+    List.copyOf(open).forEach(this::close);
     assertThat(limits.queuedBytes()).isZero();
     assertThat(limits.sessions()).isZero();
     assertThat(limits.evaluationDelayMicros()).isEqualTo(-1);
   }
 
-  private void enter(Random random) {
+  private void openSession(Random random) {
     String practice = random.nextBoolean() ? "a" : "b";
     SessionPeers session = limits.open(models.size(), practice);
     Map<Side, Model> sides = new TreeMap<>();
@@ -105,7 +105,7 @@
     open.add(session);
   }
 
-  private void leave(SessionPeers session) {
+  private void close(SessionPeers session) {
     limits.close(session);
     limits.close(session);
     open.remove(session);
@@ -123,7 +123,7 @@
       }
       case 2, 3 -> {
         long bytes = Math.min(model.bytes(), random.nextInt(400));
-        model.take(now, bytes);
+        model.drain(now, bytes);
         limits.bytesDrained(session, side, bytes);
       }
       case 4 -> {
@@ -134,44 +134,44 @@
         model.lineSince = -1;
         limits.lineEnded(session, side);
         if (random.nextInt(40) == 0) {
-          leave(session);
+          close(session);
         }
       }
     }
   }
 
-  private void judge() {
-    List<DisconnectDecision> verdicts = limits.evaluate(now);
-    for (DisconnectDecision verdict : verdicts) {
-      Model model = models.get(verdict.session()).get(verdict.side());
-      assertThat(told.merge(verdict.session(), verdict.immediate() ? 2 : 1, Integer::sum))
-          .as("politely once, then at once")
+  private void evaluate() {
+    List<DisconnectDecision> decisions = limits.evaluate(now);
+    for (DisconnectDecision decision : decisions) {
+      Model model = models.get(decision.session()).get(decision.side());
+      assertThat(decided.merge(decision.session(), decision.immediate() ? 2 : 1, Integer::sum))
+          .as("one graceful decision, then one immediate one")
           .isLessThanOrEqualTo(3);
-      assertThat(verdict.queuedBytes()).isEqualTo(model.bytes());
-      if (verdict.reason() == Reason.AGE) {
+      assertThat(decision.queuedBytes()).isEqualTo(model.bytes());
+      if (decision.reason() == Reason.AGE) {
         assertThat(model.age(now)).isGreaterThan(AGE);
-      } else if (verdict.reason() == Reason.RATE) {
+      } else if (decision.reason() == Reason.RATE) {
         assertThat(now - model.behindSince).isGreaterThanOrEqualTo(WINDOW);
-        assertThat(model.takenSince(now - WINDOW)).isLessThan(RATE * WINDOW * 5 / 4 / SECOND);
-      } else if (verdict.reason() == Reason.LINE) {
+        assertThat(model.drainedSince(now - WINDOW)).isLessThan(RATE * WINDOW * 5 / 4 / SECOND);
+      } else if (decision.reason() == Reason.LINE) {
         assertThat(now - model.lineSince).isGreaterThan(LINE);
       } else {
-        assertThat(verdict.immediate()).isTrue();
+        assertThat(decision.immediate()).isTrue();
       }
     }
-    verdicts.stream()
+    decisions.stream()
         .filter(DisconnectDecision::immediate)
         .map(DisconnectDecision::session)
-        .forEach(this::leave);
-    if (verdicts.stream().noneMatch(DisconnectDecision::immediate)) {
-      // Nobody was ended for memory: then none was short before either.
+        .forEach(this::close);
+    if (decisions.stream().noneMatch(DisconnectDecision::immediate)) {
+      // No session was disconnected for its memory, so that the budget was not exceeded.
       assertThat(limits.queuedBytes()).isLessThanOrEqualTo(LIMITS.budgetBytes());
     }
     for (SessionPeers session : open) {
       assertThat(limits.isOverBudget(session)).isFalse();
       for (Model model : models.get(session).values()) {
         boolean late = model.age(now) > AGE * 5 / 4;
-        assertThat(late && !told.containsKey(session)).as("given up late").isFalse();
+        assertThat(late && !decided.containsKey(session)).as("disconnected too late").isFalse();
       }
     }
   }
