--- a/src/main/java/brassbank/cli/Program.java
+++ b/src/main/java/brassbank/cli/Program.java
@@ -17,8 +17,9 @@
 import picocli.CommandLine.UnmatchedArgumentException;
 
 /**
- * The command line as a whole. It takes the commands as annotated objects and gives each of them
- * {@code --help}, {@code --version}, errors of one line and the statuses of {@link ExitStatus}.
+ * Parses the command line and runs the command. Commands are annotated objects; each of them gets
+ * {@code --help}, {@code --version}, error messages of one line and the statuses of {@link
+ * ExitStatus}.
  */
 public final class Program {
   private static final String NAME = "brassbank";
@@ -40,7 +41,7 @@
    * Runs the command that the arguments name, on the calling thread.
    *
    * @param commands objects annotated with {@code @Command}
-   * @return the exit status, one of {@link ExitStatus}; errors have been told on standard error
+   * @return the exit status, one of {@link ExitStatus}; errors have been written to standard error
    */
   public static int run(List<? extends Callable<Integer>> commands, String... args) {
     return commandLine(commands).execute(args);
@@ -51,7 +52,7 @@
     commands.forEach(root::addSubcommand);
     root.addSubcommand(new AutoComplete.GenerateCompletion());
     applyCommonOptions(root);
-    // An argument that begins with @ means itself and no file of arguments.
+    // An argument that begins with @ stands for itself, not for a file of arguments.
     root.setExpandAtFiles(false);
     root.setCaseInsensitiveEnumValuesAllowed(true);
     root.setParameterExceptionHandler((error, given) -> reportUsageError(error));
@@ -75,8 +76,9 @@
       if (command.getParent() == null && !unmatched.isUnknownOption()) {
         text = "no such command: '" + unmatched.getUnmatched().get(0) + "'";
       }
-      List<String> near = unmatched.getSuggestions();
-      text += near.isEmpty() ? "" : "; did you mean " + String.join(" or ", near) + "?";
+      List<String> suggestions = unmatched.getSuggestions();
+      text +=
+          suggestions.isEmpty() ? "" : "; did you mean " + String.join(" or ", suggestions) + "?";
     }
     return reportUsageError(command, text);
   }
@@ -95,13 +97,13 @@
         .getErr()
         .println(oneLine(command.getCommandSpec().qualifiedName() + ": " + message(error)));
     if (error instanceof RuntimeException && !(error instanceof UncheckedIOException)) {
-      // A fault of the program and not of its surroundings: whoever mends it needs the place.
+      // A fault of the program rather than of its environment: the stack trace locates it.
       error.printStackTrace(command.getErr());
     }
     return ExitStatus.FAILED;
   }
 
-  /** The messages of some file exceptions are the bare path. */
+  /** Returns the message of an exception; that of some file exceptions is only the path. */
   private static String message(Throwable error) {
     if (error instanceof UncheckedIOException unchecked) {
       return message(unchecked.getCause());
@@ -120,7 +122,7 @@
         : error.toString();
   }
 
-  /** Arguments may hold anything: an error stays one line. */
+  /** Makes one line of a message, which may quote arguments with line ends. */
   private static String oneLine(String text) {
     return text.replaceAll("\\s*\\R\\s*", " ").replaceAll("\\p{Cntrl}", "?");
   }
--- a/src/main/java/brassbank/config/Config.java
+++ b/src/main/java/brassbank/config/Config.java
@@ -25,14 +25,25 @@
 import java.util.Map;
 
 /**
- * All that a proxy is told at its start. The settings go through the adapter's reader, so that the
- * module gets the same ones here as on the simulator's wire.
+ * The configuration of a proxy. The settings of the decision module are read by the same {@link
+ * SettingsReader} as those of the simulator's protocol, so that the module gets the same values in
+ * both.
  *
- * @param management where operators call, or null for nowhere
- * @param handover the file by which the processes on an inherited listening socket, descriptor 0,
- *     see each other; null where the proxy listens by itself
- * @param requiredKeys the keys that a configuration which is to replace this one must have
- * @param reportFields the names that a load report's values have on the sockets, in their order
+ * @param name the name of this proxy
+ * @param listen the address for clients
+ * @param management the address for management requests, or null for none
+ * @param handover the lock file through which processes that share an inherited listening socket
+ *     coordinate; null if the proxy opens its own socket
+ * @param discovery the address of the discovery service
+ * @param seed the seed of all randomness of the process
+ * @param descriptorLimit the most file descriptors that the process may hold
+ * @param knownTargets the targets to start with, before discovery answers
+ * @param settings the settings of the decision module
+ * @param reportFields the names of the values of a load report, in the order in which stream hosts
+ *     send them
+ * @param connectTimeoutMicros the time limit for connects to stream hosts
+ * @param idleTimeoutMicros how long an unused connection to a stream host is kept
+ * @param requiredKeys the keys that a configuration replacing this one must have
  */
 public record Config(
     String name,
@@ -51,28 +62,33 @@
 
   private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
 
-  /** Reads the file that {@code LB_CONFIG} names; the other variables go before its values. */
+  /**
+   * Reads the file that {@code LB_CONFIG} names. The other variables override its values.
+   *
+   * @throws ConfigException if the file cannot be read or is invalid
+   */
   public static Config read(Map<String, String> env) throws ConfigException {
     return read(env, false);
   }
 
   /**
-   * Reads the file again. A variable cannot change while the program runs, so that {@code
-   * discovery}, which may move, is now taken from the file if it is there.
+   * Reads the file again for a reload. The address of discovery may change at run time and the
+   * environment cannot, so that here {@code discovery} of the file overrides the variable.
    *
-   * @throws ConfigException where the file cannot be used or lacks a key that {@code inForce} has:
-   *     it may be half written, and nothing of it is used
+   * @throws ConfigException if the file is invalid or lacks a key that {@code inForce} has: it may
+   *     be written in part, and none of it is used
    */
   public static Config reread(Map<String, String> env, Config inForce) throws ConfigException {
     Config next = read(env, true);
     String missing = inForce.requiredKeys.missingIn(next.requiredKeys);
     if (missing != null) {
-      throw new ConfigException("'" + missing + "' is missing, which the settings in force have");
+      throw new ConfigException(
+          "key '" + missing + "' of the configuration in force is missing in the new one");
     }
     return next;
   }
 
-  private static Config read(Map<String, String> env, boolean again) throws ConfigException {
+  private static Config read(Map<String, String> env, boolean isReload) throws ConfigException {
     String path = env.get("LB_CONFIG");
     if (path == null || path.isBlank()) {
       throw new ConfigException("LB_CONFIG is not set: it names the configuration file");
@@ -83,23 +99,29 @@
     } catch (IOException | IllegalArgumentException e) {
       throw new ConfigException("cannot read the configuration " + path + ": " + e.getMessage());
     }
-    return of(env, path, text, again);
+    return of(env, path, text, isReload);
   }
 
-  /** The configuration in a text, which stands alone: no variable goes before its values. */
+  /**
+   * Reads a configuration from a text, without the environment variables.
+   *
+   * @throws ConfigException if the text is invalid
+   */
   public static Config of(String text) throws ConfigException {
     return of(Map.of(), "text", text, false);
   }
 
   /**
-   * The same for a proxy whose listening socket is inherited; {@code file} is that of the locks.
+   * Returns a copy for a proxy whose listening socket is inherited.
+   *
+   * @param lockFile the lock file through which the processes on that socket coordinate
    */
-  public Config withInheritedListener(Path file) {
+  public Config withInheritedListener(Path lockFile) {
     return new Config(
         name,
         listen,
         management,
-        file,
+        lockFile,
         discovery,
         seed,
         descriptorLimit,
@@ -111,17 +133,18 @@
         requiredKeys);
   }
 
-  private static Config of(Map<String, String> env, String path, String text, boolean again)
+  private static Config of(Map<String, String> env, String path, String text, boolean isReload)
       throws ConfigException {
     try {
       JsonReader reader = new JsonReader(new StringReader(text));
-      // Else an unquoted word passes for text, and NaN for a number.
+      // The lenient mode accepts unquoted words as strings and NaN as a number.
       reader.setStrictness(Strictness.STRICT);
       JsonObject json = JsonParser.parseReader(reader).getAsJsonObject();
       if (reader.peek() != JsonToken.END_DOCUMENT) {
-        throw new ConfigException("the configuration " + path + " goes on after its end");
+        throw new ConfigException(
+            "the configuration " + path + " has further content after the JSON object");
       }
-      return parse(env, json, again);
+      return parse(env, json, isReload);
     } catch (JsonParseException
         | IOException
         | IllegalStateException
@@ -133,16 +156,16 @@
     }
   }
 
-  private static Config parse(Map<String, String> env, JsonObject json, boolean again)
+  private static Config parse(Map<String, String> env, JsonObject json, boolean isReload)
       throws ConfigException {
     if (!json.has("settings")) {
       throw new ConfigException("the configuration has no 'settings'");
     }
     Map<String, String> flat = new LinkedHashMap<>();
     flatten("", json.get("settings"), flat);
-    // On sockets no line tells of delay, whatever the settings say of the simulator's wire.
+    // Stream hosts do not report delay on sockets; the setting concerns the simulator's protocol.
     flat.put("extra.tells-delay", "false");
-    RequiredKeys shape = RequiredKeys.of(json);
+    RequiredKeys requiredKeys = RequiredKeys.of(json);
     Balancer.Settings settings = SettingsReader.read(flat);
     TargetList known =
         json.has("known") && json.get("known").isJsonObject()
@@ -157,7 +180,7 @@
         address(
             "discovery",
             requiredValue(
-                again && json.has("discovery") ? Map.of() : env,
+                isReload && json.has("discovery") ? Map.of() : env,
                 "LB_DISCOVERY",
                 json,
                 "discovery")),
@@ -168,7 +191,7 @@
         reportFields(flat),
         micros(flat, "allowed.dial-timeout", 200_000),
         micros(flat, "allowed.keepalive", 5_000_000),
-        shape);
+        requiredKeys);
   }
 
   private static String requiredValue(
@@ -210,11 +233,11 @@
     return value.isBlank() ? null : address("management", value);
   }
 
-  private static InetSocketAddress address(String what, String text) throws ConfigException {
+  private static InetSocketAddress address(String key, String text) throws ConfigException {
     try {
       return TargetList.address(text);
     } catch (IllegalArgumentException e) {
-      throw new ConfigException("'" + what + "' is no address:port: " + text);
+      throw new ConfigException("'" + key + "' is not an address:port: " + text);
     }
   }
 
@@ -227,9 +250,9 @@
     }
   }
 
-  private static long micros(Map<String, String> flat, String key, long absent) {
+  private static long micros(Map<String, String> flat, String key, long defaultMicros) {
     String value = flat.get(key);
-    return value == null ? absent : (long) Double.parseDouble(value);
+    return value == null ? defaultMicros : (long) Double.parseDouble(value);
   }
 
   private static List<String> reportFields(Map<String, String> flat) {
@@ -237,7 +260,9 @@
     return fields.isEmpty() ? List.of() : List.of(fields.split(","));
   }
 
-  /** The nested settings as path=value pairs, in the form that an ATTACH line has. */
+  /**
+   * Flattens the nested settings into path=value pairs, the form of the simulator's ATTACH line.
+   */
   private static void flatten(String path, JsonElement element, Map<String, String> into) {
     if (element.isJsonObject()) {
       for (Map.Entry<String, JsonElement> entry : element.getAsJsonObject().entrySet()) {
--- a/src/main/java/brassbank/config/ConfigException.java
+++ b/src/main/java/brassbank/config/ConfigException.java
@@ -1,6 +1,6 @@
 package brassbank.config;
 
-/** A configuration that cannot be used; the message says plainly what is wrong with it. */
+/** Thrown when a configuration cannot be used; the message says what is wrong with it. */
 public final class ConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brassbank/config/RequiredKeys.java
+++ b/src/main/java/brassbank/config/RequiredKeys.java
@@ -11,21 +11,26 @@
 import java.util.TreeSet;
 
 /**
- * What a configuration must have, whatever its values mean: the keys of the one before it, and
- * numbers where a deadline or a number of attempts stands.
+ * The keys of a configuration, which a configuration that replaces it must also have. This detects
+ * a file that was read while it was being written. Creating an instance also checks that deadlines
+ * and numbers of attempts are valid numbers.
  *
- * @param keys the paths of all keys; those of a list's entries are the ones that all of them have
+ * @param keys the paths of all keys; for a list, the keys that all of its entries have
  */
 record RequiredKeys(Set<String> keys) {
-  /** The last list may be old or left out: discovery tells it anew. */
+  /** The known targets may be outdated or missing: discovery reports them again. */
   private static final String KNOWN_TARGETS = "known";
 
-  /** Microseconds; no client waits for more than eleven days. */
+  /** About 31 years: longer than any deadline of a client. */
   private static final BigDecimal MAX_DEADLINE_MICROS = BigDecimal.valueOf(1_000_000_000_000_000L);
 
-  private static final BigDecimal MOST_ATTEMPTS = BigDecimal.valueOf(1_000_000);
+  private static final BigDecimal MAX_ATTEMPTS = BigDecimal.valueOf(1_000_000);
 
-  /** The shape of a configuration; throws where a number is none. */
+  /**
+   * Returns the keys of a configuration.
+   *
+   * @throws ConfigException if a deadline or a number of attempts is no positive whole number
+   */
   static RequiredKeys of(JsonObject json) throws ConfigException {
     JsonElement settings = json.get("settings");
     if (settings instanceof JsonObject object) {
@@ -39,7 +44,7 @@
 
   private static void checkNumbers(JsonObject settings) throws ConfigException {
     if (settings.get("allowed") instanceof JsonObject allowed) {
-      requirePositiveWhole("settings.allowed.send-cap", allowed.get("send-cap"), MOST_ATTEMPTS);
+      requirePositiveWhole("settings.allowed.send-cap", allowed.get("send-cap"), MAX_ATTEMPTS);
     }
     if (settings.get("profiles") instanceof JsonArray profiles) {
       for (int i = 0; i < profiles.size(); i++) {
@@ -50,27 +55,31 @@
     }
   }
 
-  /** A missing one is told by whoever reads it; text that looks like a number is none. */
-  private static void requirePositiveWhole(String key, JsonElement value, BigDecimal most)
+  /**
+   * Checks a number that is present; a missing one is reported where it is read. A string that
+   * looks like a number is rejected.
+   */
+  private static void requirePositiveWhole(String key, JsonElement value, BigDecimal max)
       throws ConfigException {
     if (value == null) {
       return;
     }
-    boolean good = false;
+    boolean isValid = false;
     if (value instanceof JsonPrimitive primitive && primitive.isNumber()) {
       try {
         BigDecimal number = primitive.getAsBigDecimal();
-        // In this order: an exponent of a billion must not be written out.
-        good =
+        // The range is checked first: stripping the zeros of a number with an exponent of a billion
+        // would expand it.
+        isValid =
             number.signum() > 0
-                && number.compareTo(most) <= 0
+                && number.compareTo(max) <= 0
                 && number.stripTrailingZeros().scale() <= 0;
       } catch (NumberFormatException e) {
-        good = false;
+        isValid = false;
       }
     }
-    if (!good) {
-      throw new ConfigException("'" + key + "' is no whole number above 0: " + value);
+    if (!isValid) {
+      throw new ConfigException("'" + key + "' is not a valid whole number above 0: " + value);
     }
   }
 
@@ -99,10 +108,8 @@
   }
 
   /**
-   * Compares with what is to follow.
-   *
-   * @return a key that this configuration has and the next one lacks, or null. An empty list has
-   *     lost its entries, and not their keys
+   * Returns a key that this configuration has and the next one lacks, or null. The keys of the
+   * entries of a list are not required of a list that has become empty.
    */
   String missingIn(RequiredKeys next) {
     for (String key : keys) {
--- a/src/main/java/brassbank/config/file/Addresses.java
+++ b/src/main/java/brassbank/config/file/Addresses.java
@@ -7,7 +7,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Addresses with their ports, as a file has them; they have no order. */
+/** A list of addresses with ports. The comparison, which bounds checks need, uses the size only. */
 record Addresses(List<InetSocketAddress> all) implements Comparable<Addresses> {
   private static final Pattern PATTERN =
       Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}|\\[[0-9a-fA-F:.]{2,45}\\]):(\\d{1,5})");
@@ -18,8 +18,12 @@
     all = List.copyOf(all);
   }
 
-  /** Throws IllegalArgumentException where it is none; a name is none. */
-  static InetSocketAddress single(String text) {
+  /**
+   * Parses an address with its port; host names are not accepted.
+   *
+   * @throws IllegalArgumentException if the text has another form
+   */
+  static InetSocketAddress parse(String text) {
     Matcher parts = PATTERN.matcher(text);
     if (!parts.matches()) {
       throw new IllegalArgumentException();
@@ -35,7 +39,7 @@
     }
   }
 
-  /** The one that there is. */
+  /** Returns the only address of a list with one. */
   InetSocketAddress single() {
     return all.get(0);
   }
--- a/src/main/java/brassbank/config/file/Key.java
+++ b/src/main/java/brassbank/config/file/Key.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /**
- * One key that a file may have.
+ * The declaration of a key of the file.
  *
- * @param path the tables it stands in and its own name; {@code *} stands for a name that the file
- *     gives, such as a practice's
- * @param defaultValue the value where the file has no such key; null where another key then holds
- * @param description what it does, in sentences, for the reference
+ * @param path the names of the enclosing tables and of the key; {@code *} matches any name, such as
+ *     that of a practice
+ * @param type the type, unit and bounds of the value
+ * @param defaultValue the value if the file does not have the key; null for none
+ * @param description the description for the reference, in sentences
  */
 record Key<T extends Comparable<T>>(
     List<String> path, ValueType<T> type, T defaultValue, String description) {
@@ -22,12 +23,12 @@
     return String.join(".", path.subList(0, path.size() - 1));
   }
 
-  /** Whether a file's key is this one. */
+  /** Returns whether a path of the file denotes this key. */
   boolean matches(List<String> given) {
     return given.size() == path.size() && matchesPrefix(given);
   }
 
-  /** Whether a file's table is one that leads to this key. */
+  /** Returns whether a table of the file is an ancestor of this key. */
   boolean hasParentTable(List<String> table) {
     return table.size() < path.size() && matchesPrefix(table);
   }
--- a/src/main/java/brassbank/config/file/Keys.java
+++ b/src/main/java/brassbank/config/file/Keys.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Every key that a file may have, with its default, its unit and its bounds: the only place that
- * says so. docs/configuration.md is made from it.
+ * Declares every key of the file with its default, unit and bounds. docs/configuration.md is
+ * generated from these declarations.
  */
 final class Keys {
   private static final long KIB = 1L << 10;
@@ -24,14 +24,14 @@
 
   private Keys() {}
 
-  // The order here is that of the reference.
+  // The reference lists tables and keys in the order of these declarations.
 
   static {
     table(
         "relay",
-        "How standing sessions are passed on, and what slow peers may cost. A peer that does not"
-            + " read makes bytes wait in the proxy; one that begins a line and does not finish it"
-            + " keeps its session between two lines. docs/relay.md says how to choose.");
+        "How established sessions are relayed, and the limits on slow peers. The proxy queues bytes"
+            + " for a peer that does not read; a peer that begins a line and does not finish it"
+            + " keeps its session in the middle of that line. docs/relay.md says how to choose.");
   }
 
   static final Key<Long> TURN =
@@ -39,26 +39,26 @@
           "relay.turn",
           ValueType.size(KIB, 16 * MIB),
           64 * KIB,
-          "The most bytes that are taken from one peer before others have their turn.");
+          "The most bytes that are read from one peer before other peers are read.");
 
   static final Key<Long> BUDGET =
       key(
           "relay.budget",
           ValueType.size(64 * KIB, 64 * GIB),
           16 * MIB,
-          "The most bytes that may wait for all slow peers together. Above it the worst offenders"
-              + " are ended at once, until the rest is within it.");
+          "The most bytes that may be queued for all slow peers together. Above it the sessions"
+              + " with the most severe backlogs are ended at once, until the rest is within it.");
 
   static final Key<Long> PRACTICE_BUDGET =
       key(
           "relay.practice-budget",
           ValueType.size(16 * KIB, 64 * GIB),
           4 * MIB,
-          "The same for the slow peers of each practice, so that one practice cannot use up what"
-              + " all share.");
+          "The same for the slow peers of each practice, so that one practice cannot use up the"
+              + " whole budget.");
 
   static {
-    table("relay.practice.*", "Figures of one practice, by its name in the settings.");
+    table("relay.practice.*", "Limits of one practice, by its name in the settings.");
   }
 
   static final Key<Long> SINGLE_PRACTICE_BUDGET =
@@ -66,10 +66,10 @@
           "relay.practice.*.budget",
           ValueType.size(16 * KIB, 64 * GIB),
           null,
-          "In place of `relay.practice-budget` for this practice.");
+          "Replaces `relay.practice-budget` for this practice.");
 
   static {
-    table("relay.client", "What a client may do.");
+    table("relay.client", "The limits of a client.");
   }
 
   static final Side CLIENT = new Side("relay.client", "client", "host");
@@ -79,11 +79,11 @@
           "relay.client.farewell",
           ValueType.time(100 * MILLI, 60 * SECOND),
           2 * SECOND,
-          "How long a slow client that is sent `MOVE` may take to read up to it. Then its"
-              + " connection is reset, and its memory and its descriptor are free.");
+          "How long a slow client to which `MOVE` is sent may take to read up to it. After that its"
+              + " connection is reset, which frees its memory and its descriptor.");
 
   static {
-    table("relay.target", "What a stream host may do with one session.");
+    table("relay.target", "The limits of a stream host in one session.");
   }
 
   static final Side TARGET = new Side("relay.target", "host", "client");
@@ -91,8 +91,8 @@
   static {
     table(
         "membership",
-        "The fleet that this proxy is in, off where the table is not there. docs/membership.md says"
-            + " how to switch it on and what it tells.");
+        "The fleet of which this proxy is a member; off without this table. docs/membership.md says"
+            + " how to enable it and what it reports.");
   }
 
   static final Key<String> FLEET =
@@ -100,53 +100,53 @@
           "membership.fleet",
           ValueType.name(),
           null,
-          "The fleet's name; what comes from another one is dropped.");
+          "The fleet's name; datagrams of other fleets are dropped.");
 
   static final Key<Addresses> LISTEN =
       key(
           "membership.listen",
           ValueType.address(),
           null,
-          "Where datagrams are taken (UDP); the address and port that clients come to if it is not"
-              + " given.");
+          "The UDP address on which datagrams are received; by default the address and port for"
+              + " clients.");
 
   static final Key<Addresses> ADVERTISE =
       key(
           "membership.advertise",
           ValueType.address(),
           null,
-          "Where the others meet this proxy, where that is not `listen`.");
+          "The address at which other members reach this proxy, if it is not `listen`.");
 
   static final Key<Addresses> SEEDS =
       key(
           "membership.seeds",
           ValueType.addresses(),
           new Addresses(List.of()),
-          "Where others may be, some of the fleet; the proxy's own among them does no harm. SIGHUP"
-              + " reads it again, and nothing else of this table.");
+          "Addresses of some members of the fleet; the proxy's own may be among them. SIGHUP reads"
+              + " this key again, and no other key of this table.");
 
   static final Key<Long> SUSPICION =
       key(
           "membership.suspicion",
           ValueType.time(500 * MILLI, 60 * SECOND),
           SECOND,
-          "How long a silent member has at least to be heard of, in a fleet of up to ten; it grows"
-              + " with the logarithm of the size. Less finds deaths sooner and takes stops for"
-              + " them.");
+          "The shortest time after which a silent member is declared failed, in a fleet of up to"
+              + " ten; it grows with the logarithm of the size. A smaller value detects failed"
+              + " members sooner and mistakes more pauses for failures.");
 
   static final Key<Long> FORGET =
       key(
           "membership.forget",
           ValueType.time(60 * SECOND, 24 * HOUR),
           HOUR,
-          "For how long the dead and those that left are remembered, and asked whether they are"
+          "For how long members that failed or left are remembered and probed in case they are"
               + " back.");
 
   static {
     table(
         "shares",
-        "Budgets of the fleet divided by who is there, off where the table is not there; it needs"
-            + " [membership]. docs/shares.md says what it costs and brings.");
+        "Division of the fleet's budgets among the live members; off without this table, needs"
+            + " [membership]. docs/shares.md describes the costs and benefits.");
   }
 
   static final Key<Double> BASE_FRACTION =
@@ -154,15 +154,16 @@
           "shares.base",
           ValueType.fraction(0.05),
           null,
-          "The part of each budget that goes by the numbers of the platform's file, whoever is"
-              + " there; the rest is shared by who is. With 1.0 all goes by the file. It must be"
-              + " the same in all files of a fleet.");
+          "The fraction of each budget that is divided by the numbers of the platform's file,"
+              + " independent of the live members; the rest is divided among the live members. With"
+              + " 1.0 everything is divided by the file. It must be the same in all files of a"
+              + " fleet.");
 
   static {
     table(
         "subsets",
-        "Each proxy asks a part of the hosts, off where the table is not there; it needs"
-            + " [membership]. docs/subsets.md says what it costs and brings.");
+        "Each proxy uses a subset of the hosts; off without this table, needs [membership]."
+            + " docs/subsets.md describes the costs and benefits.");
   }
 
   static final Key<Long> MIN_ASKERS =
@@ -170,8 +171,8 @@
           "subsets.askers",
           ValueType.count(1, 1_000),
           null,
-          "How many proxies ask a host at least; more do where a proxy would have fewer than eight"
-              + " hosts otherwise. It must be the same in all files of a fleet.");
+          "The minimum number of proxies that use a host; more do where a proxy would otherwise"
+              + " have fewer than eight hosts. It must be the same in all files of a fleet.");
 
   /** The keys that both sides of a session have. */
   static final class Side {
@@ -188,9 +189,9 @@
               table + ".waiting",
               ValueType.size(4 * KIB, 16 * MIB),
               64 * KIB,
-              "The most bytes that wait for one "
+              "The most bytes that may be queued for one "
                   + peer
-                  + ". While so many do, its "
+                  + ". While that many are, its "
                   + other
                   + " is not read.");
       kernelBuffer =
@@ -198,49 +199,49 @@
               table + ".kernel-buffer",
               ValueType.size(4 * KIB, 16 * MIB),
               32 * KIB,
-              "What the kernel may keep for one "
+              "The size of the kernel's send buffer for one "
                   + peer
-                  + " beside that (`SO_SNDBUF`). It counts to"
-                  + " no budget, and a slow peer is seen only once it is full.");
+                  + " (`SO_SNDBUF`), in addition to that. It does not count to"
+                  + " a budget, and a slow peer is detected only once it is full.");
       age =
           key(
               table + ".age",
               ValueType.time(500 * MILLI, HOUR),
               60 * SECOND,
-              "The longest that a byte may wait for a " + peer + ".");
+              "The longest time for which a byte may be queued for a " + peer + ".");
       rate =
           key(
               table + ".rate",
               ValueType.rate(0, 100 * MIB),
               2 * KIB,
-              "The least that a "
+              "The minimum rate at which a "
                   + peer
-                  + " must read while bytes wait for it all the time; `0 B/s`"
-                  + " asks for nothing.");
+                  + " must read while bytes are queued for it without a break; `0 B/s`"
+                  + " for no minimum.");
       window =
           key(
               table + ".window",
               ValueType.time(500 * MILLI, HOUR),
               20 * SECOND,
-              "The span over which `rate` is measured. A "
+              "The time over which `rate` is measured. A "
                   + peer
-                  + " that stops for less is in no"
-                  + " danger.");
+                  + " that pauses for less is not"
+                  + " disconnected for its rate.");
       line =
           key(
               table + ".line",
               ValueType.time(500 * MILLI, HOUR),
               30 * SECOND,
-              "The longest that a " + peer + " may take for a line that it has begun.");
+              "The longest time that a " + peer + " may take to finish a line that it has begun.");
     }
   }
 
-  /** All of them, in the order of the reference. */
+  /** Returns all keys, in the order of the reference. */
   static List<Key<?>> all() {
     return Collections.unmodifiableList(KEYS);
   }
 
-  /** What each table is for. */
+  /** Returns the descriptions of the tables by their names. */
   static Map<String, String> tables() {
     return Collections.unmodifiableMap(TABLE_DESCRIPTIONS);
   }
@@ -250,8 +251,8 @@
   }
 
   private static <T extends Comparable<T>> Key<T> key(
-      String name, ValueType<T> kind, T absent, String text) {
-    Key<T> key = new Key<>(Arrays.asList(name.split("\\.")), kind, absent, text);
+      String name, ValueType<T> type, T defaultValue, String description) {
+    Key<T> key = new Key<>(Arrays.asList(name.split("\\.")), type, defaultValue, description);
     KEYS.add(key);
     return key;
   }
--- a/src/main/java/brassbank/config/file/Options.java
+++ b/src/main/java/brassbank/config/file/Options.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 
 /**
- * What a good file says.
+ * The values of a valid file.
  *
- * @param relay how sessions are passed on, and what slow peers may cost
- * @param joining how the proxy becomes a member of its fleet; null for none
+ * @param relay the limits on relayed sessions and slow peers
+ * @param joining how the proxy joins its fleet; null without membership
  */
 public record Options(RelayLimits relay, Joining joining) {
-  /** Who is told of values that are good by themselves and bad together. */
+  /** Receives problems of values that are valid on their own and contradict each other. */
   interface Problems {
     void report(int line, String text);
   }
@@ -27,11 +27,13 @@
     int line = values.line(Keys.LISTEN, Keys.ADVERTISE, Keys.SEEDS, Keys.SUSPICION, Keys.FORGET);
     if (fleet == null && values.get(Keys.BASE_FRACTION) != null) {
       problems.report(
-          values.line(Keys.BASE_FRACTION), "shares needs [membership]: who is there tells that");
+          values.line(Keys.BASE_FRACTION),
+          "shares needs [membership], which provides the number of live members");
     }
     if (fleet == null && values.get(Keys.MIN_ASKERS) != null) {
       problems.report(
-          values.line(Keys.MIN_ASKERS), "subsets needs [membership]: who is there tells that");
+          values.line(Keys.MIN_ASKERS),
+          "subsets needs [membership], which provides the number of live members");
     }
     if (fleet == null) {
       if (line > 0) {
@@ -81,9 +83,9 @@
     long kernelBuffer = values.get(keys.kernelBuffer);
     long window = values.get(keys.window);
     long rate = values.get(keys.rate);
-    // A peer's backlog stops growing once it is full, which one more turn may overshoot.
-    long most = waiting + values.get(Keys.TURN);
-    if (most > values.get(Keys.PRACTICE_BUDGET)) {
+    // A full queue stops the reading of the other side, after at most one more read quota.
+    long maxQueued = waiting + values.get(Keys.TURN);
+    if (maxQueued > values.get(Keys.PRACTICE_BUDGET)) {
       problems.report(
           values.line(keys.waiting, Keys.TURN, Keys.PRACTICE_BUDGET),
           keys.waiting.name() + " and relay.turn together must not be above relay.practice-budget");
@@ -92,7 +94,7 @@
         .byName(Keys.SINGLE_PRACTICE_BUDGET)
         .forEach(
             (practice, budget) -> {
-              if (most > budget) {
+              if (maxQueued > budget) {
                 problems.report(
                     values.line(keys.waiting, Keys.TURN),
                     String.format(
@@ -100,8 +102,8 @@
                         keys.waiting.name(), practice));
               }
             });
-    // The kernel takes bytes in pieces of about that size: between two of them even a peer that
-    // reads at the least rate would seem to stand still.
+    // The kernel accepts further bytes in pieces of about the size of its buffer. With a shorter
+    // window, a peer that reads at the minimum rate would seem to stop between two pieces.
     if (rate > 0 && rate * (window / 1e6) < kernelBuffer) {
       problems.report(
           values.line(keys.rate, keys.window, keys.kernelBuffer),
--- a/src/main/java/brassbank/config/file/OptionsFile.java
+++ b/src/main/java/brassbank/config/file/OptionsFile.java
@@ -17,15 +17,15 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlTable;
 
-/** Reads a file, and finds all that is wrong with it. */
+/** Reads a file and reports all its problems at once. */
 public final class OptionsFile {
-  /** A file of options is some lines; a larger one is another file, named by mistake. */
+  /** A larger file is assumed to be another file, named by mistake. */
   private static final long MAX_FILE_BYTES = 1 << 20;
 
-  /** Lines that cannot be read at all: after so many, it is no file of this kind. */
+  /** After this many lines with syntax errors the file is assumed to be of another kind. */
   private static final int MAX_SYNTAX_ERRORS = 50;
 
-  /** How many letters may differ for a key to be suggested. */
+  /** The greatest edit distance at which a key is suggested for an unknown one. */
   private static final int MAX_SUGGESTION_DISTANCE = 3;
 
   private final String name;
@@ -37,21 +37,21 @@
   }
 
   /**
-   * What a file says.
+   * The result of reading a file.
    *
-   * @param options what it says, where nothing is wrong with it
-   * @param problems all that is wrong, by line
+   * @param options the values, if there is no problem
+   * @param problems all problems, ordered by line
    */
   public record Result(Optional<Options> options, List<Problem> problems) {}
 
-  /** Reads the file. It never throws: a file that cannot be read is a problem like any other. */
+  /** Reads a file. A file that cannot be read is reported as a problem, not by an exception. */
   public static Result read(Path path) {
     OptionsFile file = new OptionsFile(path.toString());
     String text = file.text(path);
     return text == null ? file.result() : file.parse(text);
   }
 
-  /** Takes the text for that of a file with this name. */
+  /** Parses a text; the name stands for the file in the problems. */
   static Result parse(String name, String text) {
     return new OptionsFile(name).parse(text);
   }
@@ -77,20 +77,21 @@
     TomlParseResult toml = Toml.parse(text);
     List<String> lines = new ArrayList<>(text.lines().toList());
     boolean complete = true;
-    // The library stops at the first line that it cannot read: without that line it finds the next.
+    // The library stops at the first syntax error. Removing the faulty line and parsing again finds
+    // the next one.
     while (toml.hasErrors() && complete && problems.size() < MAX_SYNTAX_ERRORS) {
-      boolean found = false;
+      boolean removed = false;
       for (TomlParseError error : toml.errors()) {
         int line = error.position().line();
         problem(line, error.getMessage());
         if (line <= lines.size() && !lines.get(line - 1).isEmpty()) {
-          found = true;
-          // Without a table's head its keys would be told as another table's.
+          removed = true;
+          // Without the header of a table, its keys would be reported as keys of another table.
           complete &= !lines.get(line - 1).stripLeading().startsWith("[");
           lines.set(line - 1, "");
         }
       }
-      complete &= found;
+      complete &= removed;
       toml = Toml.parse(String.join("\n", lines));
     }
     if (!toml.hasErrors() && complete) {
@@ -138,7 +139,7 @@
     }
   }
 
-  /** What is below an unknown table is told with the table. */
+  /** Returns whether a key is in an unknown table; only the table is reported then. */
   private static boolean isBelowUnknown(List<String> path) {
     List<String> table = path.subList(0, path.size() - 1);
     return !table.isEmpty() && Keys.all().stream().noneMatch(key -> key.hasParentTable(table));
@@ -154,7 +155,7 @@
         .orElse("");
   }
 
-  /** Letters to change, add or leave out (V. Levenshtein, 1965), row by row. */
+  /** Returns the Levenshtein distance of two strings, computed row by row. */
   private static int editDistance(String one, String other) {
     int[] row = new int[other.length() + 1];
     for (int j = 0; j < row.length; j++) {
--- a/src/main/java/brassbank/config/file/Problem.java
+++ b/src/main/java/brassbank/config/file/Problem.java
@@ -1,9 +1,11 @@
 package brassbank.config.file;
 
 /**
- * One thing that is wrong with a file.
+ * A problem found in a file.
  *
- * @param line counted from 1; 0 where it concerns the file as a whole
+ * @param file the name of the file
+ * @param line the line, counted from 1; 0 if the problem concerns the whole file
+ * @param text what is wrong, without the file and the line
  */
 public record Problem(String file, int line, String text) {
   @Override
--- a/src/main/java/brassbank/config/file/ValueType.java
+++ b/src/main/java/brassbank/config/file/ValueType.java
@@ -10,13 +10,13 @@
 import java.util.regex.Pattern;
 
 /**
- * What a key's value is: how it is written, what it must be between, and how it is read. Quantities
- * are written with their unit, so that nobody has to know which one a key counts in.
+ * The type of a key's value: its notation, its bounds and its conversion. Quantities are written
+ * with a unit, so that the unit of a key need not be looked up.
  *
- * @param <T> what the program gets
+ * @param <T> the type of the converted value
  */
 abstract class ValueType<T extends Comparable<T>> {
-  /** A unit as it is written, and how many of the base unit it is. */
+  /** A unit and its size in the base unit (bytes, microseconds, bytes per second). */
   private record Unit(String name, long factor) {}
 
   private static final List<Unit> SIZES =
@@ -41,23 +41,29 @@
   private final T min;
   private final T max;
 
-  private ValueType(T least, T most) {
-    this.min = least;
-    this.max = most;
+  private ValueType(T min, T max) {
+    this.min = min;
+    this.max = max;
   }
 
-  /** What a value must look like, with an example. */
+  /** Describes the notation of a value, with an example. */
   abstract String expectedForm();
 
   /**
-   * The value as the program takes it; throws IllegalArgumentException where it has no such form.
+   * Converts a value of the TOML library.
+   *
+   * @throws IllegalArgumentException if it does not have the expected form
    */
   abstract T parse(Object toml);
 
-  /** The value as a file has it. */
+  /** Returns the value in the notation of the file. */
   abstract String format(T value);
 
-  /** Reads and checks a value; throws IllegalArgumentException with what it must be. */
+  /**
+   * Converts a value and checks its bounds.
+   *
+   * @throws IllegalArgumentException with a message that says what the value must be
+   */
   final T read(Object toml) {
     T value;
     try {
@@ -72,12 +78,12 @@
     return value;
   }
 
-  /** What it may be between, as a file has it. */
+  /** Returns the bounds in the notation of the file, or the expected form if there are none. */
   final String range() {
     return min == null ? expectedForm() : format(min) + " to " + format(max);
   }
 
-  /** A name of visible ASCII, as it is told to others. */
+  /** A name of visible ASCII characters, as sent to other members. */
   static ValueType<String> name() {
     return new ValueType<>(null, null) {
       @Override
@@ -100,12 +106,12 @@
     };
   }
 
-  /** A part of a whole, from the least on. */
-  static ValueType<Double> fraction(double least) {
-    return new ValueType<>(least, 1.0) {
+  /** A fraction from the minimum to 1. */
+  static ValueType<Double> fraction(double min) {
+    return new ValueType<>(min, 1.0) {
       @Override
       String expectedForm() {
-        return "a number from " + least + " to 1.0";
+        return "a number from " + min + " to 1.0";
       }
 
       @Override
@@ -113,10 +119,10 @@
         if (toml instanceof Long whole) {
           return whole.doubleValue();
         }
-        if (!(toml instanceof Double part) || part.isNaN()) {
+        if (!(toml instanceof Double fraction) || fraction.isNaN()) {
           throw new IllegalArgumentException();
         }
-        return part;
+        return fraction;
       }
 
       @Override
@@ -127,8 +133,8 @@
   }
 
   /** A whole number. */
-  static ValueType<Long> count(long least, long most) {
-    return new ValueType<>(least, most) {
+  static ValueType<Long> count(long min, long max) {
+    return new ValueType<>(min, max) {
       @Override
       String expectedForm() {
         return "a whole number";
@@ -149,14 +155,14 @@
     };
   }
 
-  /** One address with its port; no name is looked up. */
+  /** An address with its port; host names are not accepted. */
   static ValueType<Addresses> address() {
     return addresses(
         "an address such as \"10.0.0.7:7075\"",
-        toml -> toml instanceof String text ? List.of(Addresses.single(text)) : null);
+        toml -> toml instanceof String text ? List.of(Addresses.parse(text)) : null);
   }
 
-  /** Some of them. */
+  /** A list of addresses with their ports. */
   static ValueType<Addresses> addresses() {
     return addresses(
         "a list of at most 64 addresses such as [\"10.0.0.7:7075\"]",
@@ -166,7 +172,7 @@
           }
           List<InetSocketAddress> read = new ArrayList<>();
           for (Object one : all) {
-            read.add(Addresses.single(String.valueOf(one)));
+            read.add(Addresses.parse(String.valueOf(one)));
           }
           return read;
         });
@@ -196,23 +202,23 @@
     };
   }
 
-  /** Bytes: a whole number and its unit. */
-  static ValueType<Long> size(long least, long most) {
-    return quantity("a size such as \"64 KiB\" (B, KiB, MiB, GiB)", SIZES, least, most);
+  /** A number of bytes: a whole number and a unit. */
+  static ValueType<Long> size(long minBytes, long maxBytes) {
+    return quantity("a size such as \"64 KiB\" (B, KiB, MiB, GiB)", SIZES, minBytes, maxBytes);
   }
 
-  /** Microseconds: a whole number and its unit, from milliseconds up. */
-  static ValueType<Long> time(long leastMicros, long mostMicros) {
-    return quantity("a time such as \"10 s\" (ms, s, min, h)", TIMES, leastMicros, mostMicros);
+  /** A time in microseconds: a whole number and a unit, milliseconds or longer. */
+  static ValueType<Long> time(long minMicros, long maxMicros) {
+    return quantity("a time such as \"10 s\" (ms, s, min, h)", TIMES, minMicros, maxMicros);
   }
 
-  /** Bytes a second: a whole number and its unit. */
-  static ValueType<Long> rate(long least, long most) {
-    return quantity("a rate such as \"1 KiB/s\" (B/s, KiB/s, MiB/s)", RATES, least, most);
+  /** A rate in bytes per second: a whole number and a unit. */
+  static ValueType<Long> rate(long min, long max) {
+    return quantity("a rate such as \"1 KiB/s\" (B/s, KiB/s, MiB/s)", RATES, min, max);
   }
 
-  private static ValueType<Long> quantity(String form, List<Unit> units, long least, long most) {
-    return new ValueType<>(least, most) {
+  private static ValueType<Long> quantity(String form, List<Unit> units, long min, long max) {
+    return new ValueType<>(min, max) {
       @Override
       String expectedForm() {
         return form;
@@ -227,7 +233,7 @@
         for (Unit unit : units) {
           if (unit.name.equals(parts.group(2))) {
             long count = Long.parseLong(parts.group(1));
-            // Whatever is beyond 2^62 is beyond every bound too.
+            // Saturates at 2^62, which exceeds every bound.
             return count > (1L << 62) / unit.factor ? 1L << 62 : count * unit.factor;
           }
         }
--- a/src/main/java/brassbank/config/file/Values.java
+++ b/src/main/java/brassbank/config/file/Values.java
@@ -4,43 +4,43 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a file says, each value checked by itself; and at which line. */
+/** The values of a file, each checked on its own, with their lines. */
 final class Values {
-  private record Given(Object value, int line) {}
+  private record Entry(Object value, int line) {}
 
-  private final Map<List<String>, Given> given = new LinkedHashMap<>();
+  private final Map<List<String>, Entry> entries = new LinkedHashMap<>();
 
   void put(List<String> path, Object value, int line) {
-    given.put(path, new Given(value, line));
+    entries.put(path, new Entry(value, line));
   }
 
-  /** The value of a key without names of the file's in it, or its default. */
-  @SuppressWarnings("unchecked") // A key's value went through the key's own kind.
+  /** Returns the value of a key whose path has no {@code *}, or the default. */
+  @SuppressWarnings("unchecked") // The value was parsed by the type of the key.
   <T extends Comparable<T>> T get(Key<T> key) {
-    Given found = given.get(key.path());
-    return found == null ? key.defaultValue() : (T) found.value();
+    Entry entry = entries.get(key.path());
+    return entry == null ? key.defaultValue() : (T) entry.value();
   }
 
-  /** The values that the file gives for a key with one name in it, by that name. */
+  /** Returns the values of a key whose path has one {@code *}, by the name in its place. */
   @SuppressWarnings("unchecked") // As above.
   <T extends Comparable<T>> Map<String, T> byName(Key<T> key) {
     int at = key.path().indexOf(Key.ANY_NAME);
     Map<String, T> values = new LinkedHashMap<>();
-    given.forEach(
-        (path, found) -> {
+    entries.forEach(
+        (path, entry) -> {
           if (key.matches(path)) {
-            values.put(path.get(at), (T) found.value());
+            values.put(path.get(at), (T) entry.value());
           }
         });
     return values;
   }
 
-  /** The line of the last of these keys that the file has, 0 where it has none. */
+  /** Returns the greatest line number of these keys in the file; 0 if the file has none of them. */
   int line(Key<?>... keys) {
     int line = 0;
     for (Key<?> key : keys) {
-      Given found = given.get(key.path());
-      line = Math.max(line, found == null ? 0 : found.line());
+      Entry entry = entries.get(key.path());
+      line = Math.max(line, entry == null ? 0 : entry.line());
     }
     return line;
   }
--- a/src/main/java/brassbank/config/package-info.java
+++ b/src/main/java/brassbank/config/package-info.java
@@ -1,2 +1,2 @@
-/** What the proxy is told: the LB_ variables and the JSON configuration. */
+/** The configuration of the proxy: the {@code LB_} environment variables and the JSON file. */
 package brassbank.config;
--- a/src/main/java/brassbank/log/Console.java
+++ b/src/main/java/brassbank/log/Console.java
@@ -9,10 +9,10 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes a line for each event to a stream, within the budget of each second. Libraries' lines
- * reach it as a handler of the runtime's logging; the program's own do not pass through that, since
- * it drops its handlers as soon as SIGTERM comes, when the planned stop has most to tell. Any
- * thread may call; a line is one write.
+ * Writes events to a stream, one line each, up to a limit per second. The lines of libraries arrive
+ * through {@code java.util.logging}, as whose handler it is installed. The program's own events do
+ * not pass through {@code java.util.logging}, which removes its handlers on SIGTERM, before the
+ * proxy has logged its planned shutdown. Thread-safe; each line is a single write.
  */
 public final class Console extends Handler implements Sink {
   private final PrintStream out;
@@ -21,7 +21,7 @@
   private final LineRateLimiter rateLimiter = new LineRateLimiter();
 
   /**
-   * @param clock what the lines' times and the seconds of the budget are taken from
+   * @param clock provides the time of each line and of the limit per second
    */
   public Console(PrintStream out, Format format, Clock clock) {
     this.out = out;
@@ -32,7 +32,7 @@
   @Override
   public synchronized void accept(Event event) {
     if (rateLimiter.startSecond(TimeUnit.NANOSECONDS.toSeconds(clock.nanos()))) {
-      // Counts as a line of the new second; the first one always has room.
+      // Counts as the first line of the new second, which is always within the limit.
       rateLimiter.tryAcquire(Level.WARN);
       write(new Event(Level.WARN, "log", "lines-left-out", rateLimiter.takeOmittedCounts(), null));
     }
@@ -48,7 +48,7 @@
     out.flush();
   }
 
-  /** A library's own line becomes an event. */
+  /** Writes a line of a library as an event. */
   @Override
   public void publish(LogRecord record) {
     if (isLoggable(record)) {
@@ -69,7 +69,7 @@
     out.flush();
   }
 
-  /** The stream is not this object's to close. */
+  /** Does nothing: the caller owns the stream. */
   @Override
   public void close() {}
 }
--- a/src/main/java/brassbank/log/Event.java
+++ b/src/main/java/brassbank/log/Event.java
@@ -3,18 +3,20 @@
 import java.util.List;
 
 /**
- * What has happened, as a value; docs/log.md has each one's meaning.
+ * A log event; docs/log.md describes all of them.
  *
- * @param component the part of the program that tells it
- * @param name lower case words with hyphens
- * @param cause what went wrong in the program, or null
+ * @param level the severity
+ * @param component the part of the program that logs it
+ * @param name the event's name: words in lower case joined by hyphens
+ * @param fields the named values, in the order of the line
+ * @param cause the exception, or null
  */
 public record Event(
     Level level, String component, String name, List<Field> fields, Throwable cause) {
 
   private static final int MAX_STACK_FRAMES = 6;
 
-  /** The cause in one line, with the places that it came through first; null without one. */
+  /** Returns the cause and its topmost stack frames in one line; null without a cause. */
   String causeText() {
     if (cause == null) {
       return null;
--- a/src/main/java/brassbank/log/Format.java
+++ b/src/main/java/brassbank/log/Format.java
@@ -9,12 +9,12 @@
 import java.util.Locale;
 
 /**
- * The two forms of a line. A field may hold what a peer has sent: in both forms a line is printable
- * ASCII only, all else in it is escaped, and a value has a longest length. So no peer can begin a
- * line, write to the terminal that shows it, or be read as a field of another name.
+ * The formats of a log line. Fields may contain text sent by a peer. In both formats a line is
+ * therefore printable ASCII, with all other characters escaped, and the length of a value is
+ * limited. A peer can neither forge a line or a field nor send control characters to a terminal.
  */
 public enum Format {
-  /** Time, level, component and event, then {@code name=value} pairs. */
+  /** Time, level, component and event, followed by {@code name=value} pairs. */
   TEXT {
     @Override
     String line(long unixMillis, Event event) {
@@ -32,7 +32,7 @@
     }
   },
 
-  /** One JSON object a line (RFC 8259). */
+  /** One JSON object per line (RFC 8259). */
   JSON {
     @Override
     String line(long unixMillis, Event event) {
@@ -60,7 +60,7 @@
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
-      // What is left beyond ASCII stands within strings, where the same escape holds.
+      // Characters beyond ASCII occur within strings only, where JSON has the same escape.
       StringBuilder line = new StringBuilder(text.getBuffer().length());
       for (int i = 0; i < text.getBuffer().length(); i++) {
         char c = text.getBuffer().charAt(i);
@@ -74,15 +74,15 @@
     }
   };
 
-  /** A peer's line has 4 KiB at most; its first part tells enough. */
+  /** A line of a peer may have 4 KiB; its beginning is enough for diagnosis. */
   static final int MAX_VALUE_CHARS = 512;
 
   static final int MAX_CAUSE_CHARS = 2048;
 
-  /** The line for an event, without its end. */
+  /** Returns the line for an event, without a line end. */
   abstract String line(long unixMillis, Event event);
 
-  /** The form by its name; null for a name that is none of theirs. */
+  /** Returns the format with this name, or null if there is none. */
   public static Format named(String name) {
     for (Format format : values()) {
       if (format.toString().equals(name)) {
@@ -92,15 +92,15 @@
     return null;
   }
 
-  /** {@code text} or {@code json}. */
+  /** Returns the name of the format: {@code text} or {@code json}. */
   @Override
   public String toString() {
     return name().toLowerCase(Locale.ROOT);
   }
 
   /**
-   * UTC to the millisecond (ISO 8601). By hand, since the runtime's formatter, which {@code
-   * Instant.toString} uses too, takes 20 ms of the start until it has written the first time.
+   * Appends the time in UTC with milliseconds (ISO 8601). Does not use {@code DateTimeFormatter},
+   * which {@code Instant.toString} uses too: its first use takes 20 ms of the start-up time.
    */
   private static StringBuilder appendTime(StringBuilder line, long unixMillis) {
     LocalDateTime time =
@@ -124,12 +124,12 @@
         || Double.isFinite(number.doubleValue());
   }
 
-  private static String truncate(String value, int longest) {
-    return value.length() <= longest ? value : value.substring(0, longest) + "...";
+  private static String truncate(String value, int maxChars) {
+    return value.length() <= maxChars ? value : value.substring(0, maxChars) + "...";
   }
 
-  private static void appendPair(StringBuilder line, String name, String whole, int longest) {
-    String value = truncate(whole, longest);
+  private static void appendPair(StringBuilder line, String name, String text, int maxChars) {
+    String value = truncate(text, maxChars);
     line.append(' ').append(name).append('=');
     if (isPlain(value)) {
       line.append(value);
@@ -149,7 +149,7 @@
     line.append('"');
   }
 
-  /** Whether a reader can tell the value's end without quotes. */
+  /** Returns whether a value can be parsed without quotes around it. */
   private static boolean isPlain(String value) {
     for (int i = 0; i < value.length(); i++) {
       char c = value.charAt(i);
--- a/src/main/java/brassbank/log/Level.java
+++ b/src/main/java/brassbank/log/Level.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** How much a line matters. */
+/** The severity of an event. */
 public enum Level {
-  /** Part of a usual day. */
+  /** Part of normal operation. */
   INFO,
-  /** A peer, a file or a limit is not as it should be; service goes on. */
+  /** A fault of a peer or of a file, or a limit that was reached; service continues. */
   WARN,
-  /** The program itself is not as it should be. */
+  /** A fault of the program itself. */
   ERROR;
 
-  /** The level of a library's line. */
+  /** Returns the level for a line of a library. */
   static Level of(java.util.logging.Level level) {
     if (level.intValue() >= java.util.logging.Level.SEVERE.intValue()) {
       return ERROR;
@@ -19,7 +19,7 @@
     return level.intValue() >= java.util.logging.Level.WARNING.intValue() ? WARN : INFO;
   }
 
-  /** As a line has it: {@code info}, {@code warn}, {@code error}. */
+  /** Returns the name as in a log line: {@code info}, {@code warn} or {@code error}. */
   @Override
   public String toString() {
     return name().toLowerCase(Locale.ROOT);
--- a/src/main/java/brassbank/log/LineRateLimiter.java
+++ b/src/main/java/brassbank/log/LineRateLimiter.java
@@ -4,32 +4,32 @@
 import java.util.List;
 
 /**
- * How many lines a second are written. A level may use what those above it do not have reserved, so
- * that chatter never takes a warning's place, nor a warning an error's. What is left out is
- * counted. Values only; its owner guards it.
+ * Limits the number of log lines per second. Each level may use what is not reserved for the levels
+ * above it, so that an information line never displaces a warning, nor a warning an error. Omitted
+ * lines are counted by level. Not thread-safe: the console calls it under its lock.
  */
 final class LineRateLimiter {
-  /** All levels together. */
+  /** The limit for all levels together. */
   static final int MAX_LINES_PER_SECOND = 50;
 
-  /** By level: what is kept back for those above it. */
+  /** By level: the number of lines reserved for the levels above it. */
   private static final int[] RESERVED = {20, 5, 0};
 
   private final int[] omitted = new int[Level.values().length];
   private long second = Long.MIN_VALUE;
   private int written;
 
-  /** Begins a new second if this one is another; true if the last one left lines out. */
-  boolean startSecond(long now) {
-    if (now == second) {
+  /** Starts a new second if the time is in one; returns whether lines were omitted before it. */
+  boolean startSecond(long nowSeconds) {
+    if (nowSeconds == second) {
       return false;
     }
-    second = now;
+    second = nowSeconds;
     written = 0;
     return omitted[0] + omitted[1] + omitted[2] > 0;
   }
 
-  /** Whether a line of this level may be written now; it counts as written or as left out. */
+  /** Returns whether a line of this level may be written, and counts it as written or omitted. */
   boolean tryAcquire(Level level) {
     if (written >= MAX_LINES_PER_SECOND - RESERVED[level.ordinal()]) {
       omitted[level.ordinal()]++;
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /** What has been left out by level, which is told once. */
+  /** Returns the number of omitted lines by level and resets it. */
   List<Field> takeOmittedCounts() {
     List<Field> fields = new ArrayList<>();
     for (Level level : Level.values()) {
--- a/src/main/java/brassbank/log/Log.java
+++ b/src/main/java/brassbank/log/Log.java
@@ -6,7 +6,8 @@
 import java.util.logging.Logger;
 
 /**
- * What the code calls: an event's name and its fields, no text put together. Any thread may call.
+ * The logger of one component. Callers pass the name of an event and its fields, not a formatted
+ * text. Thread-safe.
  *
  * <pre>{@code
  * LOG.warn("answer-bad", flow(id), target(name), value("line", line));
@@ -24,14 +25,14 @@
     this.component = component;
   }
 
-  /** The log of one part of the program. */
+  /** Returns a logger for one component of the program. */
   public static Log of(String component) {
     return new Log(component);
   }
 
   /**
-   * Makes the console the one place where all lines go, those of libraries from warnings on. For
-   * the program's start; before, the program's own go to standard error as text.
+   * Sends all events to the console, and the lines of libraries from the level of warnings on.
+   * Called at start-up; before that, the program's own events go to standard error as text.
    */
   public static void install(Console console) {
     Logger root = Logger.getLogger("");
@@ -44,8 +45,8 @@
   }
 
   /**
-   * Hands what the calling thread logs to the sink instead, as it comes: for a run that has its own
-   * time, or that takes events as values. Null takes that back.
+   * Sends the events of the calling thread to a sink instead. Simulations, which have their own
+   * clock, and tests, which inspect events, use this. Null restores the default.
    */
   public static void setThreadSink(Sink sink) {
     if (sink == null) {
@@ -55,14 +56,17 @@
     }
   }
 
+  /** Logs an event of normal operation. */
   public void info(String event, Field... fields) {
     publish(new Event(Level.INFO, component, event, List.of(fields), null));
   }
 
+  /** Logs a fault of a peer or file, or a limit that was reached. */
   public void warn(String event, Field... fields) {
     publish(new Event(Level.WARN, component, event, List.of(fields), null));
   }
 
+  /** Logs a fault of the program, with its cause. */
   public void error(String event, Throwable cause, Field... fields) {
     publish(new Event(Level.ERROR, component, event, List.of(fields), cause));
   }
--- a/src/main/java/brassbank/log/Sink.java
+++ b/src/main/java/brassbank/log/Sink.java
@@ -1,7 +1,11 @@
 package brassbank.log;
 
-/** Takes events. It may not block for long: the thread that serves all connections calls it. */
+/**
+ * Receives log events. Implementations must not block for long: the event loop's thread, which
+ * serves all connections, calls them.
+ */
 @FunctionalInterface
 public interface Sink {
+  /** Receives an event. */
   void accept(Event event);
 }
--- a/src/main/java/brassbank/log/package-info.java
+++ b/src/main/java/brassbank/log/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Events with fields, and the lines they become. It may touch the runtime's logging, from which it
- * takes libraries' lines, and the clock that it is handed; every other package may log, and nothing
- * here knows them.
+ * Structured logging: events with fields, and the lines as which they are written. The package uses
+ * {@code java.util.logging}, from which it receives the lines of libraries, and the clock that it
+ * is given. Every other package may log; this one depends on none of them.
  */
 package brassbank.log;
--- a/src/main/java/brassbank/sources/Clock.java
+++ b/src/main/java/brassbank/sources/Clock.java
@@ -1,10 +1,13 @@
 package brassbank.sources;
 
-/** The two clocks of one machine. Any thread may read them. */
+/** The two clocks of a machine. Thread-safe. */
 public interface Clock {
-  /** Nanoseconds that never go back, from an origin of the clock's own: for spans of time only. */
+  /**
+   * Returns the monotonic time in nanoseconds since an arbitrary origin; only differences are
+   * meaningful.
+   */
   long nanos();
 
-  /** The wall clock: Unix time in milliseconds, which may be stepped either way at any moment. */
+  /** Returns the wall-clock time as Unix time in milliseconds; it may jump in either direction. */
   long unixMillis();
 }
--- a/src/main/java/brassbank/sources/Randomness.java
+++ b/src/main/java/brassbank/sources/Randomness.java
@@ -4,8 +4,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One program's randomness, all of it from one seed. Each part draws from a stream of its own, so
- * that one more draw in one part changes nothing in another. For spreading load, not for secrets.
+ * The randomness of a program, derived from one seed. Each component draws from its own stream, so
+ * that an additional draw in one component does not change the draws of another. Suitable for
+ * distributing load, not for secrets.
  */
 public final class Randomness {
   /** FNV-1a, 64 bits: http://www.isthe.com/chongo/tech/comp/fnv/ (offset basis and prime). */
@@ -19,14 +20,14 @@
     this.seed = seed;
   }
 
-  /** A seed that no one can foretell, for a program that was given none. */
+  /** Returns an unpredictable seed, for a program that is not given one. */
   public static long freshSeed() {
     return new SplittableRandom().nextLong();
   }
 
   /**
-   * The stream of the part with this name, from its first draw on. The same seed and name give the
-   * same stream on every machine. One thread may draw from it at a time.
+   * Returns a new stream for the component with this name, starting at its first draw. The same
+   * seed and name give the same stream on every machine. The stream is not thread-safe.
    */
   public RandomGenerator stream(String name) {
     long hash = FNV_BASIS;
--- a/src/main/java/brassbank/sources/SystemClock.java
+++ b/src/main/java/brassbank/sources/SystemClock.java
@@ -1,6 +1,6 @@
 package brassbank.sources;
 
-/** The clocks of the machine that runs the program; the one place that asks them. */
+/** The clocks of the operating system; the only class that reads them. */
 public final class SystemClock implements Clock {
   @Override
   public long nanos() {
--- a/src/main/java/brassbank/sources/package-info.java
+++ b/src/main/java/brassbank/sources/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Where time and randomness come in, and nowhere else: a run that gets both from here can be
- * replayed. It depends on nothing of the project; every package that needs one of the two is handed
- * it at its making.
+ * The sources of time and randomness of the program. All code receives them from the classes of
+ * this package, by its constructors, so that a simulation can be replayed exactly. The package
+ * depends on no other package of the project.
  */
 package brassbank.sources;
--- a/src/test/java/brassbank/cli/ProgramTest.java
+++ b/src/test/java/brassbank/cli/ProgramTest.java
@@ -16,8 +16,8 @@
   private final StringWriter out = new StringWriter();
   private final StringWriter err = new StringWriter();
 
-  @Command(name = "try", description = "Run what the test hands in.")
-  private record Trial(Callable<Integer> body) implements Callable<Integer> {
+  @Command(name = "try", description = "Run the callable of the test.")
+  private record TestCommand(Callable<Integer> body) implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
       return body.call();
@@ -25,18 +25,18 @@
   }
 
   private int run(Callable<Integer> body, String... args) {
-    CommandLine frame = Program.commandLine(List.of(new Trial(body)));
-    return frame.setOut(new PrintWriter(out)).setErr(new PrintWriter(err)).execute(args);
+    CommandLine commandLine = Program.commandLine(List.of(new TestCommand(body)));
+    return commandLine.setOut(new PrintWriter(out)).setErr(new PrintWriter(err)).execute(args);
   }
 
   @Test
-  void givesACommandItsOwnStatusAndSaysNothing() {
+  void returnsTheStatusOfTheCommandWithoutOutput() {
     assertThat(run(() -> ExitStatus.FAILED, "try")).isEqualTo(ExitStatus.FAILED);
     assertThat(out + "" + err).isEmpty();
   }
 
   @Test
-  void tellsWhatACommandCannotUseInOneLine() {
+  void reportsAUsageErrorInOneLine() {
     Callable<Integer> body =
         () -> {
           throw new UsageException("day.toml:3: no such\nfault: 'x\u0007'");
@@ -47,14 +47,14 @@
   }
 
   @Test
-  void tellsWhichFileIsMissing() {
+  void reportsAMissingFile() {
     assertThat(run(() -> Files.readString(Path.of("none.toml")).length(), "try"))
         .isEqualTo(ExitStatus.FAILED);
     assertThat(err.toString()).isEqualTo("brassbank try: none.toml: no such file\n");
   }
 
   @Test
-  void showsThePlaceOfAFaultOfItsOwn() {
+  void printsTheStackTraceOfARuntimeException() {
     assertThat(run(() -> Integer.parseInt("x"), "try")).isEqualTo(ExitStatus.FAILED);
     assertThat(err.toString())
         .startsWith("brassbank try: java.lang.NumberFormatException")
--- a/src/test/java/brassbank/config/ConfigTest.java
+++ b/src/test/java/brassbank/config/ConfigTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a reload takes, and what it turns down whole. */
+/** Checks which configurations a reload accepts and which it rejects completely. */
 class ConfigTest {
   private Path file;
   private Map<String, String> env;
@@ -52,26 +52,26 @@
   }
 
   @Test
-  void aFileCutAtAnyByteIsTurnedDown() throws Exception {
+  void aFileTruncatedAtAnyByteIsRejected() throws Exception {
     byte[] whole = text.getBytes(StandardCharsets.UTF_8);
-    for (int cut = 0; cut < whole.length; cut++) {
-      Files.write(file, java.util.Arrays.copyOf(whole, cut));
+    for (int length = 0; length < whole.length; length++) {
+      Files.write(file, java.util.Arrays.copyOf(whole, length));
       assertThatThrownBy(() -> Config.reread(env, inForce))
-          .as("cut at " + cut)
+          .as("truncated at " + length)
           .isInstanceOf(ConfigException.class);
     }
     assertThatCode(() -> reread(text)).doesNotThrowAnyException();
   }
 
-  /** Each key of the settings, and of the whole, left out once. */
+  /** Removes each key of the file, also in nested objects, one at a time. */
   @Test
-  void aFileThatLacksAKeyIsTurnedDownAndTheKeyNamed() {
+  void aFileThatLacksAKeyIsRejectedWithTheNameOfTheKey() {
     List<String> missing = new ArrayList<>();
-    leaveOut(json, missing);
+    removeEachKey(json, missing);
     assertThat(missing).hasSizeGreaterThan(40);
   }
 
-  private void leaveOut(JsonObject object, List<String> missing) {
+  private void removeEachKey(JsonObject object, List<String> missing) {
     for (String key : List.copyOf(object.keySet())) {
       if (key.equals("known")) {
         continue;
@@ -84,11 +84,11 @@
       missing.add(key);
       object.add(key, value);
       if (value instanceof JsonObject inner) {
-        leaveOut(inner, missing);
+        removeEachKey(inner, missing);
       } else if (value instanceof JsonArray list
           && !list.isEmpty()
           && list.get(0) instanceof JsonObject first) {
-        leaveOut(first, missing);
+        removeEachKey(first, missing);
       }
     }
   }
@@ -116,7 +116,7 @@
         "1e-3",
         "0x10"
       })
-  void aDeadlineOrANumberOfAttemptsThatIsNoneIsTurnedDown(String value) {
+  void aDeadlineOrNumberOfAttemptsThatIsNoPositiveWholeNumberIsRejected(String value) {
     for (String key : List.of("\"give-up\": 3000000", "\"send-cap\": 4")) {
       String name = key.substring(0, key.indexOf(':') + 1);
       assertThat(text).contains(key);
@@ -128,12 +128,12 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", " ", "{}", "[]", "null", "{} {}", "{\"settings\": 1}"})
-  void whatIsNoConfigurationIsTurnedDown(String next) {
+  void textThatIsNoConfigurationIsRejected(String next) {
     assertThatThrownBy(() -> reread(next)).isInstanceOf(ConfigException.class);
   }
 
   @Test
-  void classesComeAndGoChangeTheirEffectAndAttemptsGetFewer() throws Exception {
+  void aReloadAddsAndRemovesClassesAndChangesEffectsAndAttempts() throws Exception {
     JsonArray profiles = json.getAsJsonObject("settings").getAsJsonArray("profiles");
     JsonObject added = profile(0).deepCopy();
     added.addProperty("name", "review");
--- a/src/test/java/brassbank/config/file/OptionsFileTest.java
+++ b/src/test/java/brassbank/config/file/OptionsFileTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void takesQuantitiesWithTheirUnitsAndLeavesTheRestAtItsDefault() {
+  void readsQuantitiesWithUnitsAndUsesDefaultsForTheOtherKeys() {
     RelayLimits relay =
         OptionsFile.parse(
                 "x.toml",
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void takesAFleetAndTellsWhatIsWrongWithOne() {
+  void readsMembershipAndReportsItsProblems() {
     Joining joining =
         OptionsFile.parse(
                 "x.toml",
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void tellsAllThatIsWrongAtOnceWithTheLineOfEach() {
+  void reportsAllProblemsAtOnceWithTheirLines() {
     assertThat(
             problems(
                 """
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void tellsWhatIsImpossibleTogether() {
+  void reportsValuesThatContradictEachOther() {
     assertThat(problems("[relay]\nbudget = \"1 MiB\"\n"))
         .containsExactly("x.toml:2: relay.practice-budget must not be above relay.budget");
     assertThat(problems("[relay]\npractice-budget = \"1 MiB\"\nclient.waiting = \"2 MiB\""))
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void tellsWhereTheSyntaxIsBroken() {
+  void reportsTheLinesOfSyntaxErrors() {
     assertThat(problems("[relay]\nturn = \nbudget = 1 MiB\nx = 3\nclient.age = \"1 s"))
         .extracting(problem -> problem.replaceAll("(x.toml:\\d: ).*", "$1"))
         .containsExactly("x.toml:2: ", "x.toml:3: ", "x.toml:4: ", "x.toml:5: ");
@@ -139,14 +139,14 @@
   }
 
   @Test
-  void tellsWhatFileCannotBeRead() {
+  void reportsAFileThatCannotBeRead() {
     assertThat(OptionsFile.read(Path.of("none.toml")).problems())
         .containsExactly(new Problem("none.toml", 0, "no such file"));
     assertThat(OptionsFile.read(Path.of("target")).problems()).hasSize(1);
   }
 
   @Test
-  void theExampleInDeploySaysTheDefaultsOfEveryKey() {
+  void theExampleInDeployContainsTheDefaultsOfAllKeys() {
     Path example = Path.of("deploy/brassbank.toml");
     assertThat(OptionsFile.read(example).options())
         .isEqualTo(OptionsFile.parse("empty", "").options());
@@ -154,7 +154,7 @@
   }
 
   @Test
-  void thePageOfTheKeysIsTheOneThatTheirDeclarationsMake() throws Exception {
+  void theReferencePageEqualsTheOneGeneratedFromTheDeclarations() throws Exception {
     assertThat(Files.readString(Path.of("docs/configuration.md"))).isEqualTo(Reference.markdown());
   }
 }
--- a/src/test/java/brassbank/log/ConsoleTest.java
+++ b/src/test/java/brassbank/log/ConsoleTest.java
@@ -35,7 +35,7 @@
       };
 
   @AfterEach
-  void giveBack() {
+  void restoreDefaultSink() {
     Log.setThreadSink(null);
   }
 
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void writesALineThatReadsWell() {
+  void writesATextLineWithQuotedValues() {
     log(Format.TEXT)
         .warn(
             "answer-bad",
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void writesJsonThatParsesToWhatWasGiven() {
+  void writesJsonThatParsesToTheLoggedValues() {
     millis = 1_796_125_836_936L;
     log(Format.JSON)
         .error(
@@ -103,13 +103,13 @@
 
   @ParameterizedTest
   @EnumSource
-  void keepsWhatAPeerSaysWithinOneShortLine(Format format) {
+  void limitsTextOfAPeerToOneShortLine(Format format) {
     log(format).warn("answer-bad", Field.value("line", HOSTILE + "x".repeat(4096)));
     assertThat(lines()).singleElement().asString().hasSizeLessThan(800).contains("xxx...");
   }
 
   @Test
-  void neverLeavesAWarningOutForTheSakeOfChatter() {
+  void doesNotOmitWarningsBecauseOfInformationLines() {
     Log log = log(Format.TEXT);
     for (int second = 0; second < 2; second++) {
       for (int i = 0; i < 100; i++) {
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void boundsWarningsAndErrorsTooAndCountsThem() {
+  void limitsWarningsAndErrorsTooAndCountsTheOmittedOnes() {
     Log log = log(Format.TEXT);
     for (int i = 0; i < 100; i++) {
       log.warn("warned");
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void writesTheLinesOfLibraries() {
+  void writesLinesOfLibraries() {
     Console console = new Console(new PrintStream(written, true), Format.TEXT, clock);
     LogRecord record = new LogRecord(java.util.logging.Level.SEVERE, "GRIZZLY0013: x\ny");
     record.setLoggerName("org.glassfish.grizzly");
@@ -157,7 +157,7 @@
   }
 
   @Test
-  void handsEventsAsValuesToTheRunOfAThread() {
+  void sendsEventsOfAThreadToItsSink() {
     List<Event> events = new ArrayList<>();
     Log.setThreadSink(events::add);
     Log.of("part").info("serving", Field.target("s-1"));
--- a/src/test/java/brassbank/log/EventsTest.java
+++ b/src/test/java/brassbank/log/EventsTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The page for operators against the calls in the code. */
+/** Compares the operators' page docs/log.md with the log calls in the code. */
 class EventsTest {
   private static final Pattern CALL = Pattern.compile("\\bLOG\\s*\\.(info|warn|error)\\(");
   private static final Pattern LITERAL = Pattern.compile("\\s*\"([a-z]+(?:-[a-z]+)*)\"");
@@ -24,27 +24,27 @@
       Pattern.compile("\\| `([a-z-]+)` \\| (info|warn|error) \\| ([a-z_, -]*?) *\\|.*\\|.*\\|");
 
   @Test
-  void thePageHasEachEventWithItsLevelAndFields() throws IOException {
-    Map<String, String> told = new TreeMap<>();
+  void thePageListsEachEventWithItsLevelAndFields() throws IOException {
+    Map<String, String> logged = new TreeMap<>();
     try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
       for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-        collect(Files.readString(file), told);
+        collect(Files.readString(file), logged);
       }
     }
-    assertThat(told).hasSizeGreaterThan(20);
-    // These two are made by the log itself.
-    told.put("lines-left-out", "warn [info, warn, error]");
-    told.put("library-line", "warn [logger, text]");
-    Map<String, String> written = new TreeMap<>();
+    assertThat(logged).hasSizeGreaterThan(20);
+    // The log package itself creates these two.
+    logged.put("lines-left-out", "warn [info, warn, error]");
+    logged.put("library-line", "warn [logger, text]");
+    Map<String, String> documented = new TreeMap<>();
     for (String line : Files.readAllLines(Path.of("docs/log.md"))) {
       Matcher row = ROW.matcher(line);
       if (row.matches()) {
         List<String> fields =
             row.group(3).equals("-") ? List.of() : List.of(row.group(3).split(", "));
-        written.put(row.group(1), row.group(2) + " " + fields);
+        documented.put(row.group(1), row.group(2) + " " + fields);
       }
     }
-    assertThat(written).isEqualTo(told);
+    assertThat(documented).isEqualTo(logged);
   }
 
   private static void collect(String text, Map<String, String> into) {
@@ -52,7 +52,7 @@
     while (call.find()) {
       String rest = text.substring(call.end(), text.indexOf(';', call.end()));
       Matcher name = LITERAL.matcher(rest);
-      assertThat(name.lookingAt()).as("a name that is no plain text: %s", rest).isTrue();
+      assertThat(name.lookingAt()).as("the event name is no string literal: %s", rest).isTrue();
       List<String> fields = new ArrayList<>();
       Matcher field = FIELD.matcher(rest.substring(name.end()));
       while (field.find()) {
@@ -64,7 +64,9 @@
           .doesNotHaveDuplicates()
           .doesNotContain("time", "level", "component", "event", "cause");
       String before = into.put(name.group(1), call.group(1) + " " + fields);
-      assertThat(before).as("%s is told twice", name.group(1)).isIn(null, into.get(name.group(1)));
+      assertThat(before)
+          .as("%s is logged with other fields elsewhere", name.group(1))
+          .isIn(null, into.get(name.group(1)));
     }
   }
 }
