--- a/src/main/java/brassbank/config/file/ValueType.java
+++ b/src/main/java/brassbank/config/file/ValueType.java
@@ -93,7 +93,7 @@
 
       @Override
       String parse(Object toml) {
-        if (!(toml instanceof String text) || !Update.nameable(text)) {
+        if (!(toml instanceof String text) || !Update.isValidName(text)) {
           throw new IllegalArgumentException();
         }
         return text;
