--- a/src/main/java/brassbank/OptionsLoader.java
+++ b/src/main/java/brassbank/OptionsLoader.java
@@ -70,7 +70,7 @@
       Options options = result.options().get();
       return new Loaded(
           options.relay(),
-          options.joining() == null ? null : validated(file, options.joining(), config));
+          options.membership() == null ? null : validated(file, options.membership(), config));
     }
 
     private static MembershipConfig validated(Path file, MembershipConfig membership, Config config)
--- a/src/main/java/brassbank/config/file/Options.java
+++ b/src/main/java/brassbank/config/file/Options.java
@@ -10,19 +10,19 @@
  * The values of a valid file.
  *
  * @param relay the limits on relayed sessions and slow peers
- * @param joining how the proxy joins its fleet; null without membership
+ * @param membership how the proxy joins its fleet; null without membership
  */
-public record Options(RelayLimits relay, MembershipConfig joining) {
+public record Options(RelayLimits relay, MembershipConfig membership) {
   /** Receives problems of values that are valid on their own and contradict each other. */
   interface Problems {
     void report(int line, String text);
   }
 
   static Options of(Values values, Problems problems) {
-    return new Options(relay(values, problems), joining(values, problems));
+    return new Options(relay(values, problems), membership(values, problems));
   }
 
-  private static MembershipConfig joining(Values values, Problems problems) {
+  private static MembershipConfig membership(Values values, Problems problems) {
     String fleet = values.get(Keys.FLEET);
     int line = values.line(Keys.LISTEN, Keys.ADVERTISE, Keys.SEEDS, Keys.SUSPICION, Keys.FORGET);
     if (fleet == null && values.get(Keys.BASE_FRACTION) != null) {
--- a/src/test/java/brassbank/config/file/OptionsFileTest.java
+++ b/src/test/java/brassbank/config/file/OptionsFileTest.java
@@ -47,7 +47,7 @@
 
   @Test
   void readsMembershipAndReportsItsProblems() {
-    MembershipConfig joining =
+    MembershipConfig membership =
         OptionsFile.parse(
                 "x.toml",
                 """
@@ -60,11 +60,11 @@
                 """)
             .options()
             .orElseThrow()
-            .joining();
-    assertThat(joining.seeds()).hasSize(2);
-    assertThat(joining.settings().minSuspicionMicros()).isEqualTo(3_000_000);
-    assertThat(joining.withDefaultAddress(null).advertised().getPort()).isEqualTo(7075);
-    assertThat(OptionsFile.parse("x.toml", "").options().orElseThrow().joining()).isNull();
+            .membership();
+    assertThat(membership.seeds()).hasSize(2);
+    assertThat(membership.settings().minSuspicionMicros()).isEqualTo(3_000_000);
+    assertThat(membership.withDefaultAddress(null).advertised().getPort()).isEqualTo(7075);
+    assertThat(OptionsFile.parse("x.toml", "").options().orElseThrow().membership()).isNull();
     assertThat(
             problems(
                 """
