--- a/src/main/java/ashspar/Probing.java
+++ b/src/main/java/ashspar/Probing.java
@@ -2,13 +2,18 @@
 
 import ashspar.Balancer.State;
 
-/** Probes: when a server is asked for its load, and what becomes of one that does not answer. */
+/** Requests load reports from servers and quiesces servers that do not answer. */
 final class Probing {
-  private static final long FRESH = 600 * Node.MS; // a younger report is as good as a new one
-  private static final int LOOK_AHEAD = 3; // servers: more herd all nodes to the one quiet server
+  // A younger report is not worth a probe.
+  private static final long FRESH_REPORT_MICROS = 600 * Node.MS;
+  // More would make all nodes converge on the one idle server.
+  private static final int MAX_PROBED_AHEAD = 3;
 
-  /** A report this old is renewed where connections are held: one that slowed down kept them. */
-  private static final long STALE = 3 * Node.INTERVAL / 2;
+  /**
+   * The age at which a report is refreshed if this node has connections on the server: a server
+   * that had slowed down kept its connections because no new report revealed it.
+   */
+  private static final long STALE_REPORT_MICROS = 3 * Node.TICK_MICROS / 2;
 
   private final Node node;
 
@@ -16,80 +21,96 @@
     this.node = node;
   }
 
+  /** Probes a server unless a probe is already pending or probes are not allowed now. */
   void probe(Server s) {
-    boolean free = !s.probing && s.state == State.READY && node.now >= s.askFrom;
-    if (free && node.settings.permissions().probes()) {
-      s.probing = true;
-      node.limits.probes.spend();
+    boolean isAllowed = !s.probePending && s.state == State.READY && node.now >= s.noProbesUntil;
+    if (isAllowed && node.settings.permissions().probes()) {
+      s.probePending = true;
+      node.limits.probeBudget.spend();
       node.actions.probe(s.id);
     }
   }
 
-  private boolean asks(Server s) {
-    return s.own || node.limits.reach.covers(node.weights.nearness(s) == 1);
+  /** Returns whether the server is in this node's subset or in the current scope beyond it. */
+  private boolean isProbedRegularly(Server s) {
+    return s.inSubset || node.limits.subsetScope.covers(node.weights.zoneFactor(s) == 1);
   }
 
-  /** Probes the servers whose turn comes next, so that the weights are true where they decide. */
-  void lookAhead(Held h) {
-    for (Server s : node.wheels.ahead(LOOK_AHEAD, s -> worthAsking(h, s))) {
-      if (node.now - s.reportAt > FRESH && node.limits.probes.some()) {
+  /**
+   * Probes the servers whose turns come next, so that the weights that decide the placement are up
+   * to date.
+   */
+  void probeUpcoming(ActiveRequest active) {
+    for (Server s : node.roundRobin.upcoming(MAX_PROBED_AHEAD, s -> isCandidate(active, s))) {
+      if (node.now - s.reportedAt > FRESH_REPORT_MICROS && node.limits.probeBudget.hasCredit()) {
         probe(s);
       }
-      if (s.probing) {
-        s.waiting.add(h);
-        h.awaited++;
+      if (s.probePending) {
+        s.requestsAwaitingProbe.add(active);
+        active.pendingProbes++;
       }
     }
   }
 
-  private boolean worthAsking(Held h, Server s) {
+  /** Returns whether the request could be placed on the server. */
+  private boolean isCandidate(ActiveRequest active, Server s) {
     return s.state == State.READY
-        && asks(s)
-        && !h.tried.contains(s)
-        && h.sharesMemory(s, node.now)
-        && node.admission.coldAllows(s);
+        && isProbedRegularly(s)
+        && !active.triedServers.contains(s)
+        && active.isRepeatSafeAt(s, node.now)
+        && node.admission.hasColdSlot(s);
   }
 
-  /** At each interval: asks again where no answer came, or one that tells of the past. */
+  /** Probes servers that have not answered or whose report is outdated. Called once per tick. */
   void tick() {
-    for (Server s : node.ready) {
-      boolean held = !s.open.isEmpty() || (node.own != null && asks(s));
-      boolean old = held && node.now - s.reportAt >= (s.own ? STALE : 2 * STALE);
-      boolean due = s.quiesced || s.limits.record.awaitsProbe() || s.reportAt < 0;
+    for (Server s : node.readyServers) {
+      boolean isWatched = !s.connections.isEmpty() || (node.subset != null && isProbedRegularly(s));
+      boolean isOutdated =
+          isWatched
+              && node.now - s.reportedAt
+                  >= (s.inSubset ? STALE_REPORT_MICROS : 2 * STALE_REPORT_MICROS);
+      boolean isDue = s.quiesced || s.limits.outlierRecord.awaitsProbe() || s.reportedAt < 0;
       if (s.quiesced && !node.settings.permissions().probes()) {
         restore(s);
-      } else if (old || (due && (held || asks(s)))) {
+      } else if (isOutdated || (isDue && (isWatched || isProbedRegularly(s)))) {
         probe(s);
       }
     }
   }
 
-  /** While some wait, a report that shows room lets them out. */
-  void renew() {
-    for (Server s : node.ready) {
+  /** Probes servers while requests are queued, since a report that shows capacity releases them. */
+  void refreshReports() {
+    for (Server s : node.readyServers) {
       if (!s.quiesced
-          && node.now >= s.askFrom
-          && node.now - s.reportAt > FRESH
-          && node.limits.probes.some()) {
+          && node.now >= s.noProbesUntil
+          && node.now - s.reportedAt > FRESH_REPORT_MICROS
+          && node.limits.probeBudget.hasCredit()) {
         probe(s);
       }
     }
   }
 
+  /** Takes a server out of the rotation until it answers a probe. */
   void quiesce(Server s) {
     if (!s.quiesced) {
-      node.say("quiesced " + s.id + ": no answer in time; " + node.ready.size() + " servers ready");
+      node.logRateLimited(
+          "quiesced "
+              + s.id
+              + ": no answer in time; "
+              + node.readyServers.size()
+              + " servers ready");
       s.quiesced = true;
-      node.wheels.commit(s, 0);
-      node.wheels.enqueue(s);
+      node.roundRobin.setWeight(s, 0);
+      node.roundRobin.schedule(s);
     }
   }
 
+  /** Returns a quiesced server to the rotation. */
   void restore(Server s) {
     if (s.quiesced) {
       s.quiesced = false;
-      node.wheels.commit(s, Math.min(1, node.weights.target(s)));
-      node.wheels.enqueue(s);
+      node.roundRobin.setWeight(s, Math.min(1, node.weights.targetWeight(s)));
+      node.roundRobin.schedule(s);
     }
   }
 }
--- a/src/test/java/brassbank/config/file/OptionsFileTest.java
+++ b/src/test/java/brassbank/config/file/OptionsFileTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void takesQuantitiesWithTheirUnitsAndLeavesTheRestAtItsDefault() {
+  void readsQuantitiesWithUnitsAndUsesDefaultsForTheOtherKeys() {
     RelayLimits relay =
         OptionsFile.parse(
                 "x.toml",
@@ -39,15 +39,15 @@
     assertThat(relay.readQuotaBytes()).isEqualTo(32 * 1024);
     assertThat(relay.budgetBytes()).isEqualTo(1 << 30);
     assertThat(relay.practiceBudgets()).isEqualTo(Map.of("two words", 20L << 20));
-    assertThat(relay.farewellMicros()).isEqualTo(60_000_000);
+    assertThat(relay.finalLineTimeoutMicros()).isEqualTo(60_000_000);
     assertThat(relay.client())
         .isEqualTo(new SideLimits(64 * 1024, 32 * 1024, 60_000_000, 0, 500_000, 30_000_000));
     assertThat(relay.target().minBytesPerSecond()).isEqualTo(2048);
   }
 
   @Test
-  void takesAFleetAndTellsWhatIsWrongWithOne() {
-    MembershipConfig joining =
+  void readsMembershipAndReportsItsProblems() {
+    MembershipConfig membership =
         OptionsFile.parse(
                 "x.toml",
                 """
@@ -60,11 +60,11 @@
                 """)
             .options()
             .orElseThrow()
-            .joining();
-    assertThat(joining.seeds()).hasSize(2);
-    assertThat(joining.settings().minSuspicionMicros()).isEqualTo(3_000_000);
-    assertThat(joining.withDefaultAddress(null).advertised().getPort()).isEqualTo(7075);
-    assertThat(OptionsFile.parse("x.toml", "").options().orElseThrow().joining()).isNull();
+            .membership();
+    assertThat(membership.seeds()).hasSize(2);
+    assertThat(membership.settings().minSuspicionMicros()).isEqualTo(3_000_000);
+    assertThat(membership.withDefaultAddress(null).advertised().getPort()).isEqualTo(7075);
+    assertThat(OptionsFile.parse("x.toml", "").options().orElseThrow().membership()).isNull();
     assertThat(
             problems(
                 """
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void tellsAllThatIsWrongAtOnceWithTheLineOfEach() {
+  void reportsAllProblemsAtOnceWithTheirLines() {
     assertThat(
             problems(
                 """
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void tellsWhatIsImpossibleTogether() {
+  void reportsValuesThatContradictEachOther() {
     assertThat(problems("[relay]\nbudget = \"1 MiB\"\n"))
         .containsExactly("x.toml:2: relay.practice-budget must not be above relay.budget");
     assertThat(problems("[relay]\npractice-budget = \"1 MiB\"\nclient.waiting = \"2 MiB\""))
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void tellsWhereTheSyntaxIsBroken() {
+  void reportsTheLinesOfSyntaxErrors() {
     assertThat(problems("[relay]\nturn = \nbudget = 1 MiB\nx = 3\nclient.age = \"1 s"))
         .extracting(problem -> problem.replaceAll("(x.toml:\\d: ).*", "$1"))
         .containsExactly("x.toml:2: ", "x.toml:3: ", "x.toml:4: ", "x.toml:5: ");
@@ -139,14 +139,14 @@
   }
 
   @Test
-  void tellsWhatFileCannotBeRead() {
+  void reportsAFileThatCannotBeRead() {
     assertThat(OptionsFile.read(Path.of("none.toml")).problems())
         .containsExactly(new Problem("none.toml", 0, "no such file"));
     assertThat(OptionsFile.read(Path.of("target")).problems()).hasSize(1);
   }
 
   @Test
-  void theExampleInDeploySaysTheDefaultsOfEveryKey() {
+  void theExampleInDeployContainsTheDefaultsOfAllKeys() {
     Path example = Path.of("deploy/brassbank.toml");
     assertThat(OptionsFile.read(example).options())
         .isEqualTo(OptionsFile.parse("empty", "").options());
@@ -154,7 +154,7 @@
   }
 
   @Test
-  void thePageOfTheKeysIsTheOneThatTheirDeclarationsMake() throws Exception {
+  void theReferencePageEqualsTheOneGeneratedFromTheDeclarations() throws Exception {
     assertThat(Files.readString(Path.of("docs/configuration.md"))).isEqualTo(Reference.markdown());
   }
 }
