--- a/src/jmh/java/brassbank/relay/RelayBenchmark.java
+++ b/src/jmh/java/brassbank/relay/RelayBenchmark.java
@@ -110,13 +110,13 @@
     }
 
     @Override
-    public Attempt connect(InetSocketAddress address, ConnectHandler then) {
-      then.connected(target);
+    public Attempt connect(InetSocketAddress address, ConnectHandler handler) {
+      handler.connected(target);
       return () -> {};
     }
 
     @Override
-    public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
+    public Attempt get(InetSocketAddress address, String path, ResponseHandler handler) {
       throw new UnsupportedOperationException();
     }
 
--- a/src/main/java/brassbank/config/file/Options.java
+++ b/src/main/java/brassbank/config/file/Options.java
@@ -81,13 +81,13 @@
   }
 
   private static SideLimits side(Values values, Keys.Side keys, Problems problems) {
-    long waiting = values.get(keys.waiting);
+    long maxQueuedBytes = values.get(keys.waiting);
     long kernelBuffer = values.get(keys.kernelBuffer);
     long window = values.get(keys.window);
     long rate = values.get(keys.rate);
     // A full queue stops the reading of the other side, after at most one more read quota.
-    long maxQueued = waiting + values.get(Keys.TURN);
-    if (maxQueued > values.get(Keys.PRACTICE_BUDGET)) {
+    long peakQueuedBytes = maxQueuedBytes + values.get(Keys.TURN);
+    if (peakQueuedBytes > values.get(Keys.PRACTICE_BUDGET)) {
       problems.report(
           values.line(keys.waiting, Keys.TURN, Keys.PRACTICE_BUDGET),
           keys.waiting.name() + " and relay.turn together must not be above relay.practice-budget");
@@ -96,7 +96,7 @@
         .byName(Keys.SINGLE_PRACTICE_BUDGET)
         .forEach(
             (practice, budget) -> {
-              if (maxQueued > budget) {
+              if (peakQueuedBytes > budget) {
                 problems.report(
                     values.line(keys.waiting, Keys.TURN),
                     String.format(
@@ -114,7 +114,7 @@
               keys.rate.name(), keys.window.name(), keys.kernelBuffer.name()));
     }
     return new SideLimits(
-        (int) waiting,
+        (int) maxQueuedBytes,
         (int) kernelBuffer,
         values.get(keys.age),
         rate,
--- a/src/main/java/brassbank/config/file/OptionsFile.java
+++ b/src/main/java/brassbank/config/file/OptionsFile.java
@@ -119,7 +119,8 @@
   private void entry(TomlParseResult toml, Map.Entry<List<String>, Object> entry) {
     List<String> path = entry.getKey();
     int line = toml.inputPositionOf(path).line();
-    Optional<Key<?>> key = Keys.all().stream().filter(any -> any.matches(path)).findFirst();
+    Optional<Key<?>> key =
+        Keys.all().stream().filter(candidate -> candidate.matches(path)).findFirst();
     if (key.isPresent()) {
       try {
         Object value = entry.getValue();
@@ -130,7 +131,7 @@
       } catch (IllegalArgumentException e) {
         problem(line, Toml.joinKeyPath(path) + " " + e.getMessage());
       }
-    } else if (Keys.all().stream().anyMatch(any -> any.hasParentTable(path))) {
+    } else if (Keys.all().stream().anyMatch(candidate -> candidate.hasParentTable(path))) {
       if (!(entry.getValue() instanceof TomlTable)) {
         problem(line, Toml.joinKeyPath(path) + " is a table, not a value");
       }
--- a/src/main/java/brassbank/grizzly/EventLoopSelector.java
+++ b/src/main/java/brassbank/grizzly/EventLoopSelector.java
@@ -132,9 +132,9 @@
   /** Runs the task after the events of the current loop iteration; any thread may call. */
   void execute(Runnable task) {
     tasks.add(task);
-    Selector waiting = selector;
-    if (waiting != null) {
-      waiting.wakeup();
+    Selector current = selector;
+    if (current != null) {
+      current.wakeup();
     }
   }
 
--- a/src/main/java/brassbank/log/LineRateLimiter.java
+++ b/src/main/java/brassbank/log/LineRateLimiter.java
@@ -19,7 +19,7 @@
   private long second = Long.MIN_VALUE;
   private int written;
 
-  /** Starts a new second if the time is in one; returns whether lines were omitted before it. */
+  /** Starts a new second if the time is in another one; returns whether the last omitted lines. */
   boolean startSecond(long nowSeconds) {
     if (nowSeconds == second) {
       return false;
--- a/src/main/java/brassbank/net/BufferPool.java
+++ b/src/main/java/brassbank/net/BufferPool.java
@@ -85,7 +85,7 @@
     leasedBytes -= block.length;
     retainedBytes += block.length;
     free.get(sizeClass(block.length)).push(block);
-    // Frees the largest blocks first: fewest blocks have to be freed that way.
+    // Frees the largest blocks first, since there are the fewest of them.
     for (int size = SIZE_CLASSES - 1;
         retainedBytes > Math.max(MIN_RETAINED_BYTES, leasedBytes / 2); ) {
       byte[] freed = free.get(size).poll();
--- a/src/main/java/brassbank/net/Channel.java
+++ b/src/main/java/brassbank/net/Channel.java
@@ -26,7 +26,7 @@
      */
     void writable();
 
-    /** Reports that the connection failed or was closed by the peer; no event follows. */
+    /** Reports that the connection failed, without an action of the handler; no event follows. */
     void broken();
   }
 
--- a/src/main/java/brassbank/net/Net.java
+++ b/src/main/java/brassbank/net/Net.java
@@ -25,6 +25,7 @@
   /** Assumed number of descriptors of the Java runtime where they cannot be counted. */
   private static final int DEFAULT_RUNTIME_DESCRIPTORS = 44;
 
+  /** Links that are possible even if the descriptor limit leaves room for fewer. */
   private static final int MIN_LINKS = 8;
 
   /** What a link reads per readable event unless configured otherwise. */
@@ -32,8 +33,10 @@
 
   /** Receives the result of a connect: exactly one of the two calls, from the event loop. */
   public interface ConnectHandler {
+    /** Hands over the link of the established connection. */
     void connected(Link link);
 
+    /** Reports that the connect was refused, failed or timed out. */
     void failed(Throwable cause);
   }
 
--- a/src/main/java/brassbank/net/Network.java
+++ b/src/main/java/brassbank/net/Network.java
@@ -118,7 +118,7 @@
    * Opens a connection. The only time limit is the kernel's, which is minutes: the caller sets a
    * shorter one by a timer.
    */
-  Attempt connect(InetSocketAddress address, ConnectHandler then);
+  Attempt connect(InetSocketAddress address, ConnectHandler handler);
 
   /**
    * Sends a GET request for JSON by HTTP/1.1, on a new connection. There is no time limit, as with
@@ -127,7 +127,7 @@
    *
    * @param path path and query, as in the request line
    */
-  Attempt get(InetSocketAddress address, String path, ResponseHandler answer);
+  Attempt get(InetSocketAddress address, String path, ResponseHandler handler);
 
   /**
    * Receives datagrams at exactly this address; for the event loop's thread, after {@link #start}.
--- a/src/main/java/brassbank/relay/RelayedSession.java
+++ b/src/main/java/brassbank/relay/RelayedSession.java
@@ -76,7 +76,8 @@
     ByteBuffer fromClient = client.startStreaming(this).order(ByteOrder.LITTLE_ENDIAN);
     received(target, fromTarget);
     received(client, fromClient);
-    // A link that failed before this session received its events does not report that again.
+    // If the client has just reset the connection, sending it the first line fails the link before
+    // this session receives the link's events, and the failure is not reported again.
     if (!client.isOpen()) {
       ended(client, true);
     }
--- a/src/test/java/brassbank/net/LinkTest.java
+++ b/src/test/java/brassbank/net/LinkTest.java
@@ -88,12 +88,12 @@
     }
 
     @Override
-    public Attempt connect(InetSocketAddress address, ConnectHandler then) {
+    public Attempt connect(InetSocketAddress address, ConnectHandler handler) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
+    public Attempt get(InetSocketAddress address, String path, ResponseHandler handler) {
       throw new UnsupportedOperationException();
     }
 
