--- a/src/main/java/ashspar/Policy.java
+++ b/src/main/java/ashspar/Policy.java
@@ -1,8 +1,8 @@
 package ashspar;
 
-import ashspar.limits.Ending;
 import ashspar.limits.LimitsSnapshot;
-import ashspar.limits.Outliers;
+import ashspar.limits.OutlierDetector;
+import ashspar.limits.SetupOutcome;
 import ashspar.limits.Shedding;
 import java.util.List;
 import java.util.Set;
@@ -10,47 +10,55 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * All decisions of a node; the interface it implements, types included, is in Balancer.java.
+ * The decisions of one node. The interface and its nested types are in Balancer.java.
  *
- * <p>The mechanism is the Network Dispatcher's (Goldszmidt and Hunt, "Scaling Internet Services by
- * Dynamic Allocation of Connections", sections 3 and 4): weighted round robin over weights that are
- * recomputed from a weighted load metric index. What is kept, changed and added stands in
- * docs/design.md; every departure says in its comment when it acts.
+ * <p>The mechanism is that of the Network Dispatcher (Goldszmidt and Hunt, "Scaling Internet
+ * Services by Dynamic Allocation of Connections", sections 3 and 4): weighted round robin over
+ * weights that are recomputed from a weighted load metric index. docs/design.md lists what is kept,
+ * changed and added; the code comments state when each deviation applies.
  *
- * <p>Here is the life of a request, told to the parts of the {@link Node}: {@link Weights}
- * computes, {@link Wheels} take turns, {@link Admission} says where there is room, {@link Probing}
- * asks servers, {@link Fleet} keeps their list.
+ * <p>This class handles the lifecycle of requests and delegates to the components of the {@link
+ * Node}: {@link Weights} computes weights, {@link WeightedRoundRobin} orders the servers, {@link
+ * Admission} decides which servers have capacity, {@link Probing} requests load reports, and {@link
+ * ServerList} follows discovery.
  */
 public final class Policy implements Balancer {
   private static final long MS = Node.MS;
   private static final long SECOND = Node.SECOND;
-  private static final long PROBE_WAIT = 60 * MS; // at most: an answer takes a few ms
-  private static final long PROBE_REST = SECOND; // of a server that answered a probe with an error
-  private static final long RELEASE = 25 * MS; // until places that time alone frees are looked for
-  private static final int HEADS = 8; // most kinds of waiting requests that are tried in one look
+  // Upper bound; answers usually take a few milliseconds.
+  private static final long MAX_PROBE_WAIT_MICROS = 60 * MS;
+  // For a server that answered a probe with an error.
+  private static final long PROBE_ERROR_PAUSE_MICROS = SECOND;
+  // Between checks for capacity that only the passing of time frees.
+  private static final long RELEASE_INTERVAL_MICROS = 25 * MS;
+  private static final int MAX_OFFERED_QUEUES = 8; // queues of the waiting room tried per release
 
-  /** Load taken for a server that turns a probe away as full: reports of such are not to be had. */
-  private static final double FULL_LOAD = 1.1;
+  /**
+   * The load assumed for a server that rejects a probe as full, since such a server sends no
+   * report.
+   */
+  private static final double OVERLOADED_LOAD = 1.1;
 
   private static final long TOKEN_TICK = 0;
   private static final long TOKEN_WATCH = 1;
   private static final long TOKEN_RELEASE = 2;
-  private static final long TOKEN_REQUEST = 16; // timer tokens from here on name requests
+  // Timer tokens from here on are request ids plus this offset.
+  private static final long TOKEN_REQUEST = 16;
 
   final Node node;
-  private final Fleet fleet;
-  private long watchWait = 2 * SECOND;
-  private long releaseAt;
+  private final ServerList serverList;
+  private long watchRetryDelay = 2 * SECOND;
+  private long nextReleaseAt;
 
-  /** Starts a node's balancer; the list of servers must follow. */
+  /** Creates the balancer of a node. The server list must follow through {@link #updateServers}. */
   public Policy(long now, Settings settings, long seed, Actions actions) {
     Balancer.require(settings != null, "settings must be given");
     Balancer.require(actions != null, "actions must be given");
     node = new Node(now, settings, seed, actions);
-    fleet = new Fleet(node);
-    actions.startTimer(1 + node.random.nextLong(Node.INTERVAL), TOKEN_TICK);
+    serverList = new ServerList(node);
+    actions.startTimer(1 + node.random.nextLong(Node.TICK_MICROS), TOKEN_TICK);
     if (settings.pullsDiscovery()) {
-      actions.startTimer(1 + node.random.nextLong(watchWait), TOKEN_WATCH);
+      actions.startTimer(1 + node.random.nextLong(watchRetryDelay), TOKEN_WATCH);
     }
   }
 
@@ -64,183 +72,225 @@
   @Override
   public void requestReceived(long at, Request request) {
     node.now = at;
-    Held h = held(request);
+    ActiveRequest active = register(request);
     boolean first = !request.midFlow() && !request.reconnecting() && !request.retry();
-    node.arrivals += first ? 1 : 0;
-    node.limits.worths.hinted(request.loadHint());
-    node.limits.retries.request(at);
+    node.firstRequests += first ? 1 : 0;
+    node.limits.requestValues.recordHint(request.loadHint());
+    node.limits.retryBudget.recordRequest(at);
     if (request.reconnecting()) {
-      node.limits.returned(at, request.clientKey());
+      node.limits.clientReconnected(at, request.clientKey());
     }
-    node.limits.probes.earn(node.settings.prices().probe(), request.retry());
-    // Close to the deadline no probe is waited for: a request that kept waiting was never answered.
-    if (request.timeLeftMicros() > PROBE_WAIT && node.settings.permissions().probes()) {
-      node.probing.lookAhead(h);
+    node.limits.probeBudget.earn(node.settings.prices().probe(), request.retry());
+    // Close to the deadline, probes are skipped: a request that waited for one was never answered.
+    if (request.timeLeftMicros() > MAX_PROBE_WAIT_MICROS && node.settings.permissions().probes()) {
+      node.probing.probeUpcoming(active);
     }
-    if (h.awaited > 0) {
-      wake(
-          h,
+    if (active.pendingProbes > 0) {
+      startWakeTimer(
+          active,
           Math.min(
-              PROBE_WAIT, Math.min(h.type.answerGoalMicros(), request.timeLeftMicros()) / 4 + 1));
+              MAX_PROBE_WAIT_MICROS,
+              Math.min(active.requestClass.answerGoalMicros(), request.timeLeftMicros()) / 4 + 1));
     } else {
-      place(h);
+      enqueueOrAnswer(active);
     }
   }
 
-  private Held held(Request request) {
+  /** Validates a request and adds it to the active ones. */
+  private ActiveRequest register(Request request) {
     Balancer.require(request != null, "a request must be given");
-    RequestClass type = node.classes.get(request.requestClass());
-    Balancer.require(type != null, "unknown class '" + request.requestClass() + "'");
-    int most = node.settings.permissions().maxAttempts();
-    Held h = new Held(request, type, most, node.now + request.timeLeftMicros());
-    Held known = node.requests.putIfAbsent(request.id(), h);
-    Balancer.require(known == null, "request " + request.id() + " is known");
-    return h;
+    RequestClass requestClass = node.classes.get(request.requestClass());
+    Balancer.require(requestClass != null, "unknown class '" + request.requestClass() + "'");
+    int maxAttempts = node.settings.permissions().maxAttempts();
+    ActiveRequest active =
+        new ActiveRequest(request, requestClass, maxAttempts, node.now + request.timeLeftMicros());
+    ActiveRequest known = node.requests.putIfAbsent(request.id(), active);
+    Balancer.require(known == null, "request " + request.id() + " is already active");
+    return active;
   }
 
-  private void wake(Held h, long delay) {
-    node.actions.startTimer(Math.max(1, delay), TOKEN_REQUEST + h.request.id());
+  private void startWakeTimer(ActiveRequest active, long delay) {
+    node.actions.startTimer(Math.max(1, delay), TOKEN_REQUEST + active.request.id());
   }
 
-  /** Sends a request to the next server in turn, or lets it wait for one, or answers it. */
-  private void place(Held h) {
-    h.awaited = 0;
-    long left = h.sendBy() - node.now - node.settings.timerResolutionMicros();
-    if (left <= 0
-        || h.attempts >= h.mostAttempts
-        || (h.attempts > 0 && !node.limits.retries.allows(node.now))
-        || node.limits.room.wait(h.request.tenant(), h.type.value(), node.now) > left) {
-      answer(h);
+  /** Queues a request until a server has capacity, or answers it if it cannot be sent in time. */
+  private void enqueueOrAnswer(ActiveRequest active) {
+    active.pendingProbes = 0;
+    long timeLeft = active.sendDeadline() - node.now - node.settings.timerResolutionMicros();
+    if (timeLeft <= 0
+        || active.attempts >= active.maxAttempts
+        || (active.attempts > 0 && !node.limits.retryBudget.allows(node.now))
+        || node.limits.waitingRoom.expectedWait(
+                active.request.tenant(), active.requestClass.value(), node.now)
+            > timeLeft) {
+      answerUnserved(active);
       return;
     }
-    Held out = node.limits.room.toTurnAway(h, h.request.tenant(), h.type.value());
-    if (out != null) {
-      answer(out);
-    }
-    if (out != h) {
-      // Whoever waits already goes first, if he is worth as much.
-      h.ticket =
-          node.limits.room.enter(h, h.request.tenant(), h.type.value(), h.deadline, node.now);
-      wake(h, left);
-      release();
+    ActiveRequest rejected =
+        node.limits.waitingRoom.chooseToReject(
+            active, active.request.tenant(), active.requestClass.value());
+    if (rejected != null) {
+      answerUnserved(rejected);
+    }
+    if (rejected != active) {
+      // The request joins the queue even if a server has capacity, so that it does not overtake
+      // queued requests of the same or a higher value.
+      active.ticket =
+          node.limits.waitingRoom.enter(
+              active,
+              active.request.tenant(),
+              active.requestClass.value(),
+              active.deadline,
+              node.now);
+      startWakeTimer(active, timeLeft);
+      releaseWaiting();
     }
   }
 
-  /** Lets out of the waiting room whom there are places for. */
-  private void release() {
-    while (node.limits.room.size() > 0 && node.limits.room.offer(this::letOut, HEADS, node.now)) {}
-    if (node.limits.room.size() > 0 && node.now >= releaseAt) {
-      releaseAt = node.now + RELEASE;
-      node.actions.startTimer(RELEASE, TOKEN_RELEASE);
+  /** Sends queued requests as long as servers have capacity for them. */
+  private void releaseWaiting() {
+    while (node.limits.waitingRoom.size() > 0
+        && node.limits.waitingRoom.offer(this::trySend, MAX_OFFERED_QUEUES, node.now)) {}
+    if (node.limits.waitingRoom.size() > 0 && node.now >= nextReleaseAt) {
+      nextReleaseAt = node.now + RELEASE_INTERVAL_MICROS;
+      node.actions.startTimer(RELEASE_INTERVAL_MICROS, TOKEN_RELEASE);
     }
   }
 
-  private boolean letOut(Held h) {
-    Server s = node.admission.find(h);
-    if (s == null || (h.attempts > 0 && !node.limits.retries.allows(node.now))) {
+  /** Sends a request to the next suitable server; returns false if no server has capacity. */
+  private boolean trySend(ActiveRequest active) {
+    Server s = node.admission.selectServer(active);
+    if (s == null || (active.attempts > 0 && !node.limits.retryBudget.allows(node.now))) {
       return false;
     }
-    h.ticket = null;
-    node.wheels.taken(s);
-    s.input++;
-    node.admission.coldTake(s, node.cost(h));
-    joined(h, s, false);
-    node.limits.sent(node.now, s.limits, h.attempts++ > 0);
-    h.at = s;
-    h.sentAt = node.now;
-    h.tried.add(s);
-    node.actions.send(h.request.id(), s.id, Math.min(h.deadline, node.now + patience(h)));
+    active.ticket = null;
+    node.roundRobin.advance(s);
+    s.recentPlacements++;
+    node.admission.takeColdSlot(s, node.relativeCost(active));
+    addLoad(active, s, false);
+    node.limits.setupSent(node.now, s.limits, active.attempts++ > 0);
+    active.server = s;
+    active.sentAt = node.now;
+    active.triedServers.add(s);
+    node.actions.send(
+        active.request.id(), s.id, Math.min(active.deadline, node.now + attemptTimeout(active)));
     return true;
   }
 
-  private void joined(Held h, Server s, boolean shown) {
-    h.added =
-        node.limits.joined(node.now, s.limits, node.cost(h), h.request.affinityGroup(), shown);
+  /** Accounts for the load that the request adds to the server. */
+  private void addLoad(ActiveRequest active, Server s, boolean reported) {
+    active.addedLoad =
+        node.limits.connectionAdded(
+            node.now,
+            s.limits,
+            node.relativeCost(active),
+            active.request.affinityGroup(),
+            reported);
   }
 
   /**
-   * How long an attempt is waited for: many times what servers take now, so that a lost request
-   * costs no whole deadline; attempts that were cut short of that were lost work, and tried again.
+   * Returns how long to wait for an attempt. For requests that may be repeated, this is a multiple
+   * of the current set-up time, so that a lost attempt does not use up the whole deadline.
+   * Otherwise the full remaining time is allowed: abandoning an attempt early wastes the server's
+   * work.
    */
-  private long patience(Held h) {
-    long left = h.deadline - node.now;
-    long usual = node.limits.patience.usual();
-    boolean more = h.attempts < h.mostAttempts;
-    boolean again = more && h.type.repeatability() == Repeatability.FREE && left > 2 * usual;
-    return again && node.limits.retries.allows(node.now) ? usual : left;
+  private long attemptTimeout(ActiveRequest active) {
+    long timeLeft = active.deadline - node.now;
+    long timeout = node.limits.attemptTimeout.timeoutMicros();
+    boolean hasAttemptsLeft = active.attempts < active.maxAttempts;
+    boolean mayRepeat =
+        hasAttemptsLeft
+            && active.requestClass.repeatability() == Repeatability.FREE
+            && timeLeft > 2 * timeout;
+    return mayRepeat && node.limits.retryBudget.allows(node.now) ? timeout : timeLeft;
   }
 
-  private void answer(Held h) {
-    boolean never = h.ranAt == null && h.at == null; // what is out may run
-    boolean dropped =
-        h.type.repeatability() == Repeatability.GUARDED
-            && h.type.deduplicationScope() == DeduplicationScope.ALL;
-    forget(h);
-    if (never || h.type.repeatability() == Repeatability.FREE || dropped) {
-      node.actions.refuse(h.request.id(), comeBack(h));
+  /** Gives the final answer: a refusal if a repeat is harmless, otherwise a failure. */
+  private void answerUnserved(ActiveRequest active) {
+    // An attempt in progress may still run on its server.
+    boolean neverRan = active.mayHaveRunServer == null && active.server == null;
+    boolean duplicatesAreDropped =
+        active.requestClass.repeatability() == Repeatability.GUARDED
+            && active.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+    forget(active);
+    if (neverRan
+        || active.requestClass.repeatability() == Repeatability.FREE
+        || duplicatesAreDropped) {
+      node.actions.refuse(active.request.id(), retryAfter(active));
     } else {
-      node.actions.fail(h.request.id());
+      node.actions.fail(active.request.id());
     }
   }
 
-  private long comeBack(Held h) {
-    long most = node.settings.permissions().maxRetryAfterMicros();
+  /** Returns the retry hint for a refusal, 0 if hints are not permitted. */
+  private long retryAfter(ActiveRequest active) {
+    long maxDelay = node.settings.permissions().maxRetryAfterMicros();
     return node.settings.permissions().retryAfter()
-        ? node.limits.room.comeBack(h.request.tenant(), h.type.value(), node.now, most)
+        ? node.limits.waitingRoom.retryDelay(
+            active.request.tenant(), active.requestClass.value(), node.now, maxDelay)
         : 0;
   }
 
-  /** The one place where a request is forgotten, and where what it still holds is given back. */
-  private void forget(Held h) {
-    node.requests.remove(h.request.id());
-    if (h.ticket != null) {
-      node.limits.room.leave(h.ticket);
-      h.ticket = null;
-    }
-    if (h.at != null) {
-      node.limits.left(node.now, h.at.limits, h.added, h.request.affinityGroup());
-      if (h.established) {
-        node.limits.gone(node.now, h.request.clientKey(), !h.request.midFlow());
+  /**
+   * Removes a request and releases every slot, budget and load it holds. No other method does so.
+   */
+  private void forget(ActiveRequest active) {
+    node.requests.remove(active.request.id());
+    if (active.ticket != null) {
+      node.limits.waitingRoom.leave(active.ticket);
+      active.ticket = null;
+    }
+    if (active.server != null) {
+      node.limits.connectionRemoved(
+          node.now, active.server.limits, active.addedLoad, active.request.affinityGroup());
+      if (active.established) {
+        node.limits.connectionEnded(
+            node.now, active.request.clientKey(), !active.request.midFlow());
       } else {
-        node.limits.ended(node.now, h.at.limits, Ending.CALLED_OFF);
-        h.at.limits.failed(node.now, Ending.CALLED_OFF);
+        node.limits.setupEnded(node.now, active.server.limits, SetupOutcome.CALLED_OFF);
+        active.server.limits.recordFailure(node.now, SetupOutcome.CALLED_OFF);
       }
     }
-    if (h.established && h.at.open.remove(h)) {
+    if (active.established && active.server.connections.remove(active)) {
       node.openConnections--;
-      node.limits.shares.closed(h.request.tenant());
+      node.limits.tenantShares.connectionClosed(active.request.tenant());
     }
   }
 
-  private void opened(Held h, Server s) {
-    h.established = true;
-    h.at = s;
-    s.open.add(h);
+  private void connectionOpened(ActiveRequest active, Server s) {
+    active.established = true;
+    active.server = s;
+    s.connections.add(active);
     node.openConnections++;
-    node.limits.shares.opened(h.request.tenant());
+    node.limits.tenantShares.connectionOpened(active.request.tenant());
   }
 
   @Override
   public void connectionResumed(long at, Request request, String server) {
     node.now = at;
-    Held h = held(request);
-    h.deadline = Long.MAX_VALUE;
-    h.attempts = 1;
-    opened(
-        h, node.servers.computeIfAbsent(server, name -> new Server(name, node.limits.join(name))));
-    joined(h, h.at, true);
+    ActiveRequest active = register(request);
+    active.deadline = Long.MAX_VALUE;
+    active.attempts = 1;
+    connectionOpened(
+        active,
+        node.servers.computeIfAbsent(
+            server, name -> new Server(name, node.limits.newServer(name))));
+    addLoad(active, active.server, true);
   }
 
   @Override
   public void connectionAccepted(long at, long id, int attempt, String server, long elapsed) {
     node.now = at;
-    Held h = node.requests.get(id);
-    if (h != null && h.at != null && !h.established && h.attempts == attempt + 1) {
-      node.limits.patience.accepted(elapsed);
-      node.limits.answered(at, h.at.limits, elapsed);
-      opened(h, h.at);
-      node.wheels.unpark(h.at);
-      release();
+    ActiveRequest active = node.requests.get(id);
+    if (active != null
+        && active.server != null
+        && !active.established
+        && active.attempts == attempt + 1) {
+      node.limits.attemptTimeout.recordAccepted(elapsed);
+      node.limits.setupAnswered(at, active.server.limits, elapsed);
+      connectionOpened(active, active.server);
+      node.roundRobin.unpark(active.server);
+      releaseWaiting();
     }
   }
 
@@ -248,25 +298,30 @@
   public void connectionMeasured(
       long at, long id, int attempt, String server, MeasurementKind kind, double value) {
     node.now = at;
-    Held h = node.requests.get(id);
-    if (h == null || !h.established) {
+    ActiveRequest active = node.requests.get(id);
+    if (active == null || !active.established) {
       return;
     }
     if (kind == MeasurementKind.LOAD) {
-      h.load = value >= 0 && value < 1e12 ? value : h.load;
-      node.limits.estimate.told(h.type.name(), h.load / SECOND);
-    } else if (h.at.strain.note(at, value * MS > h.type.messageDelayGoalMicros())) {
-      overloaded(h.at);
+      active.load = value >= 0 && value < 1e12 ? value : active.load;
+      node.limits.loadEstimate.recordLoad(active.requestClass.name(), active.load / SECOND);
+    } else if (active.server.overloadDetector.recordMessage(
+        at, value * MS > active.requestClass.messageDelayGoalMicros())) {
+      recordOverload(active.server);
     }
   }
 
-  /** A deep probe waits like a request: overloaded servers turn it away and send no report. */
-  private void overloaded(Server s) {
-    s.metrics[Weights.LOAD] = s.load() > FULL_LOAD ? s.load() : FULL_LOAD;
-    s.reportAt = node.now;
-    s.limits.reported(node.now, s.load(), Double.NaN);
+  /**
+   * Treats a server as overloaded. An overloaded server answers messages late, or rejects probes as
+   * full and then sends no load report.
+   */
+  private void recordOverload(Server s) {
+    s.metrics[Weights.LOAD] =
+        s.reportedLoad() > OVERLOADED_LOAD ? s.reportedLoad() : OVERLOADED_LOAD;
+    s.reportedAt = node.now;
+    s.limits.recordReport(node.now, s.reportedLoad(), Double.NaN);
     node.weights.recompute(s);
-    relieve(s);
+    shedLoad(s);
   }
 
   @Override
@@ -275,69 +330,76 @@
     Balancer.require(outcome != null, "an outcome must be given");
     Server s = node.servers.get(outcome.server());
     if (s != null && !outcome.report().isEmpty()) {
-      node.weights.report(s, outcome.report());
+      node.weights.recordReport(s, outcome.report());
     }
-    Held h = node.requests.get(outcome.id());
-    if (h == null || outcome.attempt() != h.attempts - 1) {
+    ActiveRequest active = node.requests.get(outcome.id());
+    if (active == null || outcome.attempt() != active.attempts - 1) {
       return;
     }
-    Server was = h.at;
-    Ending how = outcome.status().setupOutcome;
-    if (how == Ending.TIMED_OUT && node.limits.patience.tooShort(outcome.elapsedMicros())) {
-      how = Ending.CALLED_OFF; // its deadline left it no time: that tells nothing of the server
-    } else if (how == Ending.CALLED_OFF && !h.established && !outcome.closed()) {
-      how = Ending.REFUSED; // a server that drains sends its clients away
-    }
-    if (!h.established) {
-      node.limits.ended(at, was.limits, how);
-      node.limits.left(at, was.limits, h.added, h.request.affinityGroup());
-      h.at = null;
-    }
-    long rest = was.limits.failed(at, how);
-    node.wheels.unpark(was);
-    if (rest > Outliers.FIRST) {
-      node.say(was.id + " goes on failing: it rests for " + rest / MS + " ms");
-    }
-    if (how == Ending.TIMED_OUT) {
-      node.limits.patience.timedOut(outcome.elapsedMicros());
-    }
-    if (outcome.closed() || h.established) {
+    Server server = active.server;
+    SetupOutcome setupOutcome = outcome.status().setupOutcome;
+    if (setupOutcome == SetupOutcome.TIMED_OUT
+        && node.limits.attemptTimeout.isInconclusive(outcome.elapsedMicros())) {
+      // The deadline left the server too little time, so the time-out says nothing about it.
+      setupOutcome = SetupOutcome.CALLED_OFF;
+    } else if (setupOutcome == SetupOutcome.CALLED_OFF
+        && !active.established
+        && !outcome.closed()) {
+      // A draining server closes attempts before it accepts them.
+      setupOutcome = SetupOutcome.REFUSED;
+    }
+    if (!active.established) {
+      node.limits.setupEnded(at, server.limits, setupOutcome);
+      node.limits.connectionRemoved(
+          at, server.limits, active.addedLoad, active.request.affinityGroup());
+      active.server = null;
+    }
+    long ejection = server.limits.recordFailure(at, setupOutcome);
+    node.roundRobin.unpark(server);
+    if (ejection > OutlierDetector.MIN_EJECTION_MICROS) {
+      node.logRateLimited(server.id + " keeps failing; ejected for " + ejection / MS + " ms");
+    }
+    if (setupOutcome == SetupOutcome.TIMED_OUT) {
+      node.limits.attemptTimeout.recordTimeout(outcome.elapsedMicros());
+    }
+    if (outcome.closed() || active.established) {
       boolean broken = outcome.status() == Status.RESET || outcome.status() == Status.CANCELLED;
-      if (h.established && broken) {
-        node.limits.sentAway(at);
+      if (active.established && broken) {
+        node.limits.connectionClosedByServer(at);
       }
-      forget(h);
-      release();
+      forget(active);
+      releaseWaiting();
       return;
     }
-    if (!outcome.status().neverRan && h.ranAt == null) {
-      h.ranAt = was;
-      h.ranSent = h.sentAt;
+    if (!outcome.status().neverRan && active.mayHaveRunServer == null) {
+      active.mayHaveRunServer = server;
+      active.mayHaveRunSentAt = active.sentAt;
     }
-    if (outcome.status() == Status.CONNECT_FAILED && was.state == State.READY) {
-      node.probing.quiesce(was);
-      node.probing.probe(was);
+    if (outcome.status() == Status.CONNECT_FAILED && server.state == State.READY) {
+      node.probing.quiesce(server);
+      node.probing.probe(server);
     }
-    place(h);
-    release();
+    enqueueOrAnswer(active);
+    releaseWaiting();
   }
 
   @Override
   public void requestWithdrawn(long at, long id) {
-    end(at, id, this::forget);
+    finish(at, id, this::forget);
   }
 
   @Override
   public void answerNow(long at, long id) {
-    end(at, id, this::answer);
+    finish(at, id, this::answerUnserved);
   }
 
-  private void end(long at, long id, Consumer<Held> how) {
+  /** Ends an active request by the given action and reuses the released capacity. */
+  private void finish(long at, long id, Consumer<ActiveRequest> action) {
     node.now = at;
-    Held h = node.requests.get(id);
-    if (h != null) {
-      how.accept(h);
-      release();
+    ActiveRequest active = node.requests.get(id);
+    if (active != null) {
+      action.accept(active);
+      releaseWaiting();
     }
   }
 
@@ -349,51 +411,55 @@
     } else if (token == TOKEN_WATCH) {
       node.actions.watchDiscovery(true);
     } else if (token == TOKEN_RELEASE) {
-      node.probing.renew();
-      node.wheels.unpark();
-      release();
+      node.probing.refreshReports();
+      node.roundRobin.unpark();
+      releaseWaiting();
     } else {
-      Held h = node.requests.get(token - TOKEN_REQUEST);
-      boolean due = h != null && h.sendBy() - node.now <= node.settings.timerResolutionMicros();
-      if (h != null && h.at == null && (due || h.awaited > 0)) {
-        place(h);
+      ActiveRequest active = node.requests.get(token - TOKEN_REQUEST);
+      boolean isDue =
+          active != null
+              && active.sendDeadline() - node.now <= node.settings.timerResolutionMicros();
+      if (active != null && active.server == null && (isDue || active.pendingProbes > 0)) {
+        enqueueOrAnswer(active);
       }
     }
   }
 
+  /** Recomputes weights and limits and sends the due probes, once per {@link Node#TICK_MICROS}. */
   private void tick() {
-    node.actions.startTimer(Node.INTERVAL, TOKEN_TICK);
-    node.admission.look();
+    node.actions.startTimer(Node.TICK_MICROS, TOKEN_TICK);
+    node.admission.adjustScope();
     node.probing.tick();
     measure();
     node.weights.recompute();
-    node.wheels.unpark();
+    node.roundRobin.unpark();
     if (limits().isLimiting()) {
-      node.say("limits bind: " + limits().summary());
+      node.logRateLimited("limits in effect: " + limits().summary());
     }
-    release();
+    releaseWaiting();
   }
 
   private void measure() {
     double mean = node.weights.meanLoad();
-    node.limits.measure(node.now, mean, node.openConnections, node.limits.division.nodes(node.now));
+    node.limits.measure(
+        node.now, mean, node.openConnections, node.limits.budgetDivision.participants(node.now));
   }
 
   @Override
   public void updateBudgetShare(long at, BudgetShare share) {
     node.now = at;
     Balancer.require(share != null, "a share must be given");
-    if (node.admission.share(share)) {
-      release();
+    if (node.admission.updateShare(share)) {
+      releaseWaiting();
     }
   }
 
   @Override
   public void assignServers(long at, Set<String> servers) {
     node.now = at;
-    node.own = servers;
-    node.servers.values().forEach(s -> s.own = servers == null || servers.contains(s.id));
-    node.limits.noRoom.forget();
+    node.subset = servers;
+    node.servers.values().forEach(s -> s.inSubset = servers == null || servers.contains(s.id));
+    node.limits.noCapacityCache.clear();
   }
 
   @Override
@@ -401,17 +467,26 @@
     return node.limits.snapshot(node.now);
   }
 
-  /** Every node that holds some sees the same report, so each moves the share that is too much. */
-  private void relieve(Server s) {
+  /**
+   * Moves connections off an overloaded server. Every node with connections there sees the same
+   * report, so each one moves the same share of its own connections.
+   */
+  private void shedLoad(Server s) {
     double share =
-        s.open.isEmpty() ? 0 : Shedding.share(s.load(), node.limits.spare(node.now, s.limits));
-    if (share > 0 && s.moving.over(node.now)) {
-      ToDoubleFunction<Held> worth =
-          h -> node.limits.worthAt(s.limits, node.value(h), h.request.affinityGroup());
-      ToDoubleFunction<Held> load = h -> Math.max(1, h.load);
-      for (Held h : Shedding.choose(s.open, share, load, worth, node.random::nextDouble)) {
-        forget(h);
-        node.actions.move(h.request.id());
+        s.connections.isEmpty()
+            ? 0
+            : Shedding.excessShare(s.reportedLoad(), node.limits.spareCapacity(node.now, s.limits));
+    if (share > 0 && s.shedInterval.tryAcquire(node.now)) {
+      ToDoubleFunction<ActiveRequest> valueLost =
+          active ->
+              node.limits.valueLostByMoving(
+                  s.limits, node.relativeValue(active), active.request.affinityGroup());
+      ToDoubleFunction<ActiveRequest> load = active -> Math.max(1, active.load);
+      for (ActiveRequest active :
+          Shedding.chooseConnections(
+              s.connections, share, load, valueLost, node.random::nextDouble)) {
+        forget(active);
+        node.actions.move(active.request.id());
       }
     }
   }
@@ -425,32 +500,35 @@
     if (s == null) {
       return;
     }
-    s.probing = false;
+    s.probePending = false;
     if (status == Status.OK) {
-      s.limits.record.probed(at);
-      node.weights.report(s, row);
-      node.weights.answered(s, elapsed);
+      s.limits.outlierRecord.recordProbeAnswer(at);
+      node.weights.recordReport(s, row);
+      node.weights.recordProbeLatency(s, elapsed);
       node.probing.restore(s);
       node.weights.recompute(s);
-      relieve(s);
+      shedLoad(s);
     } else if (status == Status.FULL) {
-      overloaded(s);
+      recordOverload(s);
     } else if (status == Status.TIMEOUT || status == Status.CONNECT_FAILED) {
       node.probing.quiesce(s);
     } else {
-      // It begins to drain, before the list tells: left due, it took up all the probes.
-      s.restUntil = node.now + PROBE_REST;
-      s.askFrom = node.now + 5 * PROBE_REST;
-    }
-    node.wheels.unpark(s);
-    List<Held> waiting = List.copyOf(s.waiting);
-    s.waiting.clear();
-    for (Held h : waiting) {
-      if (--h.awaited == 0 && node.requests.get(h.request.id()) == h && h.at == null) {
-        place(h);
+      // The server is about to drain and discovery has not reported it yet. Without this pause, the
+      // server stayed next in turn and used up the probe budget.
+      s.noPlacementsUntil = node.now + PROBE_ERROR_PAUSE_MICROS;
+      s.noProbesUntil = node.now + 5 * PROBE_ERROR_PAUSE_MICROS;
+    }
+    node.roundRobin.unpark(s);
+    List<ActiveRequest> waiting = List.copyOf(s.requestsAwaitingProbe);
+    s.requestsAwaitingProbe.clear();
+    for (ActiveRequest active : waiting) {
+      if (--active.pendingProbes == 0
+          && node.requests.get(active.request.id()) == active
+          && active.server == null) {
+        enqueueOrAnswer(active);
       }
     }
-    release();
+    releaseWaiting();
   }
 
   @Override
@@ -458,13 +536,14 @@
     node.now = at;
     Balancer.require(kind != null && entries != null, "a list needs a kind and entries");
     if (kind != ListKind.FAILED) {
-      watchWait = kind == ListKind.CACHED ? watchWait : 2 * SECOND;
-      fleet.take(kind, entries);
+      watchRetryDelay = kind == ListKind.CACHED ? watchRetryDelay : 2 * SECOND;
+      serverList.apply(kind, entries);
       measure();
-      release();
+      releaseWaiting();
     } else if (node.settings.pullsDiscovery()) {
-      node.actions.startTimer(watchWait / 2 + node.random.nextLong(watchWait), TOKEN_WATCH);
-      watchWait = Math.min(16 * SECOND, 2 * watchWait);
+      node.actions.startTimer(
+          watchRetryDelay / 2 + node.random.nextLong(watchRetryDelay), TOKEN_WATCH);
+      watchRetryDelay = Math.min(16 * SECOND, 2 * watchRetryDelay);
     }
   }
 }
--- a/src/main/java/ashspar/Server.java
+++ b/src/main/java/ashspar/Server.java
@@ -2,15 +2,15 @@
 
 import ashspar.Balancer.State;
 import ashspar.limits.ColdShare;
-import ashspar.limits.Pause;
+import ashspar.limits.IntervalLimiter;
+import ashspar.limits.OverloadDetector;
 import ashspar.limits.ServerLimits;
-import ashspar.limits.Strain;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 
-/** What this node knows of one server. */
+/** The state that this node keeps for one server. Times are microseconds on the module's clock. */
 final class Server {
   final String id;
   final ServerLimits limits;
@@ -18,46 +18,55 @@
   int cell;
   State state = State.GONE;
   double size = 1;
-  long since;
+  long startedAt;
 
-  /** Committed weight; the mean of all is about 1, 0 means quiesced. */
+  /** The weight in effect. The mean over all servers is about 1; 0 means quiesced. */
   double weight;
 
+  /** The load metric index of the last two computations. */
   double index = 1;
+
   double previousIndex = 1;
 
-  /** Virtual time of this server's next turn, and its place in the wheel; null while out of it. */
-  double turn;
+  /** The server's next turn in virtual time, and its entry in the schedule, null if it has none. */
+  double nextTurn;
 
-  Wheels.Turn place;
+  WeightedRoundRobin.Turn scheduledTurn;
 
-  /** Out of the wheel, since it can take nothing at all. */
+  /** Whether the server is left out of the schedule because it cannot take any request. */
   boolean parked;
 
-  long reportAt = Long.MIN_VALUE / 2;
+  long reportedAt = Long.MIN_VALUE / 2;
 
-  /** As reported, by the order in {@link Weights}; NaN where not told. */
+  /** The reported metrics in the order of the constants of {@link Weights}; NaN where unknown. */
   final double[] metrics = {Double.NaN, Double.NaN, Double.NaN};
 
-  double input;
+  /** This node's placements on the server, decayed by 20 percent per tick. */
+  double recentPlacements;
+
   boolean quiesced;
-  boolean probing;
-  boolean own = true; // one that this node asks, and places at first
-  ColdShare coldShare; // of what it may be sent while it warms up
-  final Pause moving = new Pause(3 * Node.SECOND / 2); // until a report shows the last move
-  long restUntil;
-  long askFrom; // not probed before
-  final Strain strain = new Strain();
+  boolean probePending;
+  boolean inSubset = true; // probed regularly and preferred for placements
+  ColdShare coldShare; // this node's share of what the server may be sent while it warms up
+  // Long enough for a report to show the previous move.
+  final IntervalLimiter shedInterval = new IntervalLimiter(3 * Node.SECOND / 2);
+
+  /** No request is sent before this time, and no probe before {@link #noProbesUntil}. */
+  long noPlacementsUntil;
+
+  long noProbesUntil;
+  final OverloadDetector overloadDetector = new OverloadDetector();
 
-  final List<Held> waiting = new ArrayList<>(); // for the answer to a probe
-  final Set<Held> open = new LinkedHashSet<>(); // own connections that stand here
+  // Requests that wait for the answer to a probe.
+  final List<ActiveRequest> requestsAwaitingProbe = new ArrayList<>();
+  final Set<ActiveRequest> connections = new LinkedHashSet<>(); // open connections of this node
 
   Server(String id, ServerLimits limits) {
     this.id = id;
     this.limits = limits;
   }
 
-  double load() {
+  double reportedLoad() {
     return metrics[Weights.LOAD];
   }
 }
