--- a/src/test/java/brassbank/UpgradeTest.java
+++ b/src/test/java/brassbank/UpgradeTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import com.sun.net.httpserver.HttpExchange;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.ArrayList;
@@ -58,11 +59,54 @@
   private Process upgrade() throws Exception {
     Process predecessor = fixture.startSuccessor();
     started.add(predecessor);
-    ProxyFixture.sendLine(fixture.nextWatch(), ProxyFixture.targetList(2, true, "SERVING", target));
-    fixture.awaitServing();
+    awaitServing();
     return predecessor;
   }
 
+  /** Waits until the newest process accepts clients, while discovery answers its calls. */
+  private void awaitServing() throws Exception {
+    Thread discovery = answerDiscoveryCalls();
+    try {
+      fixture.awaitServing();
+    } finally {
+      stop(discovery);
+    }
+  }
+
+  /**
+   * Starts a thread that answers each call to discovery with the target list. On a slow machine the
+   * predecessor renews a watch that has been silent for 2.5 s, so the next call may be its own and
+   * not the successor's.
+   */
+  private Thread answerDiscoveryCalls() {
+    Thread discovery =
+        new Thread(
+            () -> {
+              try {
+                while (true) {
+                  answer(fixture.watches.take());
+                }
+              } catch (InterruptedException e) {
+                // The test has stopped the thread.
+              }
+            });
+    discovery.start();
+    return discovery;
+  }
+
+  private void answer(HttpExchange call) {
+    try {
+      ProxyFixture.sendLine(call, ProxyFixture.targetList(2, true, "SERVING", target));
+    } catch (IOException e) {
+      // The process that made this call has closed it, and has made another one.
+    }
+  }
+
+  private static void stop(Thread discovery) throws InterruptedException {
+    discovery.interrupt();
+    discovery.join();
+  }
+
   private static void terminate(Process process) throws Exception {
     new ProcessBuilder("sh", "-c", "kill -TERM " + process.pid()).start().waitFor();
   }
@@ -112,12 +156,15 @@
     Process predecessor = upgrade();
     assertThat(fixture.connectClient("feed", "d=4000").line()).startsWith("ERR");
     fixture.managementCall("PUT /standby");
-    fixture.startSuccessor();
-    started.add(predecessor);
-    ProxyFixture.sendLine(fixture.nextWatch(), ProxyFixture.targetList(2, true, "SERVING", target));
-    for (int i = 0; !fixture.isOnStandby(); i++) {
-      assertThat(i).as("polls of the second successor").isLessThan(500);
-      Thread.sleep(10);
+    started.add(fixture.startSuccessor());
+    Thread discovery = answerDiscoveryCalls();
+    try {
+      for (int i = 0; !fixture.isOnStandby(); i++) {
+        assertThat(i).as("polls of the second successor").isLessThan(500);
+        Thread.sleep(10);
+      }
+    } finally {
+      stop(discovery);
     }
     assertThat(fixture.managementCall("GET /status")).startsWith("HTTP/1.1 503");
     assertThat(fixture.managementCall("PUT /active")).startsWith("HTTP/1.1 200");
@@ -131,8 +178,7 @@
     connectServedClient();
     // The next process takes a new number and is not misled by what the killed one has left.
     fixture.startSuccessor();
-    ProxyFixture.sendLine(fixture.nextWatch(), ProxyFixture.targetList(2, true, "SERVING", target));
-    fixture.awaitServing();
+    awaitServing();
     terminate(predecessor);
     assertThat(endsInTime(predecessor)).isTrue();
     connectServedClient();
