--- a/src/main/java/ashspar/Balancer.java
+++ b/src/main/java/ashspar/Balancer.java
@@ -442,7 +442,7 @@
    * @param reportFields the fields of a load report, in their order
    * @param sizeMeaning the meaning of the size in server entries
    * @param pullsDiscovery whether the node must subscribe to changes of the server list
-   * @param passThrough whether connections pass through the node
+   * @param passThrough whether the node runs in pass-through mode; not used by this module
    * @param overShareValue the factor applied to the value of requests of tenants over their share
    * @param timerResolutionMicros the resolution of the node's timers
    * @param reportsDelay whether measurements of kind {@code DELAY} are reported
--- a/src/main/java/ashspar/Policy.java
+++ b/src/main/java/ashspar/Policy.java
@@ -63,22 +63,22 @@
   }
 
   @Override
-  public void updateSettings(long at, Settings changed) {
-    node.now = at;
+  public void updateSettings(long now, Settings changed) {
+    node.now = now;
     Balancer.require(changed != null, "settings must be given");
     node.configure(changed);
   }
 
   @Override
-  public void requestReceived(long at, Request request) {
-    node.now = at;
+  public void requestReceived(long now, Request request) {
+    node.now = now;
     ActiveRequest active = register(request);
     boolean first = !request.midFlow() && !request.reconnecting() && !request.retry();
     node.firstRequests += first ? 1 : 0;
     node.limits.requestValues.recordHint(request.loadHint());
-    node.limits.retryBudget.recordRequest(at);
+    node.limits.retryBudget.recordRequest(now);
     if (request.reconnecting()) {
-      node.limits.clientReconnected(at, request.clientKey());
+      node.limits.clientReconnected(now, request.clientKey());
     }
     node.limits.probeBudget.earn(node.settings.prices().probe(), request.retry());
     // Close to the deadline, probes are skipped: a request that waited for one was never answered.
@@ -266,8 +266,8 @@
   }
 
   @Override
-  public void connectionResumed(long at, Request request, String server) {
-    node.now = at;
+  public void connectionResumed(long now, Request request, String server) {
+    node.now = now;
     ActiveRequest active = register(request);
     active.deadline = Long.MAX_VALUE;
     active.attempts = 1;
@@ -279,15 +279,15 @@
   }
 
   @Override
-  public void connectionAccepted(long at, long id, int attempt, String server, long elapsed) {
-    node.now = at;
+  public void connectionAccepted(long now, long id, int attempt, String server, long elapsed) {
+    node.now = now;
     ActiveRequest active = node.requests.get(id);
     if (active != null
         && active.server != null
         && !active.established
         && active.attempts == attempt + 1) {
       node.limits.attemptTimeout.recordAccepted(elapsed);
-      node.limits.setupAnswered(at, active.server.limits, elapsed);
+      node.limits.setupAnswered(now, active.server.limits, elapsed);
       connectionOpened(active, active.server);
       node.roundRobin.unpark(active.server);
       releaseWaiting();
@@ -296,8 +296,8 @@
 
   @Override
   public void connectionMeasured(
-      long at, long id, int attempt, String server, MeasurementKind kind, double value) {
-    node.now = at;
+      long now, long id, int attempt, String server, MeasurementKind kind, double value) {
+    node.now = now;
     ActiveRequest active = node.requests.get(id);
     if (active == null || !active.established) {
       return;
@@ -306,7 +306,7 @@
       active.load = value >= 0 && value < 1e12 ? value : active.load;
       node.limits.loadEstimate.recordLoad(active.requestClass.name(), active.load / SECOND);
     } else if (active.server.overloadDetector.recordMessage(
-        at, value * MS > active.requestClass.messageDelayGoalMicros())) {
+        now, value * MS > active.requestClass.messageDelayGoalMicros())) {
       recordOverload(active.server);
     }
   }
@@ -325,8 +325,8 @@
   }
 
   @Override
-  public void attemptEnded(long at, Outcome outcome) {
-    node.now = at;
+  public void attemptEnded(long now, Outcome outcome) {
+    node.now = now;
     Balancer.require(outcome != null, "an outcome must be given");
     Server s = node.servers.get(outcome.server());
     if (s != null && !outcome.report().isEmpty()) {
@@ -349,12 +349,12 @@
       setupOutcome = SetupOutcome.REFUSED;
     }
     if (!active.established) {
-      node.limits.setupEnded(at, server.limits, setupOutcome);
+      node.limits.setupEnded(now, server.limits, setupOutcome);
       node.limits.connectionRemoved(
-          at, server.limits, active.addedLoad, active.request.affinityGroup());
+          now, server.limits, active.addedLoad, active.request.affinityGroup());
       active.server = null;
     }
-    long ejection = server.limits.recordFailure(at, setupOutcome);
+    long ejection = server.limits.recordFailure(now, setupOutcome);
     node.roundRobin.unpark(server);
     if (ejection > OutlierDetector.MIN_EJECTION_MICROS) {
       node.logRateLimited(server.id + " keeps failing; ejected for " + ejection / MS + " ms");
@@ -365,7 +365,7 @@
     if (outcome.closed() || active.established) {
       boolean broken = outcome.status() == Status.RESET || outcome.status() == Status.CANCELLED;
       if (active.established && broken) {
-        node.limits.connectionClosedByServer(at);
+        node.limits.connectionClosedByServer(now);
       }
       forget(active);
       releaseWaiting();
@@ -384,18 +384,18 @@
   }
 
   @Override
-  public void requestWithdrawn(long at, long id) {
-    finish(at, id, this::forget);
+  public void requestWithdrawn(long now, long id) {
+    finish(now, id, this::forget);
   }
 
   @Override
-  public void answerNow(long at, long id) {
-    finish(at, id, this::answerUnserved);
+  public void answerNow(long now, long id) {
+    finish(now, id, this::answerUnserved);
   }
 
   /** Ends an active request by the given action and reuses the released capacity. */
-  private void finish(long at, long id, Consumer<ActiveRequest> action) {
-    node.now = at;
+  private void finish(long now, long id, Consumer<ActiveRequest> action) {
+    node.now = now;
     ActiveRequest active = node.requests.get(id);
     if (active != null) {
       action.accept(active);
@@ -404,8 +404,8 @@
   }
 
   @Override
-  public void timerExpired(long at, long token) {
-    node.now = at;
+  public void timerExpired(long now, long token) {
+    node.now = now;
     if (token == TOKEN_TICK) {
       tick();
     } else if (token == TOKEN_WATCH) {
@@ -446,8 +446,8 @@
   }
 
   @Override
-  public void updateBudgetShare(long at, BudgetShare share) {
-    node.now = at;
+  public void updateBudgetShare(long now, BudgetShare share) {
+    node.now = now;
     Balancer.require(share != null, "a share must be given");
     if (node.admission.updateShare(share)) {
       releaseWaiting();
@@ -455,8 +455,8 @@
   }
 
   @Override
-  public void assignServers(long at, Set<String> servers) {
-    node.now = at;
+  public void assignServers(long now, Set<String> servers) {
+    node.now = now;
     node.subset = servers;
     node.servers.values().forEach(s -> s.inSubset = servers == null || servers.contains(s.id));
     node.limits.noCapacityCache.clear();
@@ -493,8 +493,8 @@
 
   @Override
   public void probeCompleted(
-      long at, String server, Status status, long elapsed, List<Double> row) {
-    node.now = at;
+      long now, String server, Status status, long elapsed, List<Double> report) {
+    node.now = now;
     Balancer.require(status != null, "a probe's answer needs a status");
     Server s = node.servers.get(server);
     if (s == null) {
@@ -502,8 +502,8 @@
     }
     s.probePending = false;
     if (status == Status.OK) {
-      s.limits.outlierRecord.recordProbeAnswer(at);
-      node.weights.recordReport(s, row);
+      s.limits.outlierRecord.recordProbeAnswer(now);
+      node.weights.recordReport(s, report);
       node.weights.recordProbeLatency(s, elapsed);
       node.probing.restore(s);
       node.weights.recompute(s);
@@ -532,8 +532,8 @@
   }
 
   @Override
-  public void updateServers(long at, ListKind kind, List<ServerEntry> entries) {
-    node.now = at;
+  public void updateServers(long now, ListKind kind, List<ServerEntry> entries) {
+    node.now = now;
     Balancer.require(kind != null && entries != null, "a list needs a kind and entries");
     if (kind != ListKind.FAILED) {
       watchRetryDelay = kind == ListKind.CACHED ? watchRetryDelay : 2 * SECOND;
--- a/src/main/java/ashspar/Server.java
+++ b/src/main/java/ashspar/Server.java
@@ -41,7 +41,7 @@
   /** The reported metrics in the order of the constants of {@link Weights}; NaN where unknown. */
   final double[] metrics = {Double.NaN, Double.NaN, Double.NaN};
 
-  /** This node's placements on the server, decayed by 20 percent per tick. */
+  /** This node's placements on the server, decayed by 20 percent at each recomputation. */
   double recentPlacements;
 
   boolean quiesced;
--- a/src/main/java/ashspar/ServerList.java
+++ b/src/main/java/ashspar/ServerList.java
@@ -13,7 +13,7 @@
 /** Follows discovery's list of servers: servers that join, restart, drain or are removed. */
 final class ServerList {
   // Start times vary by less than this when they are converted between clocks.
-  private static final long SAME_START = 100 * Node.MS;
+  private static final long START_TOLERANCE_MICROS = 100 * Node.MS;
 
   private final Node node;
   private boolean hasServers;
@@ -60,7 +60,7 @@
     s.zone = entry.zone();
     s.cell = entry.cell();
     s.size = entry.size() > 0 && entry.size() < 1e9 ? entry.size() : s.size;
-    boolean restarted = entry.startedAtMicros() > s.startedAt + SAME_START;
+    boolean restarted = entry.startedAtMicros() > s.startedAt + START_TOLERANCE_MICROS;
     s.startedAt = entry.startedAtMicros();
     if (entry.state() == State.DRAINING) {
       withdraw(s, State.DRAINING);
--- a/src/main/java/ashspar/Weights.java
+++ b/src/main/java/ashspar/Weights.java
@@ -105,8 +105,8 @@
   }
 
   /** Records a load report of a server. */
-  void recordReport(Server s, List<Double> row) {
-    if (row.isEmpty()) {
+  void recordReport(Server s, List<Double> report) {
+    if (report.isEmpty()) {
       return;
     }
     s.reportedAt = node.now;
@@ -114,7 +114,7 @@
       recordMetric(
           s,
           m,
-          MetricMeans.fieldValue(row, fields[m]),
+          MetricMeans.fieldValue(report, fields[m]),
           1.0 / Math.min(12, Math.max(4, node.readyServers.size())));
     }
     s.limits.recordReport(node.now, s.metrics[LOAD], s.metrics[BACKLOG]);
@@ -129,9 +129,9 @@
     }
   }
 
-  private void recordMetric(Server s, int m, double value, double share) {
+  private void recordMetric(Server s, int m, double value, double weight) {
     s.metrics[m] = value;
-    means.record(m, value, share);
+    means.record(m, value, weight);
   }
 
   /**
--- a/src/main/java/ashspar/limits/ColdShare.java
+++ b/src/main/java/ashspar/limits/ColdShare.java
@@ -26,12 +26,12 @@
   /**
    * Creates an equal share.
    *
-   * @param turn this node's rank plus the server's ordering hash, so that different servers begin
+   * @param offset this node's rank plus the server's ordering hash, so that different servers begin
    *     with different nodes
    * @param nodes the number of nodes, at least 1
    */
-  public ColdShare(int turn, int nodes) {
-    this((double) Math.floorMod(turn, Math.max(1, nodes)), Math.max(1, nodes));
+  public ColdShare(int offset, int nodes) {
+    this((double) Math.floorMod(offset, Math.max(1, nodes)), Math.max(1, nodes));
   }
 
   /**
--- a/src/main/java/ashspar/limits/MetricMeans.java
+++ b/src/main/java/ashspar/limits/MetricMeans.java
@@ -50,11 +50,11 @@
   }
 
   /** Returns a field of a load report, NaN if it is absent or implausible. */
-  public static double fieldValue(List<Double> row, int field) {
-    if (field < 0 || field >= row.size()) {
+  public static double fieldValue(List<Double> report, int field) {
+    if (field < 0 || field >= report.size()) {
       return Double.NaN;
     }
-    double value = row.get(field);
+    double value = report.get(field);
     return value >= 0 && value < MAX_PLAUSIBLE ? value : Double.NaN;
   }
 }
--- a/src/main/java/ashspar/limits/OutlierDetector.java
+++ b/src/main/java/ashspar/limits/OutlierDetector.java
@@ -129,11 +129,11 @@
      * breaks its remaining connections, and an ejection that never ends would permanently use up
      * the share of the fleet that may be ejected.
      */
-    public void setListed(boolean on) {
-      if (!on) {
+    public void setListed(boolean isListed) {
+      if (!isListed) {
         reset();
       }
-      listed = on;
+      listed = isListed;
     }
 
     /** Clears the record when the server has restarted. */
--- a/src/main/java/ashspar/limits/PeerPlacements.java
+++ b/src/main/java/ashspar/limits/PeerPlacements.java
@@ -53,10 +53,10 @@
 
   /** Returns the {@link #total} at a past time, or at the oldest change kept if that is later. */
   public long totalAt(long time) {
-    Iterator<long[]> back = changes.descendingIterator();
-    long[] change = back.next();
-    while (change[0] > time && back.hasNext()) {
-      change = back.next();
+    Iterator<long[]> iterator = changes.descendingIterator();
+    long[] change = iterator.next();
+    while (change[0] > time && iterator.hasNext()) {
+      change = iterator.next();
     }
     return change[1];
   }
--- a/src/main/java/ashspar/limits/ServerLimits.java
+++ b/src/main/java/ashspar/limits/ServerLimits.java
@@ -18,12 +18,12 @@
   private static final long REPORT_EXPIRY_MICROS = 12_000_000;
 
   /** The number of consecutive failures that ejects a server, by the kind of failure. */
-  private static final int FAILURES_HARD = 1;
+  private static final int REFUSALS_TO_EJECT = 1;
 
-  private static final int FAILURES_TIMEOUT = 2;
+  private static final int TIMEOUTS_TO_EJECT = 2;
 
   /** A single request may cause several errors of its own, so they weigh less. */
-  private static final int FAILURES_ERROR = 3;
+  private static final int ERRORS_TO_EJECT = 3;
 
   public final SetupLimit setups = new SetupLimit(false);
   public final AffinityGroups groups;
@@ -44,12 +44,15 @@
   private double peerLoadPerPlacement;
 
   ServerLimits(
-      String id, OutlierDetector outliers, NoCapacityCache noRoom, PeerPlacements elsewhere) {
-    this.peerPlacements = elsewhere;
-    reportedPlacements = elsewhere.total();
+      String id,
+      OutlierDetector outlierDetector,
+      NoCapacityCache noCapacityCache,
+      PeerPlacements peerPlacements) {
+    this.peerPlacements = peerPlacements;
+    reportedPlacements = peerPlacements.total();
     groups = new AffinityGroups(id);
-    outlierRecord = outliers.newRecord();
-    this.noCapacityCache = noRoom;
+    outlierRecord = outlierDetector.newRecord();
+    this.noCapacityCache = noCapacityCache;
   }
 
   /** Resets the limits after a restart of the server. {@code cores} is its size, 0 if unknown. */
@@ -163,9 +166,9 @@
    */
   public long recordFailure(long now, SetupOutcome outcome) {
     return switch (outcome) {
-      case REFUSED, BROKE -> outlierRecord.recordFailure(now, FAILURES_HARD);
-      case TIMED_OUT -> outlierRecord.recordFailure(now, FAILURES_TIMEOUT);
-      case ERROR -> outlierRecord.recordFailure(now, FAILURES_ERROR);
+      case REFUSED, BROKE -> outlierRecord.recordFailure(now, REFUSALS_TO_EJECT);
+      case TIMED_OUT -> outlierRecord.recordFailure(now, TIMEOUTS_TO_EJECT);
+      case ERROR -> outlierRecord.recordFailure(now, ERRORS_TO_EJECT);
       case UNREACHED, CALLED_OFF -> {
         outlierRecord.cancelTrial();
         yield 0;
--- a/src/main/java/ashspar/limits/WaitingRoom.java
+++ b/src/main/java/ashspar/limits/WaitingRoom.java
@@ -47,11 +47,11 @@
     private final long enteredAt;
     private final long order;
 
-    private Ticket(T item, Queue queue, long deadline, long since, long order) {
+    private Ticket(T item, Queue queue, long deadline, long enteredAt, long order) {
       this.item = item;
       this.queue = queue;
       this.deadline = deadline;
-      this.enteredAt = since;
+      this.enteredAt = enteredAt;
       this.order = order;
     }
 
@@ -95,9 +95,9 @@
     private boolean isOverShareNow;
     private boolean offered;
 
-    Queue(QueueKey kind) {
-      this.key = kind;
-      pass = passes.computeIfAbsent(kind.tenant(), t -> new Pass());
+    Queue(QueueKey key) {
+      this.key = key;
+      pass = passes.computeIfAbsent(key.tenant(), t -> new Pass());
     }
 
     double currentValue() {
@@ -210,13 +210,13 @@
    * Offers the heads of the queues in the order of departure until one is accepted.
    *
    * @param accept tries to place a request; returns false if no server has capacity
-   * @param tries the maximum number of heads to offer
+   * @param maxOffers the maximum number of heads to offer
    * @return whether a request was accepted, which removes it from the room
    */
-  public boolean offer(Predicate<T> accept, int tries, long now) {
+  public boolean offer(Predicate<T> accept, int maxOffers, long now) {
     nonEmptyQueues.forEach(Queue::prepareOffer);
     boolean isOldestFirst = exits % OLDEST_FIRST_INTERVAL == OLDEST_FIRST_INTERVAL - 1;
-    for (int left = Math.min(tries, nonEmptyQueues.size()); left > 0; left--) {
+    for (int remaining = Math.min(maxOffers, nonEmptyQueues.size()); remaining > 0; remaining--) {
       Queue next = null;
       for (Queue queue : nonEmptyQueues) {
         if (!queue.offered && (next == null || precedes(queue, next, isOldestFirst))) {
--- a/src/main/java/ashspar/wire/WireHost.java
+++ b/src/main/java/ashspar/wire/WireHost.java
@@ -121,19 +121,19 @@
         long id = line.integer("msg-id");
         int attempt = (int) line.integer("round-no");
         String server = line.text("host");
-        long took = line.integer("took", 0);
-        deliver(node, b -> b.connectionAccepted(now, id, attempt, server, took));
+        long elapsed = line.integer("took", 0);
+        deliver(node, b -> b.connectionAccepted(now, id, attempt, server, elapsed));
       }
       case "HEARTBEAT" -> {
         long id = line.integer("msg-id");
         int attempt = (int) line.integer("round-no", 0);
         String server = line.text("host");
-        long sort = line.integer("sort");
-        double level = line.number("level", 0);
-        if (sort == 1 || sort == 2) {
+        long code = line.integer("sort");
+        double value = line.number("level", 0);
+        if (code == 1 || code == 2) {
           Balancer.MeasurementKind kind =
-              sort == 1 ? Balancer.MeasurementKind.LOAD : Balancer.MeasurementKind.DELAY;
-          deliver(node, b -> b.connectionMeasured(now, id, attempt, server, kind, level));
+              code == 1 ? Balancer.MeasurementKind.LOAD : Balancer.MeasurementKind.DELAY;
+          deliver(node, b -> b.connectionMeasured(now, id, attempt, server, kind, value));
         }
       }
       case "RESULT" -> {
@@ -159,9 +159,9 @@
       case "CHECK_RESULT" -> {
         String server = line.text("host");
         Balancer.Status status = status(line.integer("ending"));
-        long took = line.integer("took", 0);
+        long elapsed = line.integer("took", 0);
         List<Double> report = line.numbers("metrics");
-        deliver(node, b -> b.probeCompleted(now, server, status, took, report));
+        deliver(node, b -> b.probeCompleted(now, server, status, elapsed, report));
       }
       case "MEMO" -> {
         int sender = (int) line.integer("sender");
@@ -175,10 +175,10 @@
   private void attach(int node) {
     Map<String, String> env = line.fields();
     Balancer.Settings settings = SettingsReader.read(env);
-    long salt = line.integer("salt");
+    long seed = line.integer("salt");
     HostedBalancer host = new HostedBalancer(node);
     balancers.put(node, host);
-    runGuarded(node, () -> host.balancer = factory.create(now, settings, salt, host));
+    runGuarded(node, () -> host.balancer = factory.create(now, settings, seed, host));
   }
 
   private void deliver(int node, java.util.function.Consumer<Balancer> event) {
--- a/src/main/java/ashspar/wire/WireLine.java
+++ b/src/main/java/ashspar/wire/WireLine.java
@@ -85,15 +85,15 @@
     if (value == null || value.isEmpty()) {
       return List.of();
     }
-    List<Double> row = new ArrayList<>(4);
+    List<Double> numbers = new ArrayList<>(4);
     int from = 0;
     while (from <= value.length()) {
       int end = value.indexOf(',', from);
       int stop = end < 0 ? value.length() : end;
-      row.add(stop == from ? Double.NaN : number(name, value.substring(from, stop)));
+      numbers.add(stop == from ? Double.NaN : number(name, value.substring(from, stop)));
       from = stop + 1;
     }
-    return row;
+    return numbers;
   }
 
   /** Returns all fields, in their order. */
--- a/src/test/java/ashspar/limits/LimitsTest.java
+++ b/src/test/java/ashspar/limits/LimitsTest.java
@@ -166,19 +166,19 @@
       if (steps[i] < 4) {
         String tenant = "t" + steps[i + 1] % 4;
         Waiting next = new Waiting(i, tenant, steps[i + 1] < 4 ? 1 : 0.3, now);
-        Waiting out = room.chooseToReject(next, tenant, next.value());
-        assertThat(out == null).isEqualTo(waiting.size() < 40);
-        if (out != null) {
+        Waiting rejected = room.chooseToReject(next, tenant, next.value());
+        assertThat(rejected == null).isEqualTo(waiting.size() < 40);
+        if (rejected != null) {
           for (Waiting other : waiting) {
-            assertThat(value(shares, out)).isLessThanOrEqualTo(value(shares, other));
+            assertThat(value(shares, rejected)).isLessThanOrEqualTo(value(shares, other));
           }
-          assertThat(value(shares, out)).isLessThanOrEqualTo(value(shares, next));
+          assertThat(value(shares, rejected)).isLessThanOrEqualTo(value(shares, next));
         }
-        if (out != null && out != next) {
-          room.leave(tickets.remove(out.id()));
-          waiting.remove(out);
+        if (rejected != null && rejected != next) {
+          room.leave(tickets.remove(rejected.id()));
+          waiting.remove(rejected);
         }
-        if (out != next) {
+        if (rejected != next) {
           tickets.put(i, room.enter(next, tenant, next.value(), now + SECOND, now));
           waiting.add(next);
         }
