--- a/src/test/java/brassbank/SimulationParityTest.java
+++ b/src/test/java/brassbank/SimulationParityTest.java
@@ -134,8 +134,8 @@
 
     final Steps steps;
 
-    Scenario(Steps play) {
-      this.steps = play;
+    Scenario(Steps steps) {
+      this.steps = steps;
     }
   }
 
@@ -156,11 +156,11 @@
     } while (!line.equals("END") && !line.equals("RESET"));
   }
 
-  private static List<String> run(Scenario scene, TestBed testBed) throws Exception {
+  private static List<String> run(Scenario scenario, TestBed testBed) throws Exception {
     List<String> observations = new ArrayList<>();
     try {
       testBed.start("s-1");
-      scene.steps.run(testBed, observations);
+      scenario.steps.run(testBed, observations);
     } finally {
       testBed.close();
     }
@@ -169,8 +169,8 @@
 
   @ParameterizedTest
   @EnumSource(Scenario.class)
-  void givesTheSameObservationsOnLoopbackAndInVirtualTime(Scenario scene) throws Exception {
-    List<String> simulated = run(scene, new SimulatedTestBed());
-    assertThat(simulated).isEqualTo(run(scene, new ProcessTestBed())).isNotEmpty();
+  void givesTheSameObservationsOnLoopbackAndInVirtualTime(Scenario scenario) throws Exception {
+    List<String> simulated = run(scenario, new SimulatedTestBed());
+    assertThat(simulated).isEqualTo(run(scenario, new ProcessTestBed())).isNotEmpty();
   }
 }
