--- a/src/main/java/brassbank/cli/Program.java
+++ b/src/main/java/brassbank/cli/Program.java
@@ -17,8 +17,9 @@
 import picocli.CommandLine.UnmatchedArgumentException;
 
 /**
- * The command line as a whole. It takes the commands as annotated objects and gives each of them
- * {@code --help}, {@code --version}, errors of one line and the statuses of {@link Exit}.
+ * Parses the command line and runs the command. Commands are annotated objects; each of them gets
+ * {@code --help}, {@code --version}, error messages of one line and the statuses of {@link
+ * ExitStatus}.
  */
 public final class Program {
   private static final String NAME = "brassbank";
@@ -40,71 +41,72 @@
    * Runs the command that the arguments name, on the calling thread.
    *
    * @param commands objects annotated with {@code @Command}
-   * @return the exit status, one of {@link Exit}; errors have been told on standard error
+   * @return the exit status, one of {@link ExitStatus}; errors have been written to standard error
    */
   public static int run(List<? extends Callable<Integer>> commands, String... args) {
-    return frame(commands).execute(args);
+    return commandLine(commands).execute(args);
   }
 
-  static CommandLine frame(List<? extends Callable<Integer>> commands) {
+  static CommandLine commandLine(List<? extends Callable<Integer>> commands) {
     CommandLine root = new CommandLine(new Root());
     commands.forEach(root::addSubcommand);
     root.addSubcommand(new AutoComplete.GenerateCompletion());
-    everywhere(root);
-    // An argument that begins with @ means itself and no file of arguments.
+    applyCommonOptions(root);
+    // An argument that begins with @ stands for itself, not for a file of arguments.
     root.setExpandAtFiles(false);
     root.setCaseInsensitiveEnumValuesAllowed(true);
-    root.setParameterExceptionHandler((error, given) -> misused(error));
-    root.setExecutionExceptionHandler((error, command, parsed) -> failed(error, command));
+    root.setParameterExceptionHandler((error, given) -> reportUsageError(error));
+    root.setExecutionExceptionHandler((error, command, parsed) -> reportFailure(error, command));
     return root;
   }
 
-  private static void everywhere(CommandLine command) {
+  private static void applyCommonOptions(CommandLine command) {
     CommandSpec spec = command.getCommandSpec();
     spec.mixinStandardHelpOptions(true);
     spec.versionProvider(() -> new String[] {NAME + " " + version()});
-    spec.exitCodeOnInvalidInput(Exit.USAGE).exitCodeOnExecutionException(Exit.FAILED);
-    spec.usageMessage().exitCodeListHeading("%nExit status:%n").exitCodeList(Exit.meanings());
-    command.getSubcommands().values().forEach(Program::everywhere);
+    spec.exitCodeOnInvalidInput(ExitStatus.USAGE).exitCodeOnExecutionException(ExitStatus.FAILED);
+    spec.usageMessage().exitCodeListHeading("%nExit status:%n").exitCodeList(ExitStatus.meanings());
+    command.getSubcommands().values().forEach(Program::applyCommonOptions);
   }
 
-  private static int misused(ParameterException error) {
+  private static int reportUsageError(ParameterException error) {
     CommandLine command = error.getCommandLine();
     String text = error.getMessage();
     if (error instanceof UnmatchedArgumentException unmatched) {
       if (command.getParent() == null && !unmatched.isUnknownOption()) {
         text = "no such command: '" + unmatched.getUnmatched().get(0) + "'";
       }
-      List<String> near = unmatched.getSuggestions();
-      text += near.isEmpty() ? "" : "; did you mean " + String.join(" or ", near) + "?";
+      List<String> suggestions = unmatched.getSuggestions();
+      text +=
+          suggestions.isEmpty() ? "" : "; did you mean " + String.join(" or ", suggestions) + "?";
     }
-    return misused(command, text);
+    return reportUsageError(command, text);
   }
 
-  private static int misused(CommandLine command, String text) {
+  private static int reportUsageError(CommandLine command, String text) {
     String name = command.getCommandSpec().qualifiedName();
     command.getErr().println(oneLine(name + ": " + text + " (see " + name + " --help)"));
-    return Exit.USAGE;
+    return ExitStatus.USAGE;
   }
 
-  private static int failed(Exception error, CommandLine command) {
+  private static int reportFailure(Exception error, CommandLine command) {
     if (error instanceof UsageException) {
-      return misused(command, error.getMessage());
+      return reportUsageError(command, error.getMessage());
     }
     command
         .getErr()
-        .println(oneLine(command.getCommandSpec().qualifiedName() + ": " + told(error)));
+        .println(oneLine(command.getCommandSpec().qualifiedName() + ": " + message(error)));
     if (error instanceof RuntimeException && !(error instanceof UncheckedIOException)) {
-      // A fault of the program and not of its surroundings: whoever mends it needs the place.
+      // A fault of the program rather than of its environment: the stack trace locates it.
       error.printStackTrace(command.getErr());
     }
-    return Exit.FAILED;
+    return ExitStatus.FAILED;
   }
 
-  /** The messages of some file exceptions are the bare path. */
-  private static String told(Throwable error) {
+  /** Returns the message of an exception; that of some file exceptions is only the path. */
+  private static String message(Throwable error) {
     if (error instanceof UncheckedIOException unchecked) {
-      return told(unchecked.getCause());
+      return message(unchecked.getCause());
     }
     if (error instanceof NoSuchFileException missing) {
       return missing.getFile() + ": no such file";
@@ -120,7 +122,7 @@
         : error.toString();
   }
 
-  /** Arguments may hold anything: an error stays one line. */
+  /** Makes one line of a message, which may quote arguments with line ends. */
   private static String oneLine(String text) {
     return text.replaceAll("\\s*\\R\\s*", " ").replaceAll("\\p{Cntrl}", "?");
   }
--- a/src/main/java/brassbank/config/file/Key.java
+++ b/src/main/java/brassbank/config/file/Key.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * One key that a file may have.
+ * The declaration of a key of the file.
  *
- * @param path the tables it stands in and its own name; {@code *} stands for a name that the file
- *     gives, such as a practice's
- * @param absent the value where the file has no such key; null where another key then holds
- * @param text what it does, in sentences, for the reference
+ * @param path the names of the enclosing tables and of the key; {@code *} matches any name, such as
+ *     that of a practice
+ * @param type the type, unit and bounds of the value
+ * @param defaultValue the value if the file does not have the key; null for none
+ * @param description the description for the reference, in sentences
  */
-record Key<T extends Comparable<T>>(List<String> path, Kind<T> kind, T absent, String text) {
-  static final String ANY = "*";
+record Key<T extends Comparable<T>>(
+    List<String> path, ValueType<T> type, T defaultValue, String description) {
+  static final String ANY_NAME = "*";
 
   String name() {
     return String.join(".", path);
@@ -21,19 +23,19 @@
     return String.join(".", path.subList(0, path.size() - 1));
   }
 
-  /** Whether a file's key is this one. */
+  /** Returns whether a path of the file denotes this key. */
   boolean matches(List<String> given) {
-    return given.size() == path.size() && isAt(given);
+    return given.size() == path.size() && matchesPrefix(given);
   }
 
-  /** Whether a file's table is one that leads to this key. */
-  boolean leadsHere(List<String> table) {
-    return table.size() < path.size() && isAt(table);
+  /** Returns whether a table of the file is an ancestor of this key. */
+  boolean hasParentTable(List<String> table) {
+    return table.size() < path.size() && matchesPrefix(table);
   }
 
-  private boolean isAt(List<String> given) {
+  private boolean matchesPrefix(List<String> given) {
     for (int i = 0; i < given.size(); i++) {
-      if (!path.get(i).equals(ANY) && !path.get(i).equals(given.get(i))) {
+      if (!path.get(i).equals(ANY_NAME) && !path.get(i).equals(given.get(i))) {
         return false;
       }
     }
--- a/src/main/java/brassbank/forward/Dispatcher.java
+++ b/src/main/java/brassbank/forward/Dispatcher.java
@@ -7,20 +7,20 @@
 import ashspar.Balancer;
 import brassbank.decide.Decider;
 import brassbank.decide.Decision;
-import brassbank.decide.Ending;
 import brassbank.decide.Flow;
 import brassbank.decide.FlowClock;
-import brassbank.decide.Happening;
+import brassbank.decide.NetworkEvent;
+import brassbank.decide.Outcome;
 import brassbank.decide.Target;
 import brassbank.log.Log;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
-import brassbank.relay.Pair;
 import brassbank.relay.Relay;
-import brassbank.relay.Watcher;
+import brassbank.relay.RelayedSession;
+import brassbank.relay.SessionObserver;
+import brassbank.relay.limits.DisconnectDecision;
 import brassbank.relay.limits.Side;
-import brassbank.relay.limits.Verdict;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -29,17 +29,19 @@
 import java.util.function.Supplier;
 
 /**
- * Where decisions meet the network: hands the facade what fronts, targets and discovery bring, and
- * carries out what it returns. Everything here runs on the selector thread.
+ * Connects the facade to the network: reports events from clients, targets and discovery to the
+ * facade, and carries out the decisions that it returns. Runs on the event loop.
  */
 public final class Dispatcher {
   private static final Log LOG = Log.of("dispatcher");
-  private static final long MILLI = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
 
-  /** What keeps the target group up to date. */
-  public interface Group {
-    void watch(boolean on);
+  /** Supplies target lists, which it reports to the dispatcher as events. */
+  public interface TargetSource {
+    /** Starts or stops watching the target group for changes. */
+    void watch(boolean enabled);
 
+    /** Fetches the whole target list once. */
     void fetch();
   }
 
@@ -50,15 +52,17 @@
   private long connectMicros;
   private final Prober prober;
   private final Map<Long, Session> sessions = new HashMap<>();
-  private final Deque<Decision> todo = new ArrayDeque<>();
-  private boolean carrying;
+  private final Deque<Decision> pendingDecisions = new ArrayDeque<>();
+  private boolean isExecuting;
 
-  /** Flows that hold a client's descriptor and will need a target's. */
-  private int waiting;
+  /** Flows that hold a client's descriptor and will need one for a target. */
+  private int flowsAwaitingTarget;
 
-  private Group group;
-  private Loop.Timer timer;
-  private long armedFor = Long.MAX_VALUE;
+  private TargetSource targetSource;
+  private EventLoop.Timer timer;
+
+  /** When the timer is due, Long.MAX_VALUE if there is none. */
+  private long armedForMicros = Long.MAX_VALUE;
 
   public Dispatcher(
       Decider decider,
@@ -76,86 +80,89 @@
     this.prober = new Prober(net, connectMicros, idleMicros, reportFields, this::probed);
   }
 
-  /** Begins with what the facade decided when it was made. */
-  public void start(Group targetGroup) {
-    group = targetGroup;
+  /** Carries out the decisions that the facade made at its creation. */
+  public void start(TargetSource targetSource) {
+    this.targetSource = targetSource;
     tick();
   }
 
-  /** The settings have changed; what is under way goes on by the old ones. */
-  public void settings(
-      Balancer.Settings settings, long connect, long idle, List<String> reportFields) {
-    connectMicros = connect;
-    prober.settings(connect, idle, reportFields);
-    report(new Happening.Configured(settings));
+  /** Applies changed settings; forwards and probes in progress continue under the old ones. */
+  public void configure(
+      Balancer.Settings settings, long connectMicros, long idleMicros, List<String> reportFields) {
+    this.connectMicros = connectMicros;
+    prober.configure(connectMicros, idleMicros, reportFields);
+    report(new NetworkEvent.SettingsChanged(settings));
   }
 
-  /** Whether clients are taken. */
-  public boolean admits() {
-    return decider.admits();
+  /** Whether clients are admitted. */
+  public boolean admitsClients() {
+    return decider.admitsClients();
   }
 
-  /** Whether the clients are to go elsewhere. */
-  public boolean leaving() {
-    return decider.leaving();
+  /** Whether the proxy is moving its clients away or has done so. */
+  public boolean isLeaving() {
+    return decider.isLeaving();
   }
 
-  /** How many flows will need a target's descriptor, and do not hold it yet. */
-  public int waiting() {
-    return waiting;
+  /** Returns how many flows will need a descriptor for a target and do not hold it yet. */
+  public int flowsAwaitingTarget() {
+    return flowsAwaitingTarget;
   }
 
-  /** A front's new flow; the client is told its answer. */
+  /** Submits a new flow, whose answer is passed to the client. */
   public void submit(Flow flow, Client client) {
-    if (net.full(waiting)) {
-      // Without a descriptor there is nothing to decide: refused while there is room to say so.
-      // Flows that wait count with the target's descriptor that each of them will need: where all
-      // targets failed for a while, those that had been taken met the limit together afterwards.
+    if (net.isAtCapacity(flowsAwaitingTarget)) {
+      // Without a descriptor for a target the flow cannot be forwarded, so it is refused while one
+      // is left to answer with. Each waiting flow counts with the descriptor that it will need;
+      // otherwise flows accepted while all targets fail hit the limit together afterwards.
       client.refuse(0);
       return;
     }
     Session session = new Session(flow, client);
     sessions.put(flow.id(), session);
-    session.waits(true);
+    session.setAwaitingTarget(true);
     decide(() -> decider.pick(flow));
   }
 
-  /** A client has left before it had its answer. */
-  public void clientLeft(long flow) {
-    Session session = over(flow);
+  /** Withdraws a flow whose client has disconnected before its answer. */
+  public void clientDisconnected(long flow) {
+    Session session = removeSession(flow);
     if (session != null && session.forward != null) {
       session.forward.cancel();
     }
-    report(new Happening.ClientLeft(flow));
+    report(new NetworkEvent.ClientDisconnected(flow));
   }
 
-  /** The one place where a flow's session ends; null where it has ended before. */
-  private Session over(long flow) {
+  /** Removes and returns a flow's session, or returns null if it has already ended. */
+  private Session removeSession(long flow) {
     Session session = sessions.remove(flow);
     if (session != null) {
-      session.waits(false);
+      session.setAwaitingTarget(false);
     }
     return session;
   }
 
-  /** Tells the facade what has happened, which is twice for each line that is answered. */
-  public void report(Happening happening) {
+  /**
+   * Reports an event to the facade and carries out its decisions. Called twice for each relayed
+   * line that is answered, and therefore without allocating a lambda for {@link #decide}.
+   */
+  public void report(NetworkEvent event) {
     List<Decision> decided = List.of();
     try {
-      decided = decider.report(happening);
+      decided = decider.report(event);
     } catch (RuntimeException e) {
       LOG.error("decision-failed", e);
     }
-    carryOut(decided);
+    execute(decided);
   }
 
-  private void probed(Target target, Ending ending, long elapsedMicros, List<Double> report) {
-    report(new Happening.Probed(target.name(), ending, elapsedMicros, report));
+  private void probed(Target target, Outcome outcome, long elapsedMicros, List<Double> report) {
+    report(new NetworkEvent.ProbeCompleted(target.name(), outcome, elapsedMicros, report));
   }
 
   private void tick() {
     timer = null;
-    armedFor = Long.MAX_VALUE;
+    armedForMicros = Long.MAX_VALUE;
     decide(() -> decider.tick(clock.now()));
   }
 
@@ -166,42 +173,45 @@
     } catch (RuntimeException e) {
       LOG.error("decision-failed", e);
     }
-    carryOut(decided);
+    execute(decided);
   }
 
-  /** Carrying a decision out may bring news at once: what follows from it waits for its turn. */
-  private void carryOut(List<Decision> decided) {
+  /**
+   * Carries out decisions in order. Carrying one out may report further events at once; the
+   * decisions on those are queued behind the current ones.
+   */
+  private void execute(List<Decision> decided) {
     if (!decided.isEmpty()) {
-      todo.addAll(decided);
+      pendingDecisions.addAll(decided);
     }
-    if (carrying) {
+    if (isExecuting) {
       return;
     }
-    carrying = true;
+    isExecuting = true;
     try {
-      for (Decision next = todo.poll(); next != null; next = todo.poll()) {
+      for (Decision next = pendingDecisions.poll(); next != null; next = pendingDecisions.poll()) {
         Decision decision = next;
-        Loop.guarded(() -> carryOut(decision));
+        EventLoop.runGuarded(() -> execute(decision));
       }
     } finally {
-      carrying = false;
-      arm();
+      isExecuting = false;
+      armTimer();
     }
   }
 
-  private void arm() {
+  private void armTimer() {
     long due = decider.nextTick();
-    if (due < armedFor) {
+    if (due < armedForMicros) {
       if (timer != null) {
         timer.cancel();
       }
-      armedFor = due;
-      timer = net.loop().after(due - clock.now(), this::tick);
+      armedForMicros = due;
+      timer = net.loop().schedule(due - clock.now(), this::tick);
     }
   }
 
-  /** A decision on a flow whose client has left meanwhile finds no session and is void. */
-  private void carryOut(Decision decision) {
+  /** Carries out one decision, which is void if the flow's session has ended meanwhile. */
+  private void execute(Decision decision) {
     if (decision instanceof Decision.Forward forward) {
       Session session = sessions.get(forward.flow());
       if (session != null) {
@@ -211,143 +221,153 @@
       Session session = sessions.get(cancel.flow());
       if (session != null) {
         session.forward.cancel();
-        session.waits(true);
+        session.setAwaitingTarget(true);
       }
     } else if (decision instanceof Decision.FixedResponse fixed) {
-      Session session = over(fixed.flow());
+      Session session = removeSession(fixed.flow());
       if (session != null) {
-        session.client.refuse(fixed.retryMillis());
+        session.client.refuse(fixed.retryAfterMillis());
       }
     } else if (decision instanceof Decision.Fail fail) {
-      Session session = over(fail.flow());
+      Session session = removeSession(fail.flow());
       if (session != null) {
         session.client.fail();
       }
     } else if (decision instanceof Decision.Move move) {
-      Session session = over(move.flow());
+      Session session = removeSession(move.flow());
       if (session != null) {
-        // The flow's id is free once its connection has ended, and no sooner.
-        session.pair.farewell(session.client.farewell(), session.client::over);
+        // The client's flow id becomes free only once its connection has ended.
+        session.relayed.sendFinalLine(session.client.farewellLine(), session.client::flowEnded);
       }
     } else if (decision instanceof Decision.Probe probe) {
       prober.probe(probe.target());
     } else if (decision instanceof Decision.Watch watch) {
-      group.watch(watch.on());
+      targetSource.watch(watch.enabled());
     } else if (decision instanceof Decision.Fetch) {
-      group.fetch();
+      targetSource.fetch();
     }
   }
 
-  /** One flow, from its first line to its final answer or to the end of its connection. */
-  private final class Session implements Forward.Listener, Watcher {
+  /** One flow, from its submission to its final answer or to the end of its connection. */
+  private final class Session implements Forward.Listener, SessionObserver {
     private final long flow;
     private final String practice;
     private final Client client;
 
-    /** It was open before this proxy: it goes back to its own target, even while that leaves. */
-    private final boolean resumed;
+    /**
+     * Whether the connection is from before this proxy's start. It returns to its own target, even
+     * if that is draining.
+     */
+    private final boolean isResumed;
 
-    /** The attempt that is out, or was last; gone once the connection stands. */
+    /** The outstanding or last forward; null once the connection is established. */
     private Forward forward;
 
     private String target;
-    private Pair pair;
-    private boolean waits;
+    private RelayedSession relayed;
+    private boolean isAwaitingTarget;
 
-    /** Told again and again, from the first line on. */
-    private Happening.Asked asked;
+    /** The events for relayed lines, created with the first line and reused for every other. */
+    private NetworkEvent.RequestRelayed requestEvent;
 
-    private Happening.Answered answered;
+    private NetworkEvent.ResponseRelayed responseEvent;
 
-    /** How the connection has ended if the target ends it now: its last line may say. */
-    private Ending ending = Ending.RESET;
+    /** The outcome if the target closes the connection now, as its last line announced it. */
+    private Outcome closeOutcome = Outcome.RESET;
 
-    Session(Flow opened, Client client) {
-      this.flow = opened.id();
-      this.practice = opened.tenant();
+    Session(Flow submitted, Client client) {
+      this.flow = submitted.id();
+      this.practice = submitted.tenant();
       this.client = client;
-      this.resumed = opened.at() != null;
+      this.isResumed = submitted.resumeTarget() != null;
     }
 
-    /** Whether it waits for a target, so that its second descriptor is still to come. */
-    void waits(boolean now) {
-      if (now != waits) {
-        waits = now;
-        waiting += now ? 1 : -1;
+    /** Records whether the flow awaits a target and will need a descriptor for it. */
+    void setAwaitingTarget(boolean isAwaiting) {
+      if (isAwaiting != isAwaitingTarget) {
+        isAwaitingTarget = isAwaiting;
+        flowsAwaitingTarget += isAwaiting ? 1 : -1;
       }
     }
 
     void forward(Decision.Forward decided) {
-      waits(false);
+      setAwaitingTarget(false);
       target = decided.target().name();
-      forward = new Forward(net, flow, decided.target(), () -> opening(decided), this);
-      // A connect that is given up with its forward never came up: that is told just before.
-      long left = Math.min(decided.until() - MILLI, decided.sendBy()) - clock.now();
-      forward.start(Math.min(connectMicros, Math.max(0, left)));
+      forward = new Forward(net, flow, decided.target(), () -> openingLine(decided), this);
+      // The connect times out 1 ms before the forward. The outcome is then a failed connect, which
+      // proves that the attempt never ran, and not a time-out.
+      long remainingMicros =
+          Math.min(decided.answerDeadlineMicros() - MICROS_PER_MILLI, decided.sendDeadlineMicros())
+              - clock.now();
+      forward.start(Math.min(connectMicros, Math.max(0, remainingMicros)));
     }
 
-    /** The first line, or null where it must not be sent any longer. */
-    private String opening(Decision.Forward decided) {
+    /** Returns the first line for the target, or null if it must no longer be sent. */
+    private String openingLine(Decision.Forward decided) {
       long now = clock.now();
-      boolean late = now > decided.sendBy() || !(resumed || decider.serves(target));
-      return late ? null : client.opening(Math.max(0, (decided.until() - now) / MILLI));
+      boolean isTooLate =
+          now > decided.sendDeadlineMicros() || !(isResumed || decider.isServing(target));
+      return isTooLate
+          ? null
+          : client.openingLine(
+              Math.max(0, (decided.answerDeadlineMicros() - now) / MICROS_PER_MILLI));
     }
 
     @Override
-    public void up(String line, Link targetLink) {
+    public void established(String line, Link targetLink) {
       forward = null;
-      pair = relay.pair(flow, practice, client.up(line), targetLink, this);
-      report(new Happening.Up(flow));
-      pair.start();
+      relayed = relay.openSession(flow, practice, client.establish(line), targetLink, this);
+      report(new NetworkEvent.FlowEstablished(flow));
+      relayed.start();
     }
 
     @Override
-    public void ended(Ending how) {
-      waits(true);
-      report(new Happening.Ended(flow, how));
+    public void ended(Outcome outcome) {
+      setAwaitingTarget(true);
+      report(new NetworkEvent.ForwardEnded(flow, outcome));
     }
 
     @Override
-    public void asked() {
-      if (asked == null) {
-        asked = new Happening.Asked(flow);
-        answered = new Happening.Answered(asked.flow());
+    public void requestRelayed() {
+      if (requestEvent == null) {
+        requestEvent = new NetworkEvent.RequestRelayed(flow);
+        responseEvent = new NetworkEvent.ResponseRelayed(requestEvent.flow());
       }
-      report(asked);
+      report(requestEvent);
     }
 
     @Override
-    public void answered() {
-      report(answered);
+    public void responseRelayed() {
+      report(responseEvent);
     }
 
     @Override
-    public void bye() {
-      ending = Ending.SERVED;
+    public void byeReceived() {
+      closeOutcome = Outcome.SERVED;
     }
 
     @Override
-    public void moving() {
-      ending = Ending.CANCELLED;
+    public void moveReceived() {
+      closeOutcome = Outcome.CANCELLED;
     }
 
     @Override
-    public String gaveUp(Side side, Verdict.Reason reason) {
-      if (over(flow) != null) {
-        client.over();
+    public String slowPeerDisconnected(Side side, DisconnectDecision.Reason reason) {
+      if (removeSession(flow) != null) {
+        client.flowEnded();
       }
-      // A client that is too slow is no news of its target; a target that does not read is.
+      // A client that is too slow says nothing about its target; a target that does not read does.
       report(
           side == Side.CLIENT
-              ? new Happening.ClientLeft(flow)
-              : new Happening.Ended(flow, Ending.TIMED_OUT));
-      return client.farewell();
+              ? new NetworkEvent.ClientDisconnected(flow)
+              : new NetworkEvent.ForwardEnded(flow, Outcome.TIMED_OUT));
+      return client.farewellLine();
     }
 
     @Override
-    public void load(String text) {
+    public void loadReported(String text) {
       try {
-        report(new Happening.Load(flow, LoadReport.number(text)));
+        report(new NetworkEvent.LoadReported(flow, LoadReport.parseValue(text)));
       } catch (IllegalArgumentException e) {
         LOG.warn("load-bad", flow(flow), target(target), value("text", text));
       }
@@ -355,13 +375,13 @@
 
     @Override
     public void ended(boolean byClient, boolean reset) {
-      if (over(flow) != null) {
-        client.over();
+      if (removeSession(flow) != null) {
+        client.flowEnded();
       }
-      if (byClient && ending == Ending.RESET) {
-        report(new Happening.ClientLeft(flow));
+      if (byClient && closeOutcome == Outcome.RESET) {
+        report(new NetworkEvent.ClientDisconnected(flow));
       } else {
-        report(new Happening.Ended(flow, ending));
+        report(new NetworkEvent.ForwardEnded(flow, closeOutcome));
       }
     }
   }
--- a/src/main/java/brassbank/grizzly/GrizzlyNetwork.java
+++ b/src/main/java/brassbank/grizzly/GrizzlyNetwork.java
@@ -2,8 +2,8 @@
 
 import brassbank.log.Log;
 import brassbank.net.Channel;
-import brassbank.net.InheritanceException;
-import brassbank.net.Loop;
+import brassbank.net.EventLoop;
+import brassbank.net.InheritedSocketException;
 import brassbank.net.Network;
 import brassbank.sources.Clock;
 import java.io.File;
@@ -26,38 +26,40 @@
 import org.glassfish.grizzly.threadpool.DefaultWorkerThread;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** The kernel's sockets by Grizzly, with one selector thread, which is the loop's. */
+/**
+ * The operating system's sockets by Grizzly. Its one selector thread is the event loop's thread.
+ */
 public final class GrizzlyNetwork implements Network {
   private static final Log LOG = Log.of("net");
 
-  private static final int READ_SIZE = 8 * 1024;
-  private static final int BACKLOG = 1024;
+  private static final int READ_BUFFER_BYTES = 8 * 1024;
+  private static final int ACCEPT_BACKLOG = 1024;
 
   private final Clock clock;
-  private final TurningSelector selector;
+  private final EventLoopSelector selector;
   private final TCPNIOTransport transport;
-  private final FilterChain connected = chain(false, channel -> {});
+  private final FilterChain connectedChain = chain(false, channel -> {});
 
   public GrizzlyNetwork(Clock clock) {
     this.clock = clock;
-    selector = new TurningSelector(clock);
+    selector = new EventLoopSelector(clock);
     transport =
         TCPNIOTransportBuilder.newInstance()
             .setSelectorRunnersCount(1)
-            .setIOStrategy(new WriteStrategy(selector))
+            .setIOStrategy(new EventLoopIoStrategy(selector))
             .setSelectorHandler(selector)
             .setReuseAddress(true)
             .setTcpNoDelay(true)
-            .setServerConnectionBackLog(BACKLOG)
-            .setReadBufferSize(READ_SIZE)
+            .setServerConnectionBackLog(ACCEPT_BACKLOG)
+            .setReadBufferSize(READ_BUFFER_BYTES)
             .setSelectorThreadPoolConfig(oneThread())
             .build();
     transport.setName("net");
   }
 
   /**
-   * The selector's thread. Grizzly's own factory puts its name together, and the first such
-   * concatenation in a program costs a tenth of the start.
+   * Returns the configuration of the selector's thread. Grizzly's own thread factory builds the
+   * name by string concatenation, whose first use in a process costs a tenth of the start-up time.
    */
   private static ThreadPoolConfig oneThread() {
     ThreadLocalPool<?> pool =
@@ -76,7 +78,7 @@
   }
 
   @Override
-  public void start(Loop loop) throws IOException {
+  public void start(EventLoop loop) throws IOException {
     selector.loop(loop);
     transport.start();
   }
@@ -90,7 +92,7 @@
             .build()
             .bind(address);
     if (first) {
-      TurningSelector.putFirst(server);
+      EventLoopSelector.prioritize(server);
     }
     return on -> accepting(server, on);
   }
@@ -110,20 +112,21 @@
   @Override
   public Listener inherit(Consumer<Channel> accepted) throws IOException {
     if (!(System.inheritedChannel() instanceof ServerSocketChannel)) {
-      throw new InheritanceException("descriptor 0 is no listening socket");
+      throw new InheritedSocketException("descriptor 0 is no listening socket");
     }
-    return new Inherited(accepted);
+    return new InheritedListener(accepted);
   }
 
   /**
-   * Grizzly begins to accept as it binds: that is left until the listener is first turned on. It is
-   * never closed, which would put /dev/null in the place of descriptors 0 to 2.
+   * The listener on the inherited socket. Grizzly accepts from the moment it binds, so that binding
+   * is deferred until the listener is first turned on. The socket is never closed: closing it would
+   * make the runtime open /dev/null in place of descriptors 0 to 2.
    */
-  private final class Inherited implements Listener {
+  private final class InheritedListener implements Listener {
     private final Consumer<Channel> accepted;
     private TCPNIOServerConnection server;
 
-    Inherited(Consumer<Channel> accepted) {
+    InheritedListener(Consumer<Channel> accepted) {
       this.accepted = accepted;
     }
 
@@ -146,36 +149,40 @@
   }
 
   @Override
-  public Attempt connect(InetSocketAddress address, Connected then) {
-    Dial dial =
-        new Dial(
+  public Attempt connect(InetSocketAddress address, ConnectHandler handler) {
+    ConnectAttempt attempt =
+        new ConnectAttempt(
             selector,
-            new Dial.Outcome() {
+            new ConnectAttempt.Handler() {
               @Override
-              public void up(Connection<?> connection) {
-                then.up(GrizzlyChannel.on(connection));
+              public void connected(Connection<?> connection) {
+                handler.connected(GrizzlyChannel.create(connection));
               }
 
               @Override
               public void failed(Throwable cause) {
-                then.failed(cause instanceof IOException e ? e : new IOException(cause));
+                handler.failed(cause instanceof IOException e ? e : new IOException(cause));
               }
             });
-    dial.start(transport, connected, address);
-    return dial;
+    attempt.start(transport, connectedChain, address);
+    return attempt;
   }
 
   @Override
-  public Attempt get(InetSocketAddress address, String path, Answer answer) {
-    Call call = new Call(selector, address, path, answer);
+  public Attempt get(InetSocketAddress address, String path, ResponseHandler handler) {
+    HttpCall call = new HttpCall(selector, address, path, handler);
     call.start(transport);
     return call;
   }
 
-  /** Grizzly's own transport for datagrams has threads of its own: this has the one selector's. */
+  /**
+   * Does not use Grizzly's UDP transport, which would start threads of its own: datagrams are
+   * received on the one selector thread.
+   */
   @Override
-  public Datagrams datagrams(InetSocketAddress address, Heard heard) throws IOException {
-    return KernelDatagrams.open(selector, address, heard);
+  public Datagrams datagrams(InetSocketAddress address, DatagramHandler handler)
+      throws IOException {
+    return NioDatagrams.open(selector, address, handler);
   }
 
   @Override
--- a/src/main/java/brassbank/log/Format.java
+++ b/src/main/java/brassbank/log/Format.java
@@ -9,37 +9,37 @@
 import java.util.Locale;
 
 /**
- * The two forms of a line. A field may hold what a peer has sent: in both forms a line is printable
- * ASCII only, all else in it is escaped, and a value has a longest length. So no peer can begin a
- * line, write to the terminal that shows it, or be read as a field of another name.
+ * The formats of a log line. Fields may contain text sent by a peer. In both formats a line is
+ * therefore printable ASCII, with all other characters escaped, and the length of a value is
+ * limited. A peer can neither forge a line or a field nor send control characters to a terminal.
  */
 public enum Format {
-  /** Time, level, component and event, then {@code name=value} pairs. */
+  /** Time, level, component and event, followed by {@code name=value} pairs. */
   TEXT {
     @Override
     String line(long unixMillis, Event event) {
       StringBuilder line = new StringBuilder(160);
-      time(line, unixMillis);
+      appendTime(line, unixMillis);
       line.append(' ').append(event.level()).append(' ').append(event.component());
       line.append(": ").append(event.name());
       for (Field field : event.fields()) {
-        pair(line, field.name(), String.valueOf(field.value()), LONGEST_VALUE);
+        appendPair(line, field.name(), String.valueOf(field.value()), MAX_VALUE_CHARS);
       }
       if (event.cause() != null) {
-        pair(line, "cause", event.told(), LONGEST_CAUSE);
+        appendPair(line, "cause", event.causeText(), MAX_CAUSE_CHARS);
       }
       return line.toString();
     }
   },
 
-  /** One JSON object a line (RFC 8259). */
+  /** One JSON object per line (RFC 8259). */
   JSON {
     @Override
     String line(long unixMillis, Event event) {
       StringWriter text = new StringWriter(200);
       try (JsonWriter json = new JsonWriter(text)) {
         json.beginObject();
-        json.name("time").value(time(new StringBuilder(), unixMillis).toString());
+        json.name("time").value(appendTime(new StringBuilder(), unixMillis).toString());
         json.name("level").value(event.level().toString());
         json.name("component").value(event.component());
         json.name("event").value(event.name());
@@ -50,39 +50,39 @@
           } else if (field.value() instanceof Number number && isJson(number)) {
             json.value(number);
           } else {
-            json.value(cut(String.valueOf(field.value()), LONGEST_VALUE));
+            json.value(truncate(String.valueOf(field.value()), MAX_VALUE_CHARS));
           }
         }
         if (event.cause() != null) {
-          json.name("cause").value(cut(event.told(), LONGEST_CAUSE));
+          json.name("cause").value(truncate(event.causeText(), MAX_CAUSE_CHARS));
         }
         json.endObject();
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
-      // What is left beyond ASCII stands within strings, where the same escape holds.
+      // Characters beyond ASCII occur within strings only, where JSON has the same escape.
       StringBuilder line = new StringBuilder(text.getBuffer().length());
       for (int i = 0; i < text.getBuffer().length(); i++) {
         char c = text.getBuffer().charAt(i);
         if (c < 0x7f) {
           line.append(c);
         } else {
-          code(line, c);
+          appendUnicodeEscape(line, c);
         }
       }
       return line.toString();
     }
   };
 
-  /** A peer's line has 4 KiB at most; its first part tells enough. */
-  static final int LONGEST_VALUE = 512;
+  /** A line of a peer may have 4 KiB; its beginning is enough for diagnosis. */
+  static final int MAX_VALUE_CHARS = 512;
 
-  static final int LONGEST_CAUSE = 2048;
+  static final int MAX_CAUSE_CHARS = 2048;
 
-  /** The line for an event, without its end. */
+  /** Returns the line for an event, without a line end. */
   abstract String line(long unixMillis, Event event);
 
-  /** The form by its name; null for a name that is none of theirs. */
+  /** Returns the format with this name, or null if there is none. */
   public static Format named(String name) {
     for (Format format : values()) {
       if (format.toString().equals(name)) {
@@ -92,29 +92,29 @@
     return null;
   }
 
-  /** {@code text} or {@code json}. */
+  /** Returns the name of the format: {@code text} or {@code json}. */
   @Override
   public String toString() {
     return name().toLowerCase(Locale.ROOT);
   }
 
   /**
-   * UTC to the millisecond (ISO 8601). By hand, since the runtime's formatter, which {@code
-   * Instant.toString} uses too, takes 20 ms of the start until it has written the first time.
+   * Appends the time in UTC with milliseconds (ISO 8601). Does not use {@code DateTimeFormatter},
+   * which {@code Instant.toString} uses too: its first use takes 20 ms of the start-up time.
    */
-  private static StringBuilder time(StringBuilder line, long unixMillis) {
+  private static StringBuilder appendTime(StringBuilder line, long unixMillis) {
     LocalDateTime time =
         LocalDateTime.ofEpochSecond(Math.floorDiv(unixMillis, 1000), 0, ZoneOffset.UTC);
-    digits(line, time.getYear(), 4).append('-');
-    digits(line, time.getMonthValue(), 2).append('-');
-    digits(line, time.getDayOfMonth(), 2).append('T');
-    digits(line, time.getHour(), 2).append(':');
-    digits(line, time.getMinute(), 2).append(':');
-    digits(line, time.getSecond(), 2).append('.');
-    return digits(line, Math.floorMod(unixMillis, 1000), 3).append('Z');
+    appendDigits(line, time.getYear(), 4).append('-');
+    appendDigits(line, time.getMonthValue(), 2).append('-');
+    appendDigits(line, time.getDayOfMonth(), 2).append('T');
+    appendDigits(line, time.getHour(), 2).append(':');
+    appendDigits(line, time.getMinute(), 2).append(':');
+    appendDigits(line, time.getSecond(), 2).append('.');
+    return appendDigits(line, Math.floorMod(unixMillis, 1000), 3).append('Z');
   }
 
-  private static StringBuilder digits(StringBuilder line, int number, int width) {
+  private static StringBuilder appendDigits(StringBuilder line, int number, int width) {
     String digits = Integer.toString(number);
     return line.append("0".repeat(Math.max(0, width - digits.length()))).append(digits);
   }
@@ -124,12 +124,12 @@
         || Double.isFinite(number.doubleValue());
   }
 
-  private static String cut(String value, int longest) {
-    return value.length() <= longest ? value : value.substring(0, longest) + "...";
+  private static String truncate(String value, int maxChars) {
+    return value.length() <= maxChars ? value : value.substring(0, maxChars) + "...";
   }
 
-  private static void pair(StringBuilder line, String name, String whole, int longest) {
-    String value = cut(whole, longest);
+  private static void appendPair(StringBuilder line, String name, String text, int maxChars) {
+    String value = truncate(text, maxChars);
     line.append(' ').append(name).append('=');
     if (isPlain(value)) {
       line.append(value);
@@ -143,13 +143,13 @@
       } else if (c >= ' ' && c < 0x7f) {
         line.append(c);
       } else {
-        code(line, c);
+        appendUnicodeEscape(line, c);
       }
     }
     line.append('"');
   }
 
-  /** Whether a reader can tell the value's end without quotes. */
+  /** Returns whether a value can be parsed without quotes around it. */
   private static boolean isPlain(String value) {
     for (int i = 0; i < value.length(); i++) {
       char c = value.charAt(i);
@@ -160,7 +160,7 @@
     return !value.isEmpty();
   }
 
-  private static void code(StringBuilder line, char c) {
+  private static void appendUnicodeEscape(StringBuilder line, char c) {
     line.append("\\u");
     for (int shift = 12; shift >= 0; shift -= 4) {
       line.append(Character.forDigit(c >> shift & 0xf, 16));
--- a/src/main/java/brassbank/net/LineBuffer.java
+++ b/src/main/java/brassbank/net/LineBuffer.java
@@ -5,40 +5,46 @@
 import java.util.Arrays;
 
 /**
- * The buffer of a connection whose lines are read one by one: it grows as it needs and is compacted
- * in place. Lines are taken from its front.
+ * The receive buffer of a connection that is read line by line. Received bytes are appended at its
+ * end and lines are removed from its front. It grows on demand and is compacted in place. Not
+ * thread-safe.
  */
 public final class LineBuffer {
-  private static final int FIRST_SIZE = 512;
-  private static final int LEAST_SPACE = 256;
+  private static final int INITIAL_BYTES = 512;
+  private static final int MIN_SPACE_BYTES = 256;
 
-  private final int longestLine;
-  private byte[] data = new byte[FIRST_SIZE];
+  private final int maxLineBytes;
+  private byte[] data = new byte[INITIAL_BYTES];
   private int start;
   private int scanned;
   private int end;
   private boolean skipping;
-  private boolean overlong;
+  private boolean hasOverlongLine;
 
+  /**
+   * @param maxLineBytes the longest line that is returned, in bytes; longer ones are skipped
+   */
   public LineBuffer(int longestLine) {
-    this.longestLine = longestLine;
+    this.maxLineBytes = longestLine;
   }
 
-  /** Room for what is read next; {@link #filled} says how much was. */
+  /** Returns free space to read into; {@link #advance} then reports how many bytes were read. */
   public ByteBuffer space() {
-    if (data.length - end < LEAST_SPACE) {
+    if (data.length - end < MIN_SPACE_BYTES) {
       compact();
-      if (data.length - end < LEAST_SPACE) {
+      if (data.length - end < MIN_SPACE_BYTES) {
         data = Arrays.copyOf(data, 2 * data.length);
       }
     }
     return ByteBuffer.wrap(data, end, data.length - end);
   }
 
-  public void filled(int bytes) {
+  /** Adds the bytes that were read into {@link #space}. */
+  public void advance(int bytes) {
     end += bytes;
   }
 
+  /** Appends a copy of the bytes. */
   public void append(ByteBuffer bytes) {
     while (bytes.hasRemaining()) {
       ByteBuffer space = space();
@@ -55,7 +61,7 @@
     start = 0;
   }
 
-  /** The next complete line without its end, or null where none is there yet. */
+  /** Removes and returns the next complete line without its line end; null if there is none. */
   public String nextLine() {
     while (true) {
       int at = scanned;
@@ -64,17 +70,17 @@
       }
       scanned = at;
       if (at == end) {
-        // Guards memory against a peer that never ends its line.
-        if (end - start > longestLine) {
-          overlong = true;
+        // Bounds the memory that a peer which never ends its line can occupy.
+        if (end - start > maxLineBytes) {
+          hasOverlongLine = true;
           skipping = true;
           start = end;
         }
         return null;
       }
       int stop = at > start && data[at - 1] == '\r' ? at - 1 : at;
-      boolean skip = skipping || at - start > longestLine;
-      overlong |= skip;
+      boolean skip = skipping || at - start > maxLineBytes;
+      hasOverlongLine |= skip;
       String line =
           skip ? null : new String(data, start, stop - start, StandardCharsets.ISO_8859_1);
       skipping = false;
@@ -86,25 +92,25 @@
     }
   }
 
-  /** Whether a line was longer than allowed; such a line is skipped. */
-  public boolean overlong() {
-    return overlong;
+  /** Returns whether a line exceeded the maximum length and was skipped. */
+  public boolean hasOverlongLine() {
+    return hasOverlongLine;
   }
 
-  /** Throws away what has come and is in no line taken yet. */
+  /** Discards the received bytes that no returned line contained. */
   public void clear() {
     start = 0;
     scanned = 0;
     end = 0;
   }
 
-  /** Bytes that have come and are in no line taken yet. */
-  public int held() {
+  /** Returns the number of received bytes that no returned line contained. */
+  public int unreadBytes() {
     return end - start;
   }
 
-  /** The same bytes themselves. */
-  ByteBuffer rest() {
+  /** Returns the received bytes that no returned line contained; shares the buffer's memory. */
+  ByteBuffer unread() {
     return ByteBuffer.wrap(data, start, end - start);
   }
 }
--- a/src/main/java/brassbank/net/Link.java
+++ b/src/main/java/brassbank/net/Link.java
@@ -5,96 +5,105 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One connection: its socket, its buffer, and who is told what comes. At first that is an {@link
- * Owner}, who takes lines out of the link's {@link #buffer}; once the connection stands it is a
- * {@link Stream}, which takes the bytes as they come. The socket is given back in {@link #release},
- * and nowhere else.
+ * One TCP connection of the proxy, with its socket and its buffer. At first its events go to a
+ * {@link LineHandler}, which removes lines from the link's {@link #buffer}. Once a session is
+ * established, {@link #startStreaming} hands the events to a {@link StreamHandler}, which receives
+ * the bytes as they arrive. {@link #release} is the only place that closes the socket.
  *
- * <p>A link has one buffer at a time: that of its lines, or later that of what waits for its peer,
- * which it holds only while something does.
+ * <p>A link has one buffer at a time: the receive buffer for lines, or, once it is streaming, the
+ * queue of bytes that the peer has not accepted, which it holds only while there are such bytes.
+ *
+ * <p>Not thread-safe: for the event loop's thread only.
  */
 public final class Link {
-  /** The longest line that the protocol allows. */
-  public static final int LONGEST_LINE = 4 * 1024;
+  /** The longest line that the protocol allows, in bytes. */
+  public static final int MAX_LINE_BYTES = 4 * 1024;
 
-  /** How long a link lives whose one direction has ended, so that no reset eats the last lines. */
+  /**
+   * How long a link stays open after one direction has ended. Closing it earlier could make TCP
+   * send a reset that destroys the last lines in transit.
+   */
   private static final long LINGER_MICROS = 1_000_000;
 
-  /** How much is thrown away of what a peer sends after its last answer. */
-  private static final long MOST_DISCARDED = 128L << 20;
+  /** The most bytes that are read and discarded from a peer after the proxy's final line. */
+  private static final long MAX_DISCARDED_BYTES = 128L << 20;
 
-  /** How long at most it is read after its last answer, and how long a quiet peer has gone. */
-  private static final long TURNED_AWAY_MICROS = 5_000_000;
+  /** The longest time for which a rejected peer is read after its final line. */
+  private static final long REJECTED_LINGER_MICROS = 5_000_000;
 
-  private static final long QUIET_MICROS = 250_000;
+  /** A rejected peer that sends nothing for this long is taken to have stopped sending. */
+  private static final long QUIET_PERIOD_MICROS = 250_000;
 
-  /** Who is told of a link's lines and of its end. */
-  public interface Owner {
-    /** Bytes have come into the link's buffer. */
+  /** Receives the events of a link that is read line by line. */
+  public interface LineHandler {
+    /** Reports that bytes were appended to the link's buffer. */
     void received(Link link);
 
     /**
-     * The peer has ended its sending, or the link was reset. Told once, and not after {@link
-     * #close} or {@link #reset}; after an end that was no reset, the owner may still send, and must
-     * close.
+     * Reports that the peer has ended its stream, or that the connection was reset. Called at most
+     * once, and not after {@link #close} or {@link #reset}. Unless it was a reset, the handler may
+     * still send, and must close the link.
      */
     void ended(Link link, boolean reset);
   }
 
-  /** Who is told of a link's bytes, and of its end. */
-  public interface Stream {
-    /** How many bytes may be read now; 1 or more. */
-    int room(Link link);
+  /** Receives the events of a link that is read as a byte stream. */
+  public interface StreamHandler {
+    /** Returns the most bytes that may be read now; 1 or more. */
+    int readQuota(Link link);
 
     /**
-     * Bytes have come. They stand in a buffer that all links share: whoever wants them later has
-     * taken them before it returns.
+     * Reports received bytes. The buffer is shared by all links: its content is valid during the
+     * call only.
      */
-    void came(Link link, ByteBuffer bytes);
+    void received(Link link, ByteBuffer bytes);
 
-    /** So many of the bytes that were sent wait for the peer to read. */
-    void waits(Link link, int bytes);
+    /** Reports that the kernel did not accept this many of the bytes sent, which are now queued. */
+    void queued(Link link, int bytes);
 
-    /** The peer has taken so many of the bytes that waited. */
-    void took(Link link, int bytes);
+    /** Reports that the kernel has accepted this many of the queued bytes. */
+    void drained(Link link, int bytes);
 
-    /** As {@link Owner#ended}. */
+    /** See {@link LineHandler#ended}. */
     void ended(Link link, boolean reset);
 
-    /** The link's memory and its descriptor are free; told once, after all else. */
+    /** Reports that the link's memory and descriptor are free; called once, as the last event. */
     void released(Link link);
   }
 
   private final Net net;
   private final Channel channel;
-  private final Outbox outbox;
+  private final SendQueue sendQueue;
 
-  /** Until the link is a stream. */
-  private LineBuffer buffer = new LineBuffer(LONGEST_LINE);
+  /** Null once the link is streaming. */
+  private LineBuffer buffer = new LineBuffer(MAX_LINE_BYTES);
 
-  private Owner owner;
-  private Stream stream;
+  private LineHandler handler;
+  private StreamHandler streamHandler;
   private boolean paused;
   private long lingerMicros = LINGER_MICROS;
 
-  /** Nobody hears of what comes any longer: the link was closed, or its end was told. */
-  private boolean deaf;
+  /** The link was closed, or its end was reported: no further events go to the handler. */
+  private boolean notificationsOff;
+
+  private boolean inputEnded;
+
+  /** The sending direction ends once the queued bytes are written. */
+  private boolean outputEnding;
 
-  private boolean inputOver;
-  private boolean outputOver;
   private boolean outputShut;
   private boolean released;
-  private long discarded;
-  private Loop.Timer linger;
+  private long discardedBytes;
+  private EventLoop.Timer lingerTimer;
 
-  /** The channel tells when it takes more. */
+  /** The channel reports when it accepts more bytes. */
   private boolean writing;
 
-  Link(Net net, Channel channel, Owner owner) {
+  Link(Net net, Channel channel, LineHandler handler) {
     this.net = net;
     this.channel = channel;
-    this.owner = owner;
-    outbox = new Outbox(net.buffers());
+    this.handler = handler;
+    sendQueue = new SendQueue(net.buffers());
     channel.handler(
         new Channel.Handler() {
           @Override
@@ -102,7 +111,7 @@
             try {
               read();
             } catch (RuntimeException e) {
-              Loop.failed(e);
+              EventLoop.logFailure(e);
             }
           }
 
@@ -111,223 +120,239 @@
             try {
               write();
             } catch (RuntimeException e) {
-              Loop.failed(e);
+              EventLoop.logFailure(e);
             }
           }
 
           @Override
           public void broken() {
             try {
-              broke();
+              connectionBroken();
             } catch (RuntimeException e) {
-              Loop.failed(e);
+              EventLoop.logFailure(e);
             }
           }
         });
   }
 
-  /** What has come and was not taken yet; null once the link is a stream. */
+  /** Returns the buffer of received lines; null once the link is streaming. */
   public LineBuffer buffer() {
     return buffer;
   }
 
-  public void owner(Owner next) {
-    owner = next;
+  /** Sets the receiver of the link's events while it is read line by line. */
+  public void handler(LineHandler next) {
+    handler = next;
   }
 
   /**
-   * Hands all that comes from here on to the stream, as it comes.
+   * Switches the link from lines to a byte stream, whose events go to the handler from here on.
    *
-   * @return what has come already and is in no line that was taken
+   * @return the bytes received so far that no returned line contained
    */
-  public ByteBuffer stream(Stream next) {
-    stream = next;
-    ByteBuffer rest = buffer.rest();
+  public ByteBuffer startStreaming(StreamHandler next) {
+    streamHandler = next;
+    ByteBuffer unread = buffer.unread();
     buffer = null;
-    owner = null;
-    if (!outbox.isEmpty()) {
-      stream.waits(this, outbox.size());
+    handler = null;
+    if (!sendQueue.isEmpty()) {
+      streamHandler.queued(this, sendQueue.size());
     }
     if (released) {
-      stream.released(this);
+      streamHandler.released(this);
     }
-    return rest;
+    return unread;
   }
 
+  /** Returns whether neither direction has ended and the link was not closed. */
   public boolean isOpen() {
-    return !inputOver && !outputOver && !released;
+    return !inputEnded && !outputEnding && !released;
   }
 
   boolean isClosing() {
-    return (inputOver || outputOver) && !released;
+    return (inputEnded || outputEnding) && !released;
   }
 
+  /** Sends a line; the line end is added. */
   public void send(String line) {
     send((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1), null);
   }
 
-  /** Writes the bytes; {@code written} runs once the last of them is with the kernel. */
+  /**
+   * Sends the bytes.
+   *
+   * @param written runs once the kernel has accepted the last byte; may be null. It does not run if
+   *     the link has ended or ends before
+   */
   public void send(byte[] bytes, Runnable written) {
-    if (outputOver || released || bytes.length == 0) {
+    if (outputEnding || released || bytes.length == 0) {
       return;
     }
     send(ByteBuffer.wrap(bytes));
     if (!released && written != null) {
-      outbox.whenTaken(written);
-      outbox.runTaken();
+      sendQueue.whenWritten(written);
+      sendQueue.runWrittenCallbacks();
     }
   }
 
   /**
-   * Writes the bytes: at once as far as the kernel takes them; the rest is kept, and follows as the
-   * peer reads. None of them is left in the buffer.
+   * Sends the bytes: writes as many as the kernel accepts at once and queues the rest. The buffer
+   * is always consumed, also on a link that has ended, which drops the bytes.
    */
   public void send(ByteBuffer bytes) {
-    if (outputOver || released) {
+    if (outputEnding || released) {
       bytes.position(bytes.limit());
       return;
     }
-    if (outbox.isEmpty()) {
+    if (sendQueue.isEmpty()) {
       try {
         channel.write(bytes);
       } catch (IOException e) {
         bytes.position(bytes.limit());
-        broke();
+        connectionBroken();
         return;
       }
     }
-    int rest = bytes.remaining();
-    if (rest > 0) {
-      outbox.add(bytes);
+    int remaining = bytes.remaining();
+    if (remaining > 0) {
+      sendQueue.add(bytes);
       if (!writing) {
         writing = true;
         channel.writing(true);
       }
-      if (stream != null) {
-        stream.waits(this, rest);
+      if (streamHandler != null) {
+        streamHandler.queued(this, remaining);
       }
     }
   }
 
-  /** The channel takes more. */
+  /** Writes queued bytes; the channel accepts more. */
   private void write() {
     int count;
     try {
-      count = outbox.writeTo(channel);
+      count = sendQueue.writeTo(channel);
     } catch (IOException e) {
-      broke();
+      connectionBroken();
       return;
     }
-    if (outbox.isEmpty()) {
+    if (sendQueue.isEmpty()) {
       writing = false;
       channel.writing(false);
     }
-    if (stream != null && count > 0) {
-      stream.took(this, count);
+    if (streamHandler != null && count > 0) {
+      streamHandler.drained(this, count);
     }
     if (!released) {
-      outbox.runTaken();
+      sendQueue.runWrittenCallbacks();
     }
   }
 
-  /** Bounds what the kernel keeps for the peer, in bytes, see {@link Channel#sendBuffer}. */
+  /** Sets the size of the kernel's send buffer in bytes; see {@link Channel#sendBuffer}. */
   public void sendBuffer(int bytes) {
     if (!released) {
       channel.sendBuffer(bytes);
     }
   }
 
-  /** How many bytes wait for the peer to read, beside what the kernel keeps. */
-  public int waiting() {
-    return outbox.size();
+  /** Returns the number of sent bytes that the kernel has not accepted yet. */
+  public int queuedBytes() {
+    return sendQueue.size();
   }
 
-  /** Stops reading, so that TCP holds the peer back. */
+  /** Stops reading, so that TCP flow control slows the peer down. */
   public void pause() {
-    if (!inputOver && !released && !paused) {
+    if (!inputEnded && !released && !paused) {
       paused = true;
       channel.reading(false);
     }
   }
 
+  /** Reads again after {@link #pause}. */
   public void resume() {
     if (paused) {
       paused = false;
-      if (!inputOver && !released) {
+      if (!inputEnded && !released) {
         channel.reading(true);
       }
     }
   }
 
   /**
-   * Ends the link after all that was sent, as {@link #close()}, and by a reset if that has not gone
-   * in time.
+   * Closes the link as {@link #close()} does, with another time limit for the queued bytes. If they
+   * are not written within it, the link is reset.
    */
   public void close(long limitMicros) {
     lingerMicros = limitMicros;
     close();
   }
 
-  /** Ends the link after all that was sent; what still comes is thrown away. */
+  /** Closes the link once all sent bytes are written; bytes that still arrive are discarded. */
   public void close() {
-    deaf = true;
+    notificationsOff = true;
     resume();
-    finish();
+    shutdownOutput();
   }
 
   /**
-   * Ends the link with a last line. A peer that is still sending is read for a while, until it has
-   * been quiet: a close with bytes unread would send a reset, which can overtake the line.
+   * Sends a final line and closes the link. A peer that is still sending is read until it pauses,
+   * for a limited time: closing with unread bytes would send a reset, which can destroy the line
+   * before the peer has read it.
    */
-  public void turnAway(String line) {
+  public void reject(String line) {
     send(line);
-    lingerMicros = TURNED_AWAY_MICROS;
+    lingerMicros = REJECTED_LINGER_MICROS;
     close();
     awaitQuiet(0);
   }
 
-  private void awaitQuiet(long seen) {
+  private void awaitQuiet(long discardedBefore) {
     net.loop()
-        .after(
-            QUIET_MICROS,
+        .schedule(
+            QUIET_PERIOD_MICROS,
             () -> {
-              if (discarded == seen || net.full()) {
+              if (discardedBytes == discardedBefore || net.isAtCapacity()) {
                 release();
               } else {
-                awaitQuiet(discarded);
+                awaitQuiet(discardedBytes);
               }
             });
   }
 
-  /** Ends our sending after all that was sent; what the peer sends is still told. */
-  public void finish() {
-    if (outputOver || released) {
+  /**
+   * Shuts down the sending direction once all sent bytes are written. Bytes of the peer are still
+   * reported.
+   */
+  public void shutdownOutput() {
+    if (outputEnding || released) {
       return;
     }
-    outputOver = true;
+    outputEnding = true;
     startLinger();
-    outbox.whenTaken(this::endSending);
-    outbox.runTaken();
+    sendQueue.whenWritten(this::shutdownChannelOutput);
+    sendQueue.runWrittenCallbacks();
   }
 
-  /** Ends the link with a last line and without waiting for the peer, so that its room is free. */
-  public void drop(String line) {
+  /**
+   * Sends a final line and closes at once, without waiting for the peer, to free the descriptor.
+   */
+  public void closeNow(String line) {
     send(line);
     release();
   }
 
   private void startLinger() {
-    if (linger == null) {
-      // What still waits then is lost: the peer must not take the end for a proper one.
-      linger = net.loop().after(lingerMicros, () -> release(!outbox.isEmpty()));
+    if (lingerTimer == null) {
+      // Bytes that are still queued then are lost. A reset keeps the peer from taking the close for
+      // a regular end of stream.
+      lingerTimer = net.loop().schedule(lingerMicros, () -> release(!sendQueue.isEmpty()));
     }
   }
 
-  private void endSending() {
+  private void shutdownChannelOutput() {
     try {
       channel.shutdownOutput();
       outputShut = true;
-      if (inputOver) {
+      if (inputEnded) {
         release();
       }
     } catch (IOException e) {
@@ -335,12 +360,12 @@
     }
   }
 
-  /** Ends the link at once; the peer sees a reset. */
+  /** Closes the link at once; the peer sees a reset. */
   public void reset() {
     if (released) {
       return;
     }
-    deaf = true;
+    notificationsOff = true;
     release(true);
   }
 
@@ -348,41 +373,41 @@
     release(false);
   }
 
-  /** The one place where the socket is given back. */
+  /** Closes the socket and frees the link's memory; the only place that does so. */
   private void release(boolean abruptly) {
     if (!released) {
       released = true;
-      if (linger != null) {
-        linger.cancel();
+      if (lingerTimer != null) {
+        lingerTimer.cancel();
       }
       if (abruptly) {
         channel.reset();
       } else {
         channel.close();
       }
-      outbox.clear();
+      sendQueue.clear();
       net.released(this);
-      if (stream != null) {
-        stream.released(this);
+      if (streamHandler != null) {
+        streamHandler.released(this);
       }
     }
   }
 
-  /** Reads now what has come already, without waiting to be told of it. */
-  public void receive() {
-    if (!inputOver && !released) {
+  /** Reads the bytes that have already arrived, without waiting for the event loop's event. */
+  public void readNow() {
+    if (!inputEnded && !released) {
       read();
     }
   }
 
-  /** Reads what there is, as much as may be at once. */
+  /** Reads the available bytes, up to the read quota. */
   private void read() {
     ByteBuffer into;
-    if (deaf) {
-      into = net.buffers().discarded();
-    } else if (stream != null) {
+    if (notificationsOff) {
+      into = net.buffers().discardBuffer();
+    } else if (streamHandler != null) {
       into = net.buffers().input();
-      into.limit(Math.min(into.capacity(), stream.room(this)));
+      into.limit(Math.min(into.capacity(), streamHandler.readQuota(this)));
     } else {
       into = buffer.space();
     }
@@ -390,56 +415,56 @@
     try {
       count = channel.read(into);
     } catch (IOException e) {
-      broke();
+      connectionBroken();
       return;
     }
     if (count < 0) {
-      inputEnded();
+      endInput();
     } else if (count > 0) {
-      took(into, count);
+      deliver(into, count);
     }
   }
 
-  private void took(ByteBuffer bytes, int count) {
-    if (deaf) {
-      discarded += count;
-      if (discarded > MOST_DISCARDED) {
+  private void deliver(ByteBuffer bytes, int count) {
+    if (notificationsOff) {
+      discardedBytes += count;
+      if (discardedBytes > MAX_DISCARDED_BYTES) {
         release();
       }
-    } else if (stream != null) {
-      stream.came(this, bytes.flip());
+    } else if (streamHandler != null) {
+      streamHandler.received(this, bytes.flip());
     } else {
-      buffer.filled(count);
-      owner.received(this);
+      buffer.advance(count);
+      handler.received(this);
     }
   }
 
-  private void inputEnded() {
-    inputOver = true;
+  private void endInput() {
+    inputEnded = true;
     if (outputShut) {
       release();
     } else {
       channel.reading(false);
       startLinger();
     }
-    tell(false);
+    notifyEnded(false);
   }
 
-  /** The link is broken, as seen by a read, a write or the channel. */
-  private void broke() {
+  /** Ends the link after a read, a write or the channel has reported a failed connection. */
+  private void connectionBroken() {
     if (!released) {
       release();
-      tell(true);
+      notifyEnded(true);
     }
   }
 
-  private void tell(boolean reset) {
-    if (!deaf) {
-      deaf = true;
-      if (stream != null) {
-        stream.ended(this, reset);
+  private void notifyEnded(boolean reset) {
+    if (!notificationsOff) {
+      notificationsOff = true;
+      if (streamHandler != null) {
+        streamHandler.ended(this, reset);
       } else {
-        owner.ended(this, reset);
+        handler.ended(this, reset);
       }
     }
   }
--- a/src/main/java/brassbank/net/Net.java
+++ b/src/main/java/brassbank/net/Net.java
@@ -12,158 +12,181 @@
 import java.util.function.Consumer;
 
 /**
- * The way in to the network: links and calls, and the one count of the descriptors that they hold.
- * Everything but {@link #execute} is for the loop's thread, or for the time before {@link #start}.
+ * Opens and accepts the connections of the proxy and accounts for the descriptors that they hold.
+ * All methods except {@link #execute} are for the event loop's thread, or for the time before
+ * {@link #start}.
  */
 public final class Net {
   private static final Log LOG = Log.of("net");
 
-  /** Descriptors kept for discovery's calls, an accept under way and what the runtime opens. */
-  private static final int RESERVE = 12;
+  /** Reserve for discovery calls, an accept in progress and files that the Java runtime opens. */
+  private static final int RESERVED_DESCRIPTORS = 12;
 
-  /** Descriptors that the runtime is taken to hold where they cannot be counted. */
-  private static final int RUNTIME = 44;
+  /** Assumed number of descriptors of the Java runtime where they cannot be counted. */
+  private static final int DEFAULT_RUNTIME_DESCRIPTORS = 44;
 
-  private static final int LEAST = 8;
+  /** Links that are possible even if the descriptor limit leaves room for fewer. */
+  private static final int MIN_LINKS = 8;
 
-  /** What a link reads in one turn, where nothing else is configured. */
-  private static final int TURN = 32 * 1024;
+  /** What a link reads per readable event unless configured otherwise. */
+  private static final int DEFAULT_READ_QUOTA_BYTES = 32 * 1024;
 
-  /** What becomes of a connect: exactly one of the two is told, on a later turn. */
-  public interface Connected {
-    void up(Link link);
+  /** Receives the result of a connect: exactly one of the two calls, from the event loop. */
+  public interface ConnectHandler {
+    /** Hands over the link of the established connection. */
+    void connected(Link link);
 
+    /** Reports that the connect was refused, failed or timed out. */
     void failed(Throwable cause);
   }
 
   private final Network network;
-  private final Loop loop;
+  private final EventLoop loop;
 
-  /** In the order of their making, so that a run can be replayed whatever walks through them. */
+  /** In the order of creation, so that iterating over them is the same in each replay of a run. */
   private final Set<Link> links = new LinkedHashSet<>();
 
-  /** Links of the operators' door, which have descriptors of their own and make nobody wait. */
-  private final Set<Link> apart = new LinkedHashSet<>();
+  /**
+   * Links of the management address. They have reserved descriptors, so that they never take one
+   * from a client.
+   */
+  private final Set<Link> managementLinks = new LinkedHashSet<>();
 
-  /** Descriptors kept back for them. */
-  private int places;
+  /** Descriptors reserved for the management links and their listener. */
+  private int managementDescriptors;
 
-  private final Buffers buffers = new Buffers(TURN);
+  private final BufferPool buffers = new BufferPool(DEFAULT_READ_QUOTA_BYTES);
 
-  private int runtime = RUNTIME;
-  private int sockets;
-  private int most;
+  private int runtimeDescriptors = DEFAULT_RUNTIME_DESCRIPTORS;
+  private int maxDescriptors;
 
-  /** Connects under way, each of which holds a descriptor too. */
-  private int connecting;
+  /** The most links and pending connects together. */
+  private int maxLinks;
+
+  /** Connects in progress, each of which holds a descriptor too. */
+  private int pendingConnects;
 
   private Network.Listener listener;
   private boolean accepting = true;
 
-  /** False while another process takes the clients. */
-  private boolean open = true;
+  /** False while another process accepts the clients. */
+  private boolean acceptClients = true;
 
-  public Net(int sockets, Network network) {
+  /**
+   * @param descriptors the most descriptors that the process may hold
+   */
+  public Net(int descriptors, Network network) {
     this.network = network;
-    loop = new Loop(network.clock());
-    limit(sockets);
+    loop = new EventLoop(network.clock());
+    descriptorLimit(descriptors);
   }
 
+  /** Starts the event loop. */
   public void start() throws IOException {
     network.start(loop);
   }
 
-  /** Takes clients at this address and no other. */
+  /** Accepts clients at exactly this address. */
   public void listen(InetSocketAddress address, Consumer<Link> onAccept) throws IOException {
-    listener = network.listen(address, taking(onAccept));
-    opened();
+    listener = network.listen(address, acceptHandler(onAccept));
+    countRuntimeDescriptors();
   }
 
   /**
-   * Takes clients from the listening socket that the program inherited, once {@link #open} says.
+   * Accepts clients from the listening socket that the process inherited, from the call of {@link
+   * #acceptClients} on.
    */
   public void inherit(Consumer<Link> onAccept) throws IOException {
-    listener = network.inherit(taking(onAccept));
-    open = false;
+    listener = network.inherit(acceptHandler(onAccept));
+    acceptClients = false;
     accepting = false;
-    opened();
+    countRuntimeDescriptors();
   }
 
-  private Consumer<Channel> taking(Consumer<Link> onAccept) {
+  private Consumer<Channel> acceptHandler(Consumer<Link> onAccept) {
     return channel ->
-        Loop.guarded(
+        EventLoop.runGuarded(
             () -> {
               onAccept.accept(adopt(channel, null));
-              admit();
+              updateAccepting();
             });
   }
 
-  private void opened() {
+  private void countRuntimeDescriptors() {
     int held = network.descriptors();
-    runtime = held < 0 ? RUNTIME : held;
-    limit(sockets);
+    runtimeDescriptors = held < 0 ? DEFAULT_RUNTIME_DESCRIPTORS : held;
+    descriptorLimit(maxDescriptors);
   }
 
-  /** Whether clients are taken, as far as there is room. */
-  public void open(boolean on) {
-    open = on;
-    admit();
+  /** Sets whether clients are accepted while descriptors are available. */
+  public void acceptClients(boolean on) {
+    acceptClients = on;
+    updateAccepting();
   }
 
-  /** Whether clients are taken. */
-  public boolean isOpen() {
-    return open;
+  /** Returns whether clients are accepted while descriptors are available. */
+  public boolean isAcceptingClients() {
+    return acceptClients;
   }
 
   /**
-   * Takes connections at one more address, apart from the clients': their events come first, and
-   * they hold no more than so many descriptors, which are kept back for them. To be called before
-   * {@link #listen}.
+   * Accepts management connections at a further address. Their events are delivered before those of
+   * other connections, and descriptors are reserved for them. Must be called before {@link
+   * #listen}.
    *
-   * @param onAccept gets each new link; where there is one more than that, it ends one at once, or
-   *     the oldest ends without a word
+   * @param maxConnections the most management connections at a time
+   * @param onAccept receives each new link. If the limit is exceeded, it closes a link at once;
+   *     otherwise the oldest one is closed without a reply
    */
-  public void listenApart(InetSocketAddress address, int places, Consumer<Link> onAccept)
-      throws IOException {
-    this.places = places + 1;
+  public void listenManagement(
+      InetSocketAddress address, int maxConnections, Consumer<Link> onAccept) throws IOException {
+    this.managementDescriptors = maxConnections + 1;
     network.listen(
         address,
         true,
         channel ->
-            Loop.guarded(
+            EventLoop.runGuarded(
                 () -> {
                   Link link = new Link(this, channel, null);
-                  apart.add(link);
+                  managementLinks.add(link);
                   onAccept.accept(link);
-                  if (apart.size() > places) {
-                    apart.iterator().next().release();
+                  if (managementLinks.size() > maxConnections) {
+                    managementLinks.iterator().next().release();
                   }
                 }));
   }
 
-  /** Sets how many descriptors this process may hold. */
-  public void limit(int descriptors) {
-    sockets = descriptors;
-    most = Math.max(LEAST, descriptors - runtime - RESERVE - places);
-    admit();
+  /** Sets the most descriptors that this process may hold. */
+  public void descriptorLimit(int descriptors) {
+    maxDescriptors = descriptors;
+    maxLinks =
+        Math.max(
+            MIN_LINKS,
+            descriptors - runtimeDescriptors - RESERVED_DESCRIPTORS - managementDescriptors);
+    updateAccepting();
   }
 
   /**
-   * How many descriptors the process needs for what it has, where it takes no more clients: no flow
-   * of it is refused under this limit.
+   * Returns the smallest descriptor limit under which a process that accepts no more clients
+   * refuses none of its flows.
    *
-   * @param promised descriptors that are promised and not held yet
+   * @param reserved descriptors that flows will need and do not hold yet
    */
-  public int needs(int promised) {
-    return runtime + RESERVE + places + used() + promised + LEAST;
+  public int requiredDescriptors(int reserved) {
+    return runtimeDescriptors
+        + RESERVED_DESCRIPTORS
+        + managementDescriptors
+        + usedDescriptors()
+        + reserved
+        + MIN_LINKS;
   }
 
-  /** The memory of all links. */
-  public Buffers buffers() {
+  /** Returns the buffer memory of all links. */
+  public BufferPool buffers() {
     return buffers;
   }
 
-  public Loop loop() {
+  public EventLoop loop() {
     return loop;
   }
 
@@ -171,184 +194,204 @@
     return network.clock();
   }
 
-  /** Runs a task on the loop's thread, from any other. */
+  /** Runs a task on the event loop's thread; any thread may call. */
   public void execute(Runnable task) {
-    network.execute(() -> Loop.guarded(task));
+    network.execute(() -> EventLoop.runGuarded(task));
   }
 
-  /** Whether a link that was closed still has something to send, or waits for its peer's end. */
-  public boolean closing() {
+  /** Returns whether a closed link still has bytes to send or waits for its peer to close. */
+  public boolean hasClosingLinks() {
     return links.stream().anyMatch(Link::isClosing);
   }
 
-  /** Whether descriptors run short: a new flow must be refused while there is room to say so. */
-  public boolean full() {
-    return full(0);
+  /**
+   * Returns whether new flows are to be refused for lack of descriptors. An eighth of the
+   * descriptors is still free then, so that clients can be accepted and receive a refusal.
+   */
+  public boolean isAtCapacity() {
+    return isAtCapacity(0);
   }
 
   /**
-   * As {@link #full()}, with so many descriptors that are promised and not held yet. Nothing is
-   * kept back for refusals where no new clients come.
+   * As {@link #isAtCapacity()}, counting descriptors that flows will need and do not hold yet.
+   * While no new clients are accepted, nothing is set aside for refusals.
    */
-  public boolean full(int promised) {
-    return used() + promised > most - (open ? most / 8 : 0);
+  public boolean isAtCapacity(int reserved) {
+    return usedDescriptors() + reserved > maxLinks - (acceptClients ? maxLinks / 8 : 0);
   }
 
-  /** How many clients that have said nothing yet there may be. */
-  public int silentRoom() {
-    return Math.max(1, Math.min(most / 4, most - most / 8 - used()));
+  /** Returns the most clients that may be connected without having sent a line yet. */
+  public int maxSilentClients() {
+    return Math.max(1, Math.min(maxLinks / 4, maxLinks - maxLinks / 8 - usedDescriptors()));
   }
 
-  private int used() {
-    return links.size() + connecting;
+  private int usedDescriptors() {
+    return links.size() + pendingConnects;
   }
 
-  private Link adopt(Channel channel, Link.Owner owner) {
-    Link link = new Link(this, channel, owner);
+  private Link adopt(Channel channel, Link.LineHandler handler) {
+    Link link = new Link(this, channel, handler);
     links.add(link);
     return link;
   }
 
   void released(Link link) {
-    if (!apart.remove(link)) {
+    if (!managementLinks.remove(link)) {
       links.remove(link);
-      admit();
+      updateAccepting();
     }
   }
 
-  /** An accept without a descriptor would end the listening socket: the backlog waits instead. */
-  private void admit() {
-    boolean room = used() < most;
-    boolean wanted = room && open;
+  /**
+   * Turns the listener on or off. It is off while no descriptor is free, because an accept that
+   * fails for lack of one would end the listening socket; clients then wait in the backlog.
+   */
+  private void updateAccepting() {
+    boolean hasCapacity = usedDescriptors() < maxLinks;
+    boolean wanted = hasCapacity && acceptClients;
     if (wanted == accepting || listener == null) {
       return;
     }
     accepting = wanted;
-    if (!room) {
-      LOG.warn("descriptors-short", value("open", used()));
+    if (!hasCapacity) {
+      LOG.warn("descriptors-short", value("open", usedDescriptors()));
     }
     listener.accepting(wanted);
   }
 
-  /** Opens a connection of lines; it has a time limit, since a silent machine never answers. */
+  /**
+   * Opens a connection that is read line by line.
+   *
+   * @param timeoutMicros the time limit of the connect: a machine that is down never answers
+   */
   public Network.Attempt connect(
-      InetSocketAddress address, long limitMicros, Link.Owner owner, Connected then) {
-    Dial dial =
-        new Dial() {
+      InetSocketAddress address,
+      long timeoutMicros,
+      Link.LineHandler handler,
+      ConnectHandler result) {
+    TimedConnect connect =
+        new TimedConnect() {
           @Override
           Network.Attempt attempt() {
             return network.connect(
                 address,
-                new Network.Connected() {
+                new Network.ConnectHandler() {
                   @Override
-                  public void up(Channel channel) {
-                    settled();
-                    Loop.guarded(() -> then.up(adopt(channel, owner)));
+                  public void connected(Channel channel) {
+                    settle();
+                    EventLoop.runGuarded(() -> result.connected(adopt(channel, handler)));
                   }
 
                   @Override
                   public void failed(IOException cause) {
-                    lost(cause);
+                    abort(cause);
                   }
                 });
           }
 
           @Override
           void failed(Throwable cause) {
-            then.failed(cause);
+            result.failed(cause);
           }
         };
-    dial.start(limitMicros);
-    return dial;
+    connect.start(timeoutMicros);
+    return connect;
   }
 
-  /** Asks by HTTP, see {@link Network#get}; its connect has a time limit. */
+  /**
+   * Sends an HTTP request, see {@link Network#get}.
+   *
+   * @param connectTimeoutMicros the time limit of the connect; the response has none
+   */
   public Network.Attempt get(
-      InetSocketAddress address, String path, long connectMicros, Network.Answer answer) {
-    Dial dial =
-        new Dial() {
+      InetSocketAddress address,
+      String path,
+      long connectTimeoutMicros,
+      Network.ResponseHandler handler) {
+    TimedConnect connect =
+        new TimedConnect() {
           @Override
           Network.Attempt attempt() {
             return network.get(
                 address,
                 path,
-                new Network.Answer() {
+                new Network.ResponseHandler() {
                   @Override
                   public void connected() {
-                    settled();
-                    Loop.guarded(answer::connected);
+                    settle();
+                    EventLoop.runGuarded(handler::connected);
                   }
 
                   @Override
-                  public void begun(int status) {
-                    Loop.guarded(() -> answer.begun(status));
+                  public void statusReceived(int status) {
+                    EventLoop.runGuarded(() -> handler.statusReceived(status));
                   }
 
                   @Override
-                  public void content(int status, ByteBuffer bytes, boolean last) {
-                    Loop.guarded(() -> answer.content(status, bytes, last));
+                  public void contentReceived(int status, ByteBuffer bytes, boolean last) {
+                    EventLoop.runGuarded(() -> handler.contentReceived(status, bytes, last));
                   }
 
                   @Override
                   public void failed(String why) {
-                    settled();
-                    Loop.guarded(() -> answer.failed(why));
+                    settle();
+                    EventLoop.runGuarded(() -> handler.failed(why));
                   }
                 });
           }
 
           @Override
           void failed(Throwable cause) {
-            answer.failed(cause.getMessage());
+            handler.failed(cause.getMessage());
           }
         };
-    dial.start(connectMicros);
-    return dial;
+    connect.start(connectTimeoutMicros);
+    return connect;
   }
 
   /**
-   * Takes datagrams, see {@link Network#datagrams}. The one descriptor comes out of those that are
-   * kept for the runtime: no client waits for it.
+   * Receives datagrams, see {@link Network#datagrams}. The socket's descriptor is one of those
+   * reserved for the Java runtime, so that clients do not compete for it.
    */
-  public Network.Datagrams datagrams(InetSocketAddress address, Network.Heard heard)
+  public Network.Datagrams datagrams(InetSocketAddress address, Network.DatagramHandler handler)
       throws IOException {
     return network.datagrams(
-        address, (from, bytes) -> Loop.guarded(() -> heard.heard(from, bytes)));
+        address, (from, bytes) -> EventLoop.runGuarded(() -> handler.received(from, bytes)));
   }
 
-  /** A connect within its time limit; it counts as a descriptor until it is settled. */
-  private abstract class Dial implements Network.Attempt {
+  /** A connect with a time limit. It counts as a descriptor until it succeeds, fails or ends. */
+  private abstract class TimedConnect implements Network.Attempt {
     private Network.Attempt attempt;
-    private Loop.Timer limit;
+    private EventLoop.Timer timeout;
     private boolean settled;
 
     abstract Network.Attempt attempt();
 
     abstract void failed(Throwable cause);
 
-    void start(long limitMicros) {
-      connecting++;
-      limit = loop.after(limitMicros, () -> lost(new IOException("not up in time")));
+    void start(long timeoutMicros) {
+      pendingConnects++;
+      timeout = loop.schedule(timeoutMicros, () -> abort(new IOException("connect timed out")));
       attempt = attempt();
     }
 
-    /** The one place where a connect's descriptor is no longer counted. */
-    void settled() {
+    /** Stops counting the connect's descriptor; the only place that does so. */
+    void settle() {
       if (!settled) {
         settled = true;
-        limit.cancel();
-        connecting--;
+        timeout.cancel();
+        pendingConnects--;
       }
     }
 
-    void lost(Throwable cause) {
+    void abort(Throwable cause) {
       cancel();
-      Loop.guarded(() -> failed(cause));
+      EventLoop.runGuarded(() -> failed(cause));
     }
 
     @Override
     public void cancel() {
-      settled();
+      settle();
       attempt.cancel();
     }
   }
--- a/src/main/java/brassbank/relay/Relay.java
+++ b/src/main/java/brassbank/relay/Relay.java
@@ -4,83 +4,89 @@
 import static brassbank.log.Field.value;
 
 import brassbank.log.Log;
+import brassbank.net.EventLoop;
 import brassbank.net.Link;
-import brassbank.net.Loop;
 import brassbank.net.Net;
+import brassbank.relay.limits.DisconnectDecision;
 import brassbank.relay.limits.PeerLimits;
 import brassbank.relay.limits.RelayLimits;
-import brassbank.relay.limits.Verdict;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** All standing sessions, and what their slow peers may cost together. */
+/** All established sessions, and the enforcement of the limits on their slow peers. */
 public final class Relay {
   private static final Log LOG = Log.of("relay");
 
   private final Net net;
   private final PeerLimits limits;
-  private final Feeds feeds = new Feeds();
+  private final LineFeedScanner lineFeeds = new LineFeedScanner();
 
-  /** Sessions whose links are not both given back, by the flow's number. */
-  private final Map<Long, Pair> pairs = new LinkedHashMap<>();
+  /** Sessions of which a link is still open, by the number of the flow. */
+  private final Map<Long, RelayedSession> sessions = new LinkedHashMap<>();
 
-  private Loop.Timer judging;
+  private EventLoop.Timer evaluationTimer;
 
   public Relay(Net net, RelayLimits limits) {
     this.net = net;
     this.limits = new PeerLimits(limits);
-    net.buffers().turn(limits.turn());
+    net.buffers().readQuota(limits.readQuotaBytes());
   }
 
-  /** Other limits hold from here on, for the sessions that stand as well. */
+  /** Changes the limits, also for established sessions. */
   public void configure(RelayLimits next) {
     limits.configure(next);
-    net.buffers().turn(next.turn());
-    judge();
+    net.buffers().readQuota(next.readQuotaBytes());
+    evaluate();
   }
 
   /**
-   * Two links become one session, which {@link Pair#start} begins.
+   * Creates the session of two links; {@link RelayedSession#start} starts relaying.
    *
-   * @param flow its number, which no other open session has
-   * @param practice whose budget it counts to, or null
+   * @param flow the flow's number, which no other open session has
+   * @param practice the practice to whose budget the session counts, or null
    */
-  public Pair pair(long flow, String practice, Link client, Link target, Watcher watcher) {
-    Pair pair =
-        new Pair(
-            this, limits.open(flow, practice == null ? "" : practice), client, target, watcher);
-    pairs.put(flow, pair);
-    return pair;
+  public RelayedSession openSession(
+      long flow, String practice, Link client, Link target, SessionObserver observer) {
+    RelayedSession session =
+        new RelayedSession(
+            this, limits.open(flow, practice == null ? "" : practice), client, target, observer);
+    sessions.put(flow, session);
+    return session;
   }
 
-  /** Whether a client is still owed bytes, or a last line behind a line that is on its way. */
-  public boolean owes() {
-    return pairs.values().stream().anyMatch(Pair::owes);
+  /** Returns whether a session still has bytes or a final line to send to its client. */
+  public boolean hasPendingClientData() {
+    return sessions.values().stream().anyMatch(RelayedSession::hasPendingClientData);
   }
 
-  /** The program ends: whoever is still owed something must not take that for a proper end. */
-  public void abandon() {
-    List.copyOf(pairs.values()).stream().filter(Pair::owes).forEach(Pair::abandon);
+  /**
+   * Resets the sessions that still have data to send to their client; called when the process ends.
+   * A reset keeps those clients from taking the close for a regular end of the session.
+   */
+  public void resetPending() {
+    List.copyOf(sessions.values()).stream()
+        .filter(RelayedSession::hasPendingClientData)
+        .forEach(RelayedSession::reset);
   }
 
-  /** Both links of a session are given back. */
-  void over(Pair pair) {
-    pairs.remove(pair.peers().id());
-    limits.close(pair.peers());
+  /** Removes a session whose links are both closed. */
+  void closed(RelayedSession session) {
+    sessions.remove(session.peers().id());
+    limits.close(session.peers());
   }
 
   PeerLimits limits() {
     return limits;
   }
 
-  Feeds feeds() {
-    return feeds;
+  LineFeedScanner lineFeeds() {
+    return lineFeeds;
   }
 
-  Loop loop() {
+  EventLoop loop() {
     return net.loop();
   }
 
@@ -88,61 +94,61 @@
     return net;
   }
 
-  /** Microseconds for the limits. */
-  long now() {
+  /** Returns the time for the limits, in microseconds of the monotonic clock. */
+  long nowMicros() {
     return TimeUnit.NANOSECONDS.toMicros(net.clock().nanos());
   }
 
-  /** Something waits, or has begun, that may one day be too much. */
-  void watch() {
-    long period = limits.period();
-    if (judging == null && period >= 0) {
-      judging = net.loop().after(period, this::judge);
+  /** Schedules the next evaluation of the limits, unless one is scheduled or none is needed. */
+  void scheduleEvaluation() {
+    long delay = limits.evaluationDelayMicros();
+    if (evaluationTimer == null && delay >= 0) {
+      evaluationTimer = net.loop().schedule(delay, this::evaluate);
     }
   }
 
-  /** A budget is broken: who pays for it is decided next. */
-  void hurry() {
-    if (judging != null) {
-      judging.cancel();
+  /** Schedules an evaluation without delay, because a budget is exceeded. */
+  void evaluateSoon() {
+    if (evaluationTimer != null) {
+      evaluationTimer.cancel();
     }
-    judging = net.loop().after(0, this::judge);
+    evaluationTimer = net.loop().schedule(0, this::evaluate);
   }
 
-  private void judge() {
-    if (judging != null) {
-      judging.cancel();
-      judging = null;
+  private void evaluate() {
+    if (evaluationTimer != null) {
+      evaluationTimer.cancel();
+      evaluationTimer = null;
     }
-    List<Verdict> verdicts = limits.judge(now());
-    for (Verdict verdict : verdicts) {
-      Pair pair = pairs.get(verdict.session().id());
-      tell(verdict);
-      pair.giveUp(verdict);
+    List<DisconnectDecision> decisions = limits.evaluate(nowMicros());
+    for (DisconnectDecision decision : decisions) {
+      RelayedSession session = sessions.get(decision.session().id());
+      logDecision(decision);
+      session.disconnect(decision);
     }
-    if (!verdicts.isEmpty()) {
+    if (!decisions.isEmpty()) {
       LOG.warn(
           "slow-peers",
-          value("given_up", verdicts.size()),
-          value("waiting", limits.waiting()),
+          value("given_up", decisions.size()),
+          value("waiting", limits.queuedBytes()),
           value("sessions", limits.sessions()));
     }
-    watch();
+    scheduleEvaluation();
   }
 
-  private static void tell(Verdict verdict) {
+  private static void logDecision(DisconnectDecision decision) {
     LOG.info(
         "slow-peer",
-        flow(verdict.session().id()),
-        value("practice", verdict.session().practice()),
-        value("side", named(verdict.side())),
-        value("reason", named(verdict.reason())),
-        value("at_once", verdict.atOnce()),
-        value("waiting", verdict.waiting()),
-        value("age_ms", TimeUnit.MICROSECONDS.toMillis(verdict.ageMicros())));
+        flow(decision.session().id()),
+        value("practice", decision.session().practice()),
+        value("side", logName(decision.side())),
+        value("reason", logName(decision.reason())),
+        value("at_once", decision.immediate()),
+        value("waiting", decision.queuedBytes()),
+        value("age_ms", TimeUnit.MICROSECONDS.toMillis(decision.ageMicros())));
   }
 
-  private static String named(Enum<?> constant) {
+  private static String logName(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 }
--- /dev/null
+++ b/src/main/java/brassbank/relay/RelayedSession.java
@@ -0,0 +1,331 @@
+package brassbank.relay;
+
+import brassbank.net.Link;
+import brassbank.relay.limits.DisconnectDecision;
+import brassbank.relay.limits.PeerLimits;
+import brassbank.relay.limits.SessionPeers;
+import brassbank.relay.limits.Side;
+import brassbank.relay.limits.SideLimits;
+import java.nio.ByteBuffer;
+import java.nio.ByteOrder;
+
+/**
+ * An established session, which relays bytes between the link of a client and that of its target.
+ * Bytes are written from the buffer into which they were read. What a peer does not accept at once
+ * is queued, and while too much is queued for one side, the other side is not read. When one side
+ * ends, the other is ended in the same way: a reset resets both links; after an end of stream the
+ * last lines of the other side are still relayed while the links linger.
+ */
+public final class RelayedSession implements Link.StreamHandler, HostLineParser.Listener {
+  /** How long the final line waits for the end of a line that has been relayed in part. */
+  private static final long LINE_END_TIMEOUT_MICROS = 500_000;
+
+  /** Time limit for the final line to be written, unless the session ends for a slow peer. */
+  private static final long LINGER_MICROS = 1_000_000;
+
+  private final Relay relay;
+  private final PeerLimits limits;
+  private final SessionPeers peers;
+  private final Link client;
+  private final Link target;
+  private final SessionObserver observer;
+  private final ClientLineTracker clientLines = new ClientLineTracker();
+  private final HostLineParser hostLines;
+  private int released;
+
+  /** The target has not answered the client's last line yet. */
+  private boolean requestPending;
+
+  /** The line to send to the client before closing; null until the session is to be closed. */
+  private String finalLine;
+
+  private Runnable onClosed;
+  private long finalLineLimitMicros = LINGER_MICROS;
+
+  /** The target does not read: its link is reset instead of waiting for it. */
+  private boolean targetUnresponsive;
+
+  /** One side has ended or is being disconnected: the observer is not notified any more. */
+  private boolean ending;
+
+  /** No bytes are relayed any more. */
+  private boolean closed;
+
+  RelayedSession(
+      Relay relay, SessionPeers peers, Link client, Link target, SessionObserver observer) {
+    this.relay = relay;
+    this.limits = relay.limits();
+    this.hostLines = new HostLineParser(relay.lineFeeds(), this);
+    this.peers = peers;
+    this.client = client;
+    this.target = target;
+    this.observer = observer;
+  }
+
+  SessionPeers peers() {
+    return peers;
+  }
+
+  /**
+   * Starts relaying; the first bytes relayed are those that the links had received and not read.
+   */
+  public void start() {
+    applyKernelBuffer(client, limits.limits().client());
+    applyKernelBuffer(target, limits.limits().target());
+    ByteBuffer fromTarget = target.startStreaming(this).order(ByteOrder.LITTLE_ENDIAN);
+    ByteBuffer fromClient = client.startStreaming(this).order(ByteOrder.LITTLE_ENDIAN);
+    received(target, fromTarget);
+    received(client, fromClient);
+    // If the client has just reset the connection, sending it the first line fails the link before
+    // this session receives the link's events, and the failure is not reported again.
+    if (!client.isOpen()) {
+      ended(client, true);
+    }
+  }
+
+  private static void applyKernelBuffer(Link link, SideLimits side) {
+    if (side.kernelBufferBytes() > 0) {
+      link.sendBuffer(side.kernelBufferBytes());
+    }
+  }
+
+  private Link other(Link link) {
+    return link == client ? target : client;
+  }
+
+  private Side side(Link link) {
+    return link == client ? Side.CLIENT : Side.TARGET;
+  }
+
+  @Override
+  public int readQuota(Link link) {
+    return limits.limits().readQuotaBytes();
+  }
+
+  @Override
+  public void received(Link from, ByteBuffer bytes) {
+    if (closed || !bytes.hasRemaining()) {
+      return;
+    }
+    int start = bytes.position();
+    int end = bytes.limit();
+    boolean toClient = from == target;
+    if (toClient && finalLine != null) {
+      // The final line follows the end of the current line; the bytes behind that are dropped.
+      relay.lineFeeds().reset(bytes, start, end);
+      int feed = relay.lineFeeds().next(start);
+      end = feed < 0 ? end : feed + 1;
+      bytes.limit(end);
+    }
+    Link to = other(from);
+    to.send(bytes);
+    if (closed) {
+      return;
+    }
+    if (limits.isFull(peers, side(to)) && !(toClient && finalLine != null)) {
+      from.pause();
+    }
+    trackLines(from, bytes, start, end);
+    if (!closed
+        && toClient
+        && finalLine != null
+        && (!hostLines.inLine() || hostLines.isOverlong())) {
+      finish();
+    }
+  }
+
+  /** Finds the lines in bytes that have been sent already, so that this delays no peer. */
+  private void trackLines(Link from, ByteBuffer bytes, int start, int end) {
+    boolean wasInLine;
+    boolean lineEnded;
+    boolean inLine;
+    if (from == client) {
+      wasInLine = clientLines.inLine();
+      lineEnded = clientLines.follow(bytes, start, end);
+      inLine = clientLines.inLine();
+      if (lineEnded && !requestPending && !ending) {
+        requestPending = true;
+        observer.requestRelayed();
+      }
+    } else {
+      wasInLine = hostLines.inLine();
+      lineEnded = hostLines.follow(bytes, start, end);
+      inLine = hostLines.inLine();
+    }
+    if (inLine && (lineEnded || !wasInLine)) {
+      limits.lineStarted(peers, side(from), relay.nowMicros());
+      relay.scheduleEvaluation();
+    } else if (wasInLine && !inLine) {
+      limits.lineEnded(peers, side(from));
+    }
+  }
+
+  @Override
+  public void responseReceived() {
+    if (requestPending && !ending) {
+      requestPending = false;
+      observer.responseRelayed();
+    }
+  }
+
+  @Override
+  public void loadReported(String text) {
+    if (!ending) {
+      observer.loadReported(text);
+    }
+  }
+
+  @Override
+  public void byeReceived() {
+    if (!ending) {
+      observer.byeReceived();
+    }
+  }
+
+  @Override
+  public void moveReceived() {
+    if (!ending) {
+      observer.moveReceived();
+    }
+  }
+
+  @Override
+  public void queued(Link link, int bytes) {
+    limits.bytesQueued(peers, side(link), bytes, relay.nowMicros());
+    if (limits.isOverBudget(peers)) {
+      relay.evaluateSoon();
+    } else {
+      relay.scheduleEvaluation();
+    }
+  }
+
+  @Override
+  public void drained(Link link, int bytes) {
+    limits.bytesDrained(peers, side(link), bytes);
+    SideLimits side = limits.limits().of(side(link));
+    // Resumes at half the limit: resuming at the first free byte would read and write a few bytes
+    // per loop iteration.
+    if (!closed && link.queuedBytes() <= side.maxQueuedBytes() / 2) {
+      other(link).resume();
+    }
+  }
+
+  @Override
+  public void released(Link link) {
+    if (++released == 2) {
+      relay.closed(this);
+    }
+  }
+
+  @Override
+  public void ended(Link from, boolean reset) {
+    if (closed) {
+      return;
+    }
+    closed = reset || ending || relay.net().isAtCapacity();
+    if (reset) {
+      from.reset();
+      other(from).reset();
+    } else if (closed) {
+      // Both sides have ended, or descriptors are short: no further lines are waited for.
+      from.close();
+      other(from).close();
+    } else {
+      other(from).shutdownOutput();
+    }
+    if (!ending) {
+      ending = true;
+      observer.ended(from == client, reset);
+    }
+    if (closed) {
+      notifyClosed();
+    }
+  }
+
+  /**
+   * Sends a final line to the client, between two lines of the target, and closes both links. The
+   * session closes at once, or after the end of a line that has been relayed in part.
+   *
+   * @param closedCallback runs once the session is closed, by this call or for another reason
+   */
+  public void sendFinalLine(String line, Runnable closedCallback) {
+    onClosed = closedCallback;
+    sendFinalLine(line);
+    if (closed) {
+      notifyClosed();
+    }
+  }
+
+  private void notifyClosed() {
+    if (onClosed != null) {
+      Runnable callback = onClosed;
+      onClosed = null;
+      callback.run();
+    }
+  }
+
+  private void sendFinalLine(String line) {
+    if (closed || finalLine != null) {
+      return;
+    }
+    finalLine = line;
+    if (!hostLines.inLine()) {
+      finish();
+    } else {
+      // Reads the target even if the client's queue is full: the current line has to end.
+      target.resume();
+      relay.loop().schedule(LINE_END_TIMEOUT_MICROS, this::finish);
+    }
+  }
+
+  private void finish() {
+    if (closed) {
+      return;
+    }
+    closed = true;
+    if (hostLines.inLine()) {
+      // A reset keeps the client from taking a truncated line for a complete one, or the close for
+      // a regular end of the session.
+      client.reset();
+    } else {
+      client.send(finalLine);
+      client.close(finalLineLimitMicros);
+    }
+    if (targetUnresponsive) {
+      target.reset();
+    } else {
+      target.close();
+    }
+    notifyClosed();
+  }
+
+  /** Returns whether bytes are queued for the client, or a final line waits for a line's end. */
+  boolean hasPendingClientData() {
+    return client.queuedBytes() > 0 || (finalLine != null && !closed);
+  }
+
+  /** Closes the session at once by resetting both links. */
+  void reset() {
+    closed = true;
+    client.reset();
+    target.reset();
+    notifyClosed();
+  }
+
+  /** Applies the decision to disconnect a slow peer of this session. */
+  void disconnect(DisconnectDecision decision) {
+    boolean first = !ending && finalLine == null;
+    ending = true;
+    String line = first ? observer.slowPeerDisconnected(decision.side(), decision.reason()) : null;
+    if (decision.immediate()) {
+      closed = true;
+      client.reset();
+      target.reset();
+      notifyClosed();
+    } else if (first) {
+      finalLineLimitMicros = limits.limits().finalLineTimeoutMicros();
+      targetUnresponsive = decision.side() == Side.TARGET;
+      sendFinalLine(line);
+    }
+  }
+}
--- a/src/main/java/brassbank/relay/limits/PeerLimits.java
+++ b/src/main/java/brassbank/relay/limits/PeerLimits.java
@@ -1,6 +1,6 @@
 package brassbank.relay.limits;
 
-import brassbank.relay.limits.Verdict.Reason;
+import brassbank.relay.limits.DisconnectDecision.Reason;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumMap;
@@ -10,34 +10,35 @@
 import java.util.Map;
 
 /**
- * The limits on slow peers, over all sessions. A peer is <em>behind</em> while bytes wait for it;
- * who is not, and who is in no line, costs nothing here but its entry.
+ * Enforces the limits on slow peers over all sessions. A peer is <em>behind</em> while bytes are
+ * queued for it. A session whose peers are not behind and have no unfinished line costs only its
+ * entry.
  *
- * <p>Each call takes constant time, but for {@link #judge}, which looks at those that are behind or
- * in a line, and sorts them only where a budget is broken.
+ * <p>All methods take constant time except {@link #evaluate}, which iterates over the peers that
+ * are behind or have an unfinished line, and sorts them only if a budget is exceeded.
  */
 public final class PeerLimits {
-  private static final long LONGEST_PERIOD = 1_000_000;
-  private static final long LEAST_PERIOD = 20_000;
+  private static final long MAX_EVALUATION_DELAY_MICROS = 1_000_000;
+  private static final long MIN_EVALUATION_DELAY_MICROS = 20_000;
 
-  /** How often the shortest of the limits is looked at while it runs. */
-  private static final int LOOKS = 16;
+  /** Number of evaluations during the shortest of the time limits. */
+  private static final int EVALUATIONS_PER_LIMIT = 16;
 
   private RelayLimits limits;
   private final Map<String, Practice> practices = new HashMap<>();
 
-  /** Peers that are behind or in a line, and some that were so lately. */
+  /** Peers that are behind or have an unfinished line, and some that recently were or had. */
   private final List<Peer> watched = new ArrayList<>();
 
-  private final Map<Reason, Long> verdicts = new EnumMap<>(Reason.class);
-  private long waiting;
+  private final Map<Reason, Long> disconnects = new EnumMap<>(Reason.class);
+  private long queuedBytes;
   private int sessions;
 
   public PeerLimits(RelayLimits limits) {
     this.limits = limits;
   }
 
-  /** Other limits hold from here on; what was measured goes on. */
+  /** Changes the limits; the measurements so far are kept. */
   public void configure(RelayLimits next) {
     limits = next;
   }
@@ -47,27 +48,28 @@
   }
 
   /**
-   * A session stands. {@link #close} gives it back.
+   * Adds a session, until {@link #close}.
    *
-   * @param id the caller's number for it; of two equal offenders the lower one goes first
-   * @param practice whose budget it counts to; "" where it has none
+   * @param id the caller's number of the session; of two equally severe peers, the one with the
+   *     lower number is disconnected first
+   * @param practice the practice to whose budget the session counts; "" if there is none
    */
   public SessionPeers open(long id, String practice) {
-    Practice of = practices.computeIfAbsent(practice, Practice::new);
-    of.sessions++;
+    Practice owner = practices.computeIfAbsent(practice, Practice::new);
+    owner.sessions++;
     sessions++;
-    return new SessionPeers(id, of);
+    return new SessionPeers(id, owner);
   }
 
-  /** A session is over, and what waited in it is gone; the second call does nothing. */
+  /** Removes a session and its queued bytes; a second call does nothing. */
   public void close(SessionPeers session) {
-    if (session.over) {
+    if (session.closed) {
       return;
     }
-    session.over = true;
+    session.closed = true;
     sessions--;
-    remove(session.known(Side.CLIENT));
-    remove(session.known(Side.TARGET));
+    remove(session.get(Side.CLIENT));
+    remove(session.get(Side.TARGET));
     if (--session.practice.sessions == 0) {
       practices.remove(session.practice.name);
     }
@@ -75,19 +77,19 @@
 
   private void remove(Peer peer) {
     if (peer != null) {
-      count(peer, -peer.waiting);
+      addQueued(peer, -peer.queuedBytes);
       forget(peer);
     }
   }
 
-  /** Nothing waits for it and it is in no line. */
+  /** Drops the state of a peer that is not behind and has no unfinished line. */
   private void forget(Peer peer) {
     unwatch(peer);
     peer.session.forget(peer.side);
   }
 
-  /** So many more bytes wait for this side. */
-  public void queued(SessionPeers session, Side side, long bytes, long now) {
+  /** Reports bytes that were queued for this side. */
+  public void bytesQueued(SessionPeers session, Side side, long bytes, long now) {
     if (bytes == 0) {
       return;
     }
@@ -96,210 +98,229 @@
       peer.backlog = new Backlog();
     }
     peer.backlog.queued(bytes, !peer.isBehind(), now, limits.of(side));
-    count(peer, bytes);
+    addQueued(peer, bytes);
     watch(peer);
   }
 
-  /** This side has taken so many of the bytes that waited. */
-  public void taken(SessionPeers session, Side side, long bytes) {
-    if (bytes > session.waiting(side)) {
+  /**
+   * Reports queued bytes that this side has accepted.
+   *
+   * @throws IllegalArgumentException if there are more than were queued
+   */
+  public void bytesDrained(SessionPeers session, Side side, long bytes) {
+    if (bytes > session.queuedBytes(side)) {
       throw new IllegalArgumentException(
-          bytes + " bytes taken, " + session.waiting(side) + " waited");
+          bytes + " bytes drained, but only " + session.queuedBytes(side) + " were queued");
     }
     if (bytes > 0) {
       Peer peer = peer(session, side, bytes);
-      peer.backlog.taken(bytes);
-      count(peer, -bytes);
+      peer.backlog.drained(bytes);
+      addQueued(peer, -bytes);
     }
   }
 
   private static Peer peer(SessionPeers session, Side side, long bytes) {
-    if (session.over || bytes < 0) {
-      throw new IllegalArgumentException("the session is over, or there are " + bytes + " bytes");
+    if (session.closed || bytes < 0) {
+      throw new IllegalArgumentException(
+          "the session is closed, or the number of bytes is negative: " + bytes);
     }
-    return session.of(side);
+    return session.getOrCreate(side);
   }
 
-  private void count(Peer peer, long bytes) {
-    peer.waiting += bytes;
-    peer.session.practice.waiting += bytes;
-    waiting += bytes;
+  private void addQueued(Peer peer, long bytes) {
+    peer.queuedBytes += bytes;
+    peer.session.practice.queuedBytes += bytes;
+    queuedBytes += bytes;
   }
 
-  /** What came last from this side ends within a line, which began now. */
-  public void lineBegun(SessionPeers session, Side side, long now) {
+  /** Reports that the bytes from this side now end within a line, which began now. */
+  public void lineStarted(SessionPeers session, Side side, long now) {
     Peer peer = peer(session, side, 0);
-    peer.lineSince = now;
+    peer.lineStartMicros = now;
     watch(peer);
   }
 
-  /** What came last from this side ends with a line's end. */
+  /** Reports that the bytes from this side now end with the end of a line. */
   public void lineEnded(SessionPeers session, Side side) {
-    Peer peer = session.known(side);
+    Peer peer = session.get(side);
     if (peer != null) {
-      peer.lineSince = Peer.NONE;
+      peer.lineStartMicros = Peer.NO_LINE;
     }
   }
 
-  /** Whether this side has as much waiting as it may, so that the other one is not to be read. */
-  public boolean full(SessionPeers session, Side side) {
-    return session.waiting(side) >= limits.of(side).waiting();
+  /** Returns whether the queue of this side is full, so that the other side must not be read. */
+  public boolean isFull(SessionPeers session, Side side) {
+    return session.queuedBytes(side) >= limits.of(side).maxQueuedBytes();
   }
 
   private void watch(Peer peer) {
-    if (peer.place < 0) {
-      peer.place = watched.size();
+    if (peer.watchedIndex < 0) {
+      peer.watchedIndex = watched.size();
       watched.add(peer);
     }
   }
 
   private void unwatch(Peer peer) {
-    if (peer.place >= 0) {
+    if (peer.watchedIndex >= 0) {
       Peer last = watched.remove(watched.size() - 1);
       if (last != peer) {
-        watched.set(peer.place, last);
-        last.place = peer.place;
+        watched.set(peer.watchedIndex, last);
+        last.watchedIndex = peer.watchedIndex;
       }
-      peer.place = -1;
+      peer.watchedIndex = -1;
     }
   }
 
-  /** Whether a budget is broken, so that {@link #judge} should be asked now and not in a while. */
-  public boolean overBudget(SessionPeers session) {
-    return waiting > limits.budget()
-        || session.practice.waiting > limits.budgetOf(session.practice.name);
+  /**
+   * Returns whether a budget that the session counts to is exceeded, so that {@link #evaluate} is
+   * to be called without delay.
+   */
+  public boolean isOverBudget(SessionPeers session) {
+    return queuedBytes > limits.budgetBytes()
+        || session.practice.queuedBytes > limits.budgetOf(session.practice.name);
   }
 
-  /** How many microseconds from now {@link #judge} is to be asked again, or -1: not until news. */
-  public long period() {
-    if (watched.isEmpty() || !limits.giveUp()) {
+  /**
+   * Returns the delay until the next call of {@link #evaluate} in microseconds, or -1 if none is
+   * needed before further bytes are queued or a line is started.
+   */
+  public long evaluationDelayMicros() {
+    if (watched.isEmpty() || !limits.canDisconnect()) {
       return -1;
     }
     long shortest = Math.min(shortest(limits.client()), shortest(limits.target()));
-    return Math.max(LEAST_PERIOD, Math.min(LONGEST_PERIOD, shortest / LOOKS));
+    return Math.max(
+        MIN_EVALUATION_DELAY_MICROS,
+        Math.min(MAX_EVALUATION_DELAY_MICROS, shortest / EVALUATIONS_PER_LIMIT));
   }
 
   private static long shortest(SideLimits side) {
-    return Math.min(side.lineMicros(), Math.min(side.ageMicros(), side.windowMicros()));
+    return Math.min(side.maxLineMicros(), Math.min(side.maxAgeMicros(), side.windowMicros()));
   }
 
   /**
-   * Who is given up now. A session is told once politely and once at once, at most. The caller ends
-   * them all; whoever is told at once is taken to be gone, with what waits on both its sides.
+   * Decides which peers are to be disconnected now. A session gets at most one graceful and one
+   * immediate decision. The caller carries out all decisions; the queued bytes of both sides of an
+   * immediately disconnected session count as freed.
    */
-  public List<Verdict> judge(long now) {
-    List<Verdict> given = new ArrayList<>();
+  public List<DisconnectDecision> evaluate(long now) {
+    List<DisconnectDecision> decisions = new ArrayList<>();
     for (int i = watched.size() - 1; i >= 0; i--) {
       Peer peer = watched.get(i);
-      if (!peer.isBehind() && peer.lineSince == Peer.NONE) {
+      if (!peer.isBehind() && peer.lineStartMicros == Peer.NO_LINE) {
         forget(peer);
-      } else if (!peer.session.givenUp) {
-        Reason reason = reason(peer, now);
+      } else if (!peer.session.disconnecting) {
+        Reason reason = violatedLimit(peer, now);
         if (reason != null) {
-          peer.session.givenUp = true;
-          given.add(verdict(peer, reason, false, now));
+          peer.session.disconnecting = true;
+          decisions.add(decision(peer, reason, false, now));
         }
       }
     }
-    if (budgets(now, given)) {
-      given.removeIf(verdict -> !verdict.atOnce() && verdict.session().dropped);
+    if (enforceBudgets(now, decisions)) {
+      decisions.removeIf(decision -> !decision.immediate() && decision.session().disconnected);
     }
-    given.forEach(verdict -> verdicts.merge(verdict.reason(), 1L, Long::sum));
-    return given;
+    decisions.forEach(decision -> disconnects.merge(decision.reason(), 1L, Long::sum));
+    return decisions;
   }
 
-  /** What is wrong with a peer by itself, or null. */
-  private Reason reason(Peer peer, long now) {
+  /** Returns which of its own limits the peer violates, or null. */
+  private Reason violatedLimit(Peer peer, long now) {
     SideLimits own = limits.of(peer.side);
     if (peer.isBehind()) {
-      if (peer.backlog.tooSlow(now, own)) {
+      if (peer.backlog.isBelowMinRate(now, own)) {
         return Reason.RATE;
       }
-      if (peer.backlog.tooOld(now, own)) {
+      if (peer.backlog.exceedsMaxAge(now, own)) {
         return Reason.AGE;
       }
     }
-    if (peer.lineSince != Peer.NONE) {
-      if (full(peer.session, peer.side.other())) {
-        // It is not read while the other side is full, and so cannot end its line: no fault of its.
-        peer.lineSince = now;
-      } else if (now - peer.lineSince > own.lineMicros()) {
+    if (peer.lineStartMicros != Peer.NO_LINE) {
+      if (isFull(peer.session, peer.side.other())) {
+        // The peer is not read while the other side's queue is full and cannot end its line.
+        peer.lineStartMicros = now;
+      } else if (now - peer.lineStartMicros > own.maxLineMicros()) {
         return Reason.LINE;
       }
     }
     return null;
   }
 
-  /** Drops sessions until all budgets hold; false where none was broken. */
-  private boolean budgets(long now, List<Verdict> given) {
-    long all = waiting;
-    Map<Practice, Long> held = new LinkedHashMap<>();
+  /** Disconnects sessions until all budgets are kept; returns false if none was exceeded. */
+  private boolean enforceBudgets(long now, List<DisconnectDecision> decisions) {
+    long total = queuedBytes;
+    Map<Practice, Long> totals = new LinkedHashMap<>();
     for (Peer peer : watched) {
       Practice practice = peer.session.practice;
-      held.putIfAbsent(practice, practice.waiting);
-      if (peer.session.dropped) {
-        all -= peer.waiting;
-        held.merge(practice, -peer.waiting, Long::sum);
+      totals.putIfAbsent(practice, practice.queuedBytes);
+      if (peer.session.disconnected) {
+        total -= peer.queuedBytes;
+        totals.merge(practice, -peer.queuedBytes, Long::sum);
       }
     }
-    if (all <= limits.budget() && held.entrySet().stream().noneMatch(this::isOver)) {
+    if (total <= limits.budgetBytes()
+        && totals.entrySet().stream().noneMatch(this::exceedsBudget)) {
       return false;
     }
-    // Those that were given up before go first, the worst offenders next.
-    List<Peer> worst = new ArrayList<>(watched);
-    worst.removeIf(peer -> !peer.isBehind() || peer.session.dropped);
-    worst.sort(
-        Comparator.comparing((Peer peer) -> !peer.session.givenUp)
-            .thenComparing(peer -> -peer.offence(now))
+    // Sessions that are being disconnected come first, then peers by descending severity.
+    List<Peer> candidates = new ArrayList<>(watched);
+    candidates.removeIf(peer -> !peer.isBehind() || peer.session.disconnected);
+    candidates.sort(
+        Comparator.comparing((Peer peer) -> !peer.session.disconnecting)
+            .thenComparing(peer -> -peer.severity(now))
             .thenComparing(peer -> peer.session.id)
             .thenComparing(peer -> peer.side));
-    for (Map.Entry<Practice, Long> practice : held.entrySet()) {
-      for (int i = 0; i < worst.size() && isOver(practice); i++) {
-        if (worst.get(i).session.practice == practice.getKey()) {
-          long freed = drop(worst.get(i), Reason.PRACTICE_BUDGET, now, given);
+    for (Map.Entry<Practice, Long> practice : totals.entrySet()) {
+      for (int i = 0; i < candidates.size() && exceedsBudget(practice); i++) {
+        Peer peer = candidates.get(i);
+        if (peer.session.practice == practice.getKey()) {
+          long freed = disconnectImmediately(peer, Reason.PRACTICE_BUDGET, now, decisions);
           practice.setValue(practice.getValue() - freed);
-          all -= freed;
+          total -= freed;
         }
       }
     }
-    for (int i = 0; i < worst.size() && all > limits.budget(); i++) {
-      all -= drop(worst.get(i), Reason.BUDGET, now, given);
+    for (int i = 0; i < candidates.size() && total > limits.budgetBytes(); i++) {
+      total -= disconnectImmediately(candidates.get(i), Reason.BUDGET, now, decisions);
     }
     return true;
   }
 
-  private boolean isOver(Map.Entry<Practice, Long> held) {
-    return held.getValue() > limits.budgetOf(held.getKey().name);
+  private boolean exceedsBudget(Map.Entry<Practice, Long> total) {
+    return total.getValue() > limits.budgetOf(total.getKey().name);
   }
 
-  /** Gives a session up at once, and returns how many bytes that frees. */
-  private long drop(Peer peer, Reason reason, long now, List<Verdict> given) {
+  /** Decides to disconnect a session at once and returns how many bytes that frees. */
+  private long disconnectImmediately(
+      Peer peer, Reason reason, long now, List<DisconnectDecision> decisions) {
     SessionPeers session = peer.session;
-    if (session.dropped) {
+    if (session.disconnected) {
       return 0;
     }
-    session.dropped = true;
-    session.givenUp = true;
-    given.add(verdict(peer, reason, true, now));
-    return session.waiting(Side.CLIENT) + session.waiting(Side.TARGET);
+    session.disconnected = true;
+    session.disconnecting = true;
+    decisions.add(decision(peer, reason, true, now));
+    return session.queuedBytes(Side.CLIENT) + session.queuedBytes(Side.TARGET);
   }
 
-  private static Verdict verdict(Peer peer, Reason reason, boolean atOnce, long now) {
-    return new Verdict(peer.session, peer.side, reason, atOnce, peer.waiting, peer.age(now));
+  private static DisconnectDecision decision(
+      Peer peer, Reason reason, boolean immediate, long now) {
+    return new DisconnectDecision(
+        peer.session, peer.side, reason, immediate, peer.queuedBytes, peer.ageMicros(now));
   }
 
-  /** Bytes that wait for all peers. */
-  public long waiting() {
-    return waiting;
+  /** Returns the number of bytes queued for all peers. */
+  public long queuedBytes() {
+    return queuedBytes;
   }
 
-  /** Sessions that are open. */
+  /** Returns the number of open sessions. */
   public int sessions() {
     return sessions;
   }
 
-  /** How many peers have been given up for this reason so far. */
-  public long verdicts(Reason reason) {
-    return verdicts.getOrDefault(reason, 0L);
+  /** Returns how many disconnect decisions had this reason so far. */
+  public long disconnects(Reason reason) {
+    return disconnects.getOrDefault(reason, 0L);
   }
 }
--- a/src/main/java/brassbank/sim/proxy/ProxyNode.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyNode.java
@@ -3,10 +3,10 @@
 import brassbank.config.Config;
 import brassbank.config.ConfigException;
 import brassbank.handover.Handover;
-import brassbank.handover.Holding;
-import brassbank.handover.Succession;
-import brassbank.membership.Joining;
+import brassbank.handover.HandoverState;
+import brassbank.handover.HandoverStateMachine;
 import brassbank.membership.Member;
+import brassbank.membership.MembershipConfig;
 import brassbank.membership.View;
 import brassbank.net.Network;
 import brassbank.proxy.Proxy;
@@ -70,7 +70,7 @@
   private final InetSocketAddress address;
   private final UnaryOperator<Network> wrapping;
   private final boolean inherits;
-  private final Joining joining;
+  private final MembershipConfig joining;
   private final Draws.Stream stream;
 
   /** Those that live, the last one among them. */
@@ -103,7 +103,7 @@
       Machine machine,
       UnaryOperator<Network> wrapping,
       boolean inherits,
-      Joining joining) {
+      MembershipConfig joining) {
     this.world = world;
     this.told = told;
     this.name = name;
@@ -210,16 +210,16 @@
   private final class Process {
     private final long number = ++lives;
     private final Program program = new Program(machine, name, RUNTIME, sockets);
-    private final Succession succession = new Succession();
-    private final Map<Long, Holding> seen = new LinkedHashMap<>();
+    private final HandoverStateMachine succession = new HandoverStateMachine();
+    private final Map<Long, HandoverState> seen = new LinkedHashMap<>();
     private final long began = world.now();
     private Proxy proxy;
 
     /** What its locks say. */
-    private Succession.Phase told = Succession.Phase.WAITING;
+    private HandoverStateMachine.Phase told = HandoverStateMachine.Phase.WAITING;
 
     /** What its file says; null while there is none. */
-    private Holding holding;
+    private HandoverState holding;
 
     /** Runs each time it begins to take connections. */
     private Runnable yes = () -> {};
@@ -239,10 +239,10 @@
       Network network = wrapping.apply(new SimNetwork(program, clock, exhausted, door));
       try {
         Config read = Config.of(config(0));
-        Config mine = inherits ? read.inheriting(Path.of(name)) : read;
+        Config mine = inherits ? read.withInheritedListener(Path.of(name)) : read;
         proxy = new Proxy(mine, RelayLimits.NONE, joining, network);
         if (joining != null) {
-          proxy.fleet().listen(change -> viewed());
+          proxy.fleet().addListener(change -> viewed());
         }
         proxy.start();
       } catch (ConfigException | IOException e) {
@@ -264,8 +264,8 @@
             new Event.Seen(
                 one.name(),
                 one.state().name().toLowerCase(Locale.ROOT),
-                one.incarnation().birth(),
-                one.incarnation().raised()));
+                one.incarnation().startTime(),
+                one.incarnation().revision()));
       }
       world.tell(
           new Event.ViewSeen(
@@ -281,42 +281,42 @@
 
     /** What {@code Handover} does with locks and files, at its pace. */
     private void look() {
-      Succession.Phase before = succession.phase();
-      boolean accepted = others(false).stream().anyMatch(one -> one.told.accepts());
-      boolean succeeded = others(true).stream().anyMatch(one -> one.told.ready());
+      HandoverStateMachine.Phase before = succession.phase();
+      boolean accepted = others(false).stream().anyMatch(one -> one.told.isAccepting());
+      boolean succeeded = others(true).stream().anyMatch(one -> one.told.isReady());
       boolean knows = pass();
-      boolean able = before.ready() || (knows && proxy.able(!accepted));
-      Succession.Phase phase =
-          succession.step(world.now(), new Succession.View(accepted, succeeded), able);
-      if (before.accepts() && !phase.accepts()) {
-        proxy.accept(false, () -> told = phase);
+      boolean able = before.isReady() || (knows && proxy.isReadyToServe(!accepted));
+      HandoverStateMachine.Phase phase =
+          succession.step(world.now(), new HandoverStateMachine.View(accepted, succeeded), able);
+      if (before.isAccepting() && !phase.isAccepting()) {
+        proxy.setAccepting(false, () -> told = phase);
       } else {
         told = phase;
-        if (!before.accepts() && phase.accepts()) {
+        if (!before.isAccepting() && phase.isAccepting()) {
           world.tell(new Event.DoorHeld(name, number));
-          proxy.accept(true, () -> yes.run());
+          proxy.setAccepting(true, () -> yes.run());
         }
       }
-      program.later(Handover.PAUSE_MILLIS * MILLI, this::look);
+      program.later(Handover.POLL_INTERVAL_MILLIS * MILLI, this::look);
     }
 
     private boolean pass() {
       if (!others(true).isEmpty()) {
-        proxy.holds(held -> holding = held);
+        proxy.captureState(held -> holding = held);
       }
       List<Process> before = others(false);
       for (Process one : before) {
         if (one.holding != null && one.holding != seen.put(one.number, one.holding)) {
-          proxy.predecessor(one.number, one.holding);
+          proxy.updatePredecessor(one.number, one.holding);
         }
       }
       for (long known : List.copyOf(seen.keySet())) {
         if (before.stream().noneMatch(one -> one.number == known)) {
           seen.remove(known);
-          proxy.predecessor(known, Holding.NOTHING);
+          proxy.updatePredecessor(known, HandoverState.EMPTY);
         }
       }
-      return world.now() - began >= Handover.IMAGE_PATIENCE
+      return world.now() - began >= Handover.STATE_TIMEOUT_MICROS
           || before.stream().allMatch(one -> seen.containsKey(one.number));
     }
   }
@@ -438,8 +438,8 @@
     if (!serving()) {
       return;
     }
-    if (joining != null && joining.shares()) {
-      proxy.standby(
+    if (joining != null && joining.sharesBudgets()) {
+      proxy.requestStandby(
           yes -> {
             if (yes) {
               away(awayFor);
@@ -450,7 +450,7 @@
       return;
     }
     away(awayFor);
-    proxy.standby();
+    proxy.enterStandby();
   }
 
   /** Its clients are sent away from here on. */
@@ -464,7 +464,7 @@
             awayFor,
             () -> {
               if (serving() && program == life) {
-                proxy.active();
+                proxy.activate();
                 world.tell(new Event.ProxyCalledBack(name));
                 world.front().calledBack(name);
               }
--- a/src/test/java/brassbank/relay/LinesTest.java
+++ b/src/test/java/brassbank/relay/LinesTest.java
@@ -11,90 +11,90 @@
 import org.junit.jupiter.api.Test;
 
 class LinesTest {
-  private final List<String> told = new ArrayList<>();
-  private final HostLines host =
-      new HostLines(
-          new Feeds(),
-          new HostLines.Told() {
+  private final List<String> parsed = new ArrayList<>();
+  private final HostLineParser host =
+      new HostLineParser(
+          new LineFeedScanner(),
+          new HostLineParser.Listener() {
             @Override
-            public void load(String text) {
-              told.add("load " + text);
+            public void loadReported(String text) {
+              parsed.add("load " + text);
             }
 
             @Override
-            public void bye() {
-              told.add("bye");
+            public void byeReceived() {
+              parsed.add("bye");
             }
 
             @Override
-            public void moving() {
-              told.add("moving");
+            public void moveReceived() {
+              parsed.add("move");
             }
 
             @Override
-            public void answer() {
-              told.add("answer");
+            public void responseReceived() {
+              parsed.add("response");
             }
           });
   private final ByteBuffer shared = ByteBuffer.allocateDirect(64 * 1024);
 
-  /** Comes as a piece of its own, in the buffer that all links share, or in one of its own. */
-  private boolean come(String text, boolean direct) {
+  /** Parses a piece of the stream from the shared direct buffer or from a heap buffer. */
+  private boolean receive(String text, boolean direct) {
     byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
     ByteBuffer piece = direct ? shared.clear().put(bytes).flip() : ByteBuffer.wrap(bytes);
     return host.follow(piece.order(ByteOrder.LITTLE_ENDIAN), 0, bytes.length);
   }
 
   @Test
-  void tellsLinesApartWhereverTheyAreSplit() {
+  void recognizesLinesWhereverTheStreamIsSplit() {
     String text =
         "r 1\r\nLOAD 0.25\r\n\r\nLOADED\nBYE\r\nMOVE\nLOAD\r\nBYEBYE\r\nB\rx\r\nMOVE now\r\nLOAD x y\n";
     for (int first = 0; first <= text.length(); first++) {
       for (int second = first; second <= text.length(); second++) {
         boolean direct = (first + second) % 2 == 0;
-        come(text.substring(0, first), direct);
-        come(text.substring(first, second), !direct);
-        come(text.substring(second), direct);
-        assertThat(told)
+        receive(text.substring(0, first), direct);
+        receive(text.substring(first, second), !direct);
+        receive(text.substring(second), direct);
+        assertThat(parsed)
             .as("split at " + first + " and " + second)
             .containsExactly(
-                "answer",
+                "response",
                 "load 0.25",
-                "answer",
-                "answer",
+                "response",
+                "response",
                 "bye",
-                "moving",
+                "move",
                 "load ",
-                "answer",
-                "answer",
-                "moving",
+                "response",
+                "response",
+                "move",
                 "load x y");
         assertThat(host.inLine()).isFalse();
-        told.clear();
+        parsed.clear();
       }
     }
   }
 
   @Test
-  void takesALongLineInSingleBytesForOneAnswerAndALongerOneForNothing() {
+  void countsALineOfMaximumLengthAsOneResponseAndIgnoresALongerOne() {
     for (int i = 0; i < 4096; i++) {
-      assertThat(come("L", true)).isFalse();
+      assertThat(receive("L", true)).isFalse();
     }
-    assertThat(host.overlong()).isFalse();
-    assertThat(come("\n", true)).isTrue();
-    assertThat(told).containsExactly("answer");
+    assertThat(host.isOverlong()).isFalse();
+    assertThat(receive("\n", true)).isTrue();
+    assertThat(parsed).containsExactly("response");
     for (int i = 0; i < 4097; i++) {
-      come("M", true);
+      receive("M", true);
     }
-    assertThat(host.overlong()).isTrue();
-    come("\r\n" + "x".repeat(5_000) + "\r\nr\r\n", false);
-    assertThat(told).containsExactly("answer", "answer");
+    assertThat(host.isOverlong()).isTrue();
+    receive("\r\n" + "x".repeat(5_000) + "\r\nr\r\n", false);
+    assertThat(parsed).containsExactly("response", "response");
   }
 
   @Test
-  void findsEveryLineFeedAndNoOther() {
+  void findsEveryLineFeedAndNothingElse() {
     Random random = new Random(1);
-    Feeds feeds = new Feeds();
+    LineFeedScanner feeds = new LineFeedScanner();
     for (int round = 0; round < 2_000; round++) {
       int length = 1 + random.nextInt(100);
       int from = round % 2 == 0 ? 0 : random.nextInt(length);
@@ -102,15 +102,14 @@
       bytes.order(ByteOrder.LITTLE_ENDIAN);
       List<Integer> expected = new ArrayList<>();
       for (int i = 0; i < length; i++) {
-        // Neighbours of the line feed in value, and bytes above 127, are what such a search gets
-        // wrong.
+        // A search by words typically fails on values next to the line feed and on bytes above 127.
         byte value = new byte[] {'\n', '\n' + 1, '\n' - 1, (byte) 0x8a, 0, -1}[random.nextInt(6)];
         bytes.put(i, value);
         if (value == '\n' && i >= from) {
           expected.add(i);
         }
       }
-      feeds.look(bytes, from, length);
+      feeds.reset(bytes, from, length);
       List<Integer> found = new ArrayList<>();
       for (int at = feeds.next(from); at >= 0; at = at + 1 < length ? feeds.next(at + 1) : -1) {
         found.add(at);
@@ -120,8 +119,8 @@
   }
 
   @Test
-  void knowsWhetherAClientsLineHasEndedAndWhetherOneHasBegun() {
-    ClientLines client = new ClientLines();
+  void tracksWhetherAClientLineHasEndedAndWhetherOneHasBegun() {
+    ClientLineTracker client = new ClientLineTracker();
     assertThat(client.follow(ByteBuffer.wrap("m".getBytes()), 0, 1)).isFalse();
     assertThat(client.inLine()).isTrue();
     assertThat(client.follow(ByteBuffer.wrap("\nm 2".getBytes()), 0, 4)).isTrue();
