--- a/src/main/java/brassbank/lab/BreachLog.java
+++ b/src/main/java/brassbank/lab/BreachLog.java
@@ -22,11 +22,11 @@
 
   static List<String> lines(Breach breach, Collection<Lab.LogLine> all, Tally tally) {
     Set<String> proxies = new TreeSet<>();
-    Matcher named = PROXY.matcher(breach.what());
+    Matcher named = PROXY.matcher(breach.description());
     while (named.find()) {
       proxies.add(named.group());
     }
-    Matcher flow = FLOW.matcher(breach.what());
+    Matcher flow = FLOW.matcher(breach.description());
     while (flow.find()) {
       String proxy = tally.proxy(flow.group());
       if (proxy != null) {
@@ -36,8 +36,8 @@
     List<String> lines = new ArrayList<>();
     for (Lab.LogLine line : all) {
       if ((proxies.isEmpty() || proxies.contains(line.proxy()))
-          && line.at() >= breach.at() - BEFORE
-          && line.at() <= breach.at() + AFTER) {
+          && line.at() >= breach.atMicros() - BEFORE
+          && line.at() <= breach.atMicros() + AFTER) {
         lines.add(
             String.format(
                 Locale.ROOT, "%11.6f %s %s", Lab.seconds(line.at()), line.proxy(), line.text()));
--- a/src/main/java/brassbank/lab/Lab.java
+++ b/src/main/java/brassbank/lab/Lab.java
@@ -1,7 +1,7 @@
 package brassbank.lab;
 
-import brassbank.sim.Run;
-import brassbank.sim.Scene;
+import brassbank.sim.ScenarioRun;
+import brassbank.sim.SimulationRun;
 import brassbank.sim.actor.Discovery;
 import brassbank.sim.actor.StreamHost;
 import brassbank.sim.actor.World;
@@ -100,7 +100,7 @@
   private final Map<String, RealProxy> proxies = new LinkedHashMap<>();
   private final List<Door> doors = new ArrayList<>();
   private final Deque<LogLine> lines = new ArrayDeque<>();
-  private final Scene scene;
+  private final ScenarioRun scene;
   private final Meter meter;
   private Turner turner;
   private Helpers helpers;
@@ -134,15 +134,15 @@
         plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
     ByteBuffer scratch = ByteBuffer.allocate(Splice.scratchSize());
     scene =
-        new Scene(
+        new ScenarioRun(
             plan,
-            new Scene.House(loopback, clock.unixMillis(), SLACK),
+            new ScenarioRun.Environment(loopback, clock.unixMillis(), SLACK),
             (world, name, rank, machine) -> {
               RealProxy proxy =
                   new RealProxy(
                       shared(world, root, tamper),
                       world,
-                      Scene.site(plan),
+                      ScenarioRun.site(plan),
                       name,
                       rank,
                       machine,
@@ -151,7 +151,7 @@
               proxies.put(name, proxy);
               return proxy;
             });
-    scene.trace().listen(tally);
+    scene.trace().addListener(tally);
     meter = new Meter(proxies, turner, this::logged);
   }
 
@@ -177,7 +177,7 @@
     logsInTrace = true;
   }
 
-  Scene scene() {
+  ScenarioRun scene() {
     return scene;
   }
 
@@ -207,13 +207,13 @@
     mirrorAll();
     start();
     meter.begin();
-    scene.world().beginsAt(clock.unixMillis());
+    scene.world().setEpochMillis(clock.unixMillis());
     turner.begin();
     while (turner.now() < scene.end()) {
       turn();
       watcher.at(this, turner.now());
     }
-    scene.checks().end(scene.agenda().now());
+    scene.checks().onEnd(scene.agenda().now());
     scene.service().end(scene.agenda().now());
     return outcome();
   }
@@ -231,7 +231,9 @@
    */
   private void warmUp() {
     for (int i = 0; i < WARM_UPS; i++) {
-      new Run(plan.until(Math.min(plan.seconds(), WARM_UP_SECONDS)), UnaryOperator.identity()).go();
+      new SimulationRun(
+              plan.until(Math.min(plan.seconds(), WARM_UP_SECONDS)), UnaryOperator.identity())
+          .execute();
     }
   }
 
@@ -302,7 +304,7 @@
 
   private String lastWords() {
     StringBuilder words = new StringBuilder();
-    scene.checks().breaches().forEach(breach -> words.append(breach.what()).append("; "));
+    scene.checks().breaches().forEach(breach -> words.append(breach.description()).append("; "));
     for (RealProxy proxy : proxies.values()) {
       for (Path log : proxy.logs()) {
         try {
@@ -326,9 +328,9 @@
     }
     String[] parts = text.split(" ", 3);
     if (parts.length == 3 && parts[1].equals("error")) {
-      scene.world().tell(new Event.ProxyFailed(proxy, parts[2]));
+      scene.world().publish(new Event.ProxyFailed(proxy, parts[2]));
     } else if (logsInTrace) {
-      scene.world().tell(new Event.ProxyLogged(proxy, text));
+      scene.world().publish(new Event.ProxyLogged(proxy, text));
     }
   }
 
@@ -337,9 +339,9 @@
     return new Outcome(
         plan,
         breaches,
-        new LinkedHashMap<>(scene.checks().counts()),
-        scene.service().share(),
-        scene.service().text(),
+        new LinkedHashMap<>(scene.checks().breachCounts()),
+        scene.service().servedShare(),
+        scene.service().summary(),
         tally.counts(),
         meter.uses(),
         ProcessHandle.current().info().totalCpuDuration().map(d -> d.toNanos() / 1e9).orElse(0.0),
--- a/src/main/java/brassbank/lab/LabCommand.java
+++ b/src/main/java/brassbank/lab/LabCommand.java
@@ -75,7 +75,8 @@
       try (Lab lab = new Lab(plan, root(), logs)) {
         if (trace) {
           lab.withLogs();
-          lab.trace().listen((now, event) -> output.printf("%11.6f %s%n", now / 1e6, event.text()));
+          lab.trace()
+              .addListener((now, event) -> output.printf("%11.6f %s%n", now / 1e6, event.text()));
         }
         Lab.Outcome outcome = lab.play(new LiveLine(notes));
         if (outcome.tooLate() && play == 1) {
--- a/src/main/java/brassbank/lab/Loopback.java
+++ b/src/main/java/brassbank/lab/Loopback.java
@@ -1,6 +1,6 @@
 package brassbank.lab;
 
-import brassbank.sim.actor.Addresses;
+import brassbank.sim.actor.AddressMapping;
 import brassbank.sim.net.Machine;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -14,7 +14,7 @@
  * simulated network under 127.(1+i).group.number, so that each pair has an address of its own and
  * it is known who connects. Labs that run at once differ by their port.
  */
-final class Loopback implements Addresses, AutoCloseable {
+final class Loopback implements AddressMapping, AutoCloseable {
   /** The first of the ports at which labs tell each other which of them is whose. */
   private static final int FIRST_CLAIM = 17_070;
 
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public String of(String proxy, Machine machine, int ignored) {
+  public String addressOf(String proxy, Machine machine, int ignored) {
     InetSocketAddress address = address(proxy, machine);
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
--- a/src/main/java/brassbank/lab/RealProxy.java
+++ b/src/main/java/brassbank/lab/RealProxy.java
@@ -1,7 +1,7 @@
 package brassbank.lab;
 
 import brassbank.shares.LeaseSettings;
-import brassbank.sim.actor.Instance;
+import brassbank.sim.actor.ProxyInstance;
 import brassbank.sim.actor.Site;
 import brassbank.sim.actor.World;
 import brassbank.sim.event.Event;
@@ -13,7 +13,7 @@
 import brassbank.sim.net.Program;
 import brassbank.sim.proxy.ProxyConfig;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -39,7 +39,7 @@
  * stand-in that passes on, connection by connection, what comes for the process and what comes from
  * it. The lives of the process follow the same times as in virtual time.
  */
-final class RealProxy implements Instance {
+final class RealProxy implements ProxyInstance {
   private static final int PORT = 7_070;
   private static final int BACKLOG = 1_024;
   private static final long MILLI = Agenda.MILLI;
@@ -88,7 +88,7 @@
   private final int rank;
   private final Machine machine;
   private final InetSocketAddress address;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private final ByteBuffer scratch;
   private final List<Door> doors = new ArrayList<>();
   private DatagramDoor datagramDoor;
@@ -331,15 +331,17 @@
     if (known == null) {
       known = world.discovery().list(name);
     }
-    world.discovery().knows(name, true);
+    world.discovery().resetReported(name, true);
     stopping = false;
     listening = false;
     program = new Program(machine, name, 0, Integer.MAX_VALUE).passingOn();
     if (datagrams == null || !lab.tamper().keepsClientsOf(name)) {
       hear();
     }
-    world.tell(new Event.ProxyStarted(name));
-    world.front().started(name, machine, new InetSocketAddress(machine.address(), PORT));
+    world.publish(new Event.ProxyStarted(name));
+    world
+        .loadBalancer()
+        .processStarted(name, machine, new InetSocketAddress(machine.address(), PORT));
     long now = ++life;
     List<ProxyProcess> before = List.copyOf(processes);
     spawn(
@@ -429,7 +431,7 @@
   }
 
   private void lost(Exception cause) {
-    world.tell(new Event.ProxyFailed(name, "the lab could not go on with it: " + cause));
+    world.publish(new Event.ProxyFailed(name, "the lab could not go on with it: " + cause));
   }
 
   private String config(int further) {
@@ -468,7 +470,7 @@
       List.copyOf(splices).forEach(Splice::fromReal);
     }
     if (!one.endExpected()) {
-      world.tell(
+      world.publish(
           new Event.ProxyFailed(
               name, "process " + one.number() + " ended by itself, status " + one.exitStatus()));
     }
@@ -485,7 +487,7 @@
     kill = null;
     program.exit();
     life++;
-    world.tell(new Event.ProxyExited(name, status));
+    world.publish(new Event.ProxyExited(name, status));
     world.agenda().after(stream.micros(RESTART_LEAST, RESTART_MOST), () -> start(false));
   }
 
@@ -532,7 +534,7 @@
                   && (view.process() != viewProcess || view.version() != viewVersion)) {
                 viewProcess = view.process();
                 viewVersion = view.version();
-                world.tell(view);
+                world.publish(view);
               }
               world.agenda().after(VIEW_EVERY, this::watchView);
             },
@@ -540,7 +542,7 @@
   }
 
   @Override
-  public boolean member() {
+  public boolean isMember() {
     return seeds != null && serving();
   }
 
@@ -565,14 +567,14 @@
         program.kill();
         List.copyOf(splices).forEach(splice -> splice.abandon(lab.turner()));
       }
-      world.front().died(name);
-      world.tell(new Event.ProxyKilled(name, false));
+      world.loadBalancer().processFailed(name);
+      world.publish(new Event.ProxyKilled(name, false));
     }
     world.agenda().after(downFor, () -> start(false));
   }
 
   @Override
-  public void darken(long downFor) {
+  public void losePower(long downFor) {
     machine.darken();
     crash(downFor);
     world.agenda().after(downFor, machine::lighten);
@@ -586,8 +588,8 @@
     stopping = true;
     ProxyProcess old = process;
     old.expectEnd();
-    world.tell(new Event.ProxyTerminated(name));
-    world.front().stopping(name);
+    world.publish(new Event.ProxyTerminated(name));
+    world.loadBalancer().shutdownStarted(name);
     kill = world.agenda().after(stream.micros(KILL_LEAST, KILL_MOST), () -> overdue(old));
     lab.guard().signal("TERM", old.pid());
   }
@@ -600,7 +602,7 @@
       end(old);
       program.kill();
       List.copyOf(splices).forEach(Splice::breakBoth);
-      world.tell(new Event.ProxyKilled(name, true));
+      world.publish(new Event.ProxyKilled(name, true));
       world.agenda().after(stream.micros(RESTART_LEAST, RESTART_MOST), () -> start(false));
     }
   }
@@ -620,7 +622,7 @@
                 if (yes) {
                   away(called, management, awayFor);
                 } else {
-                  world.tell(new Event.ProxyPutOff(name));
+                  world.publish(new Event.ProxyPutOff(name));
                 }
               },
               this::lost);
@@ -632,8 +634,8 @@
 
   /** Its clients are sent away from here on. */
   private void away(ProxyProcess called, InetSocketAddress management, long awayFor) {
-    world.tell(new Event.ProxyOnStandby(name));
-    world.front().stopping(name);
+    world.publish(new Event.ProxyOnStandby(name));
+    world.loadBalancer().shutdownStarted(name);
     world
         .agenda()
         .after(
@@ -644,8 +646,8 @@
                     management,
                     "/active",
                     () -> {
-                      world.tell(new Event.ProxyCalledBack(name));
-                      world.front().calledBack(name);
+                      world.publish(new Event.ProxyCalledBack(name));
+                      world.loadBalancer().returnedToService(name);
                     });
               }
             });
@@ -659,7 +661,7 @@
               if (yes) {
                 then.run();
               } else {
-                world.tell(new Event.ProxyFailed(name, "PUT " + path + " was answered no"));
+                world.publish(new Event.ProxyFailed(name, "PUT " + path + " was answered no"));
               }
             },
             this::lost);
@@ -706,7 +708,7 @@
             () -> {
               if (old.alive()) {
                 end(old);
-                world.tell(new Event.ProxyKilled(name, true));
+                world.publish(new Event.ProxyKilled(name, true));
               }
             });
   }
@@ -714,7 +716,7 @@
   @Override
   public void hangUp(int further) {
     if (serving()) {
-      hangUp(config(further), () -> world.tell(new Event.ProxyHungUp(name, further > 0)));
+      hangUp(config(further), () -> world.publish(new Event.ProxyHungUp(name, further > 0)));
     }
   }
 
--- a/src/main/java/brassbank/lab/Report.java
+++ b/src/main/java/brassbank/lab/Report.java
@@ -92,8 +92,8 @@
     for (Breach breach : outcome.breaches()) {
       JsonObject one = new JsonObject();
       one.addProperty("rule", breach.rule());
-      one.addProperty("at_s", breach.at() / 1e6);
-      one.addProperty("what", breach.what());
+      one.addProperty("at_s", breach.atMicros() / 1e6);
+      one.addProperty("what", breach.description());
       breaches.add(one);
     }
     json.add("breaches", breaches);
--- a/src/main/java/brassbank/lab/Tally.java
+++ b/src/main/java/brassbank/lab/Tally.java
@@ -25,7 +25,7 @@
   private int standing;
 
   @Override
-  public void see(long now, Event event) {
+  public void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent sent) {
       proxies.put(sent.flow(), sent.proxy());
       of(sent.proxy()).sent++;
--- a/src/main/java/brassbank/sim/Joined.java
+++ b/src/main/java/brassbank/sim/Joined.java
@@ -1,6 +1,6 @@
 package brassbank.sim;
 
-import brassbank.sim.actor.Instance;
+import brassbank.sim.actor.ProxyInstance;
 import brassbank.sim.net.Fabric;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,20 +15,20 @@
   private static final long MOST_LATE = 300_000;
 
   private final Fabric fabric;
-  private final Map<String, Instance> proxies;
+  private final Map<String, ProxyInstance> proxies;
   private final Map<String, Long> since = new HashMap<>();
 
-  Joined(Fabric fabric, Map<String, Instance> proxies) {
+  Joined(Fabric fabric, Map<String, ProxyInstance> proxies) {
     this.fabric = fabric;
     this.proxies = proxies;
   }
 
   void look(long now) {
-    List<Instance> all = new ArrayList<>(proxies.values());
+    List<ProxyInstance> all = new ArrayList<>(proxies.values());
     boolean[] runs = new boolean[all.size()];
     boolean[][] hear = new boolean[all.size()][all.size()];
     for (int i = 0; i < all.size(); i++) {
-      runs[i] = all.get(i).member() && all.get(i).pausedUntil() <= now;
+      runs[i] = all.get(i).isMember() && all.get(i).pausedUntil() <= now;
     }
     for (int i = 0; i < all.size(); i++) {
       for (int j = 0; j < i; j++) {
--- a/src/main/java/brassbank/sim/Scene.java
+++ b/src/main/java/brassbank/sim/ScenarioRun.java
@@ -1,17 +1,17 @@
 package brassbank.sim;
 
-import brassbank.sim.actor.Addresses;
+import brassbank.sim.actor.AddressMapping;
 import brassbank.sim.actor.BadClient;
 import brassbank.sim.actor.Client;
 import brassbank.sim.actor.Discovery;
-import brassbank.sim.actor.Front;
-import brassbank.sim.actor.Instance;
+import brassbank.sim.actor.ProxyInstance;
 import brassbank.sim.actor.Site;
 import brassbank.sim.actor.StreamHost;
+import brassbank.sim.actor.UpstreamLoadBalancer;
 import brassbank.sim.actor.World;
 import brassbank.sim.check.Checks;
+import brassbank.sim.check.GroundTruth;
 import brassbank.sim.check.Rule;
-import brassbank.sim.check.Truth;
 import brassbank.sim.event.Event;
 import brassbank.sim.event.Trace;
 import brassbank.sim.fault.Fault;
@@ -21,7 +21,7 @@
 import brassbank.sim.net.Machine;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -33,9 +33,10 @@
 /**
  * A plan set on stage: the site with all its actors, the faults, the clients and the rules, on an
  * agenda that somebody else turns. Whose proxies they are, and by which clock the agenda goes, is
- * not known here: {@link Run} has the program in virtual time, the fleet lab real processes.
+ * not known here: {@link SimulationRun} has the program in virtual time, the fleet lab real
+ * processes.
  */
-public final class Scene {
+public final class ScenarioRun {
   private static final long MILLI = Agenda.MILLI;
   private static final long SECOND = Agenda.SECOND;
 
@@ -58,9 +59,9 @@
   private static final double ROOM = 0.5;
 
   /** Makes the site's proxies. */
-  public interface Cast {
+  public interface ProxyFactory {
     /** The proxy of this name, rank and machine; it is not started yet. */
-    Instance proxy(World world, String name, int rank, Machine machine);
+    ProxyInstance create(World world, String name, int rank, Machine machine);
   }
 
   /**
@@ -69,18 +70,19 @@
    * @param epochMillis Unix time at the beginning
    * @param slack what each time limit of the rules is extended by, in microseconds
    */
-  public record House(Addresses addresses, long epochMillis, long slack) {
+  public record Environment(AddressMapping addresses, long epochMillis, long slack) {
     /** In virtual time. */
-    static final House VIRTUAL = new House(Addresses.OWN, World.EPOCH_MILLIS, Truth.SOCKETS);
+    static final Environment VIRTUAL =
+        new Environment(AddressMapping.OWN, World.EPOCH_MILLIS, GroundTruth.SOCKET_SLACK_MICROS);
   }
 
   private final Plan plan;
-  private final House house;
+  private final Environment house;
   private final Agenda agenda = new Agenda();
   private final Trace trace = new Trace(agenda);
-  private final Draws draws;
+  private final RandomStreams draws;
   private final World world;
-  private final Map<String, Instance> proxies = new LinkedHashMap<>();
+  private final Map<String, ProxyInstance> proxies = new LinkedHashMap<>();
   private final List<Program> homes = new ArrayList<>();
   private final Checks checks;
 
@@ -88,23 +90,23 @@
   private final Joined joined;
 
   private final Stage stage;
-  private final Service service = new Service();
+  private final ServiceStatistics service = new ServiceStatistics();
   private int extra = EXTRA;
 
-  public Scene(Plan plan, House house, Cast cast) {
+  public ScenarioRun(Plan plan, Environment house, ProxyFactory cast) {
     this(plan, house, cast, site(plan));
   }
 
   /** As above, with another deployment than the plan's own. */
-  Scene(Plan plan, House house, Cast cast, Site site) {
+  ScenarioRun(Plan plan, Environment house, ProxyFactory cast, Site site) {
     this.plan = plan;
     this.house = house;
-    draws = new Draws(plan.seed());
+    draws = new RandomStreams(plan.seed());
     Fabric fabric = new Fabric(agenda, draws, LATENCY, BUFFERS);
     world = new World(agenda, draws, fabric, trace, site, house.addresses(), house.epochMillis());
     build(site, cast);
-    Checks.Figures figures =
-        new Checks.Figures(
+    Checks.RuleParameters figures =
+        new Checks.RuleParameters(
             site.answerSlack(),
             site.drainGrace(),
             MOST_ATTEMPTS,
@@ -115,18 +117,18 @@
             plan.sockets() < Plan.USUAL_SOCKETS,
             demand(site),
             repeats(site));
-    List<Rule> rules = new ArrayList<>(Checks.all(figures));
+    List<Rule> rules = new ArrayList<>(Checks.commonRules(figures));
     if (plan.membership()) {
-      rules.addAll(Checks.ofMembership(figures, plan.shares()));
-      rules.addAll(plan.shares() ? Checks.ofShares(figures) : List.of());
-      rules.addAll(plan.subsets() ? Checks.ofSubsets(figures) : List.of());
+      rules.addAll(Checks.membershipRules(figures, plan.shares()));
+      rules.addAll(plan.shares() ? Checks.sharedBudgetRules(figures) : List.of());
+      rules.addAll(plan.subsets() ? Checks.subsetRules(figures) : List.of());
       joined = new Joined(fabric, proxies);
     } else {
       joined = null;
     }
     checks = new Checks(rules, new Known());
-    trace.listen(checks);
-    trace.listen(service);
+    trace.addListener(checks);
+    trace.addListener(service);
     stage = new Stage(world, proxies, new Coming());
   }
 
@@ -182,7 +184,7 @@
     return checks;
   }
 
-  public Service service() {
+  public ServiceStatistics service() {
     return service;
   }
 
@@ -200,12 +202,12 @@
     plan.faults().forEach(this::enter);
     agenda.at(
         Math.max(plan.faultsOverMillis() * MILLI, FIRST_CLIENT),
-        () -> world.tell(new Event.AllFaultsOver()));
+        () -> world.publish(new Event.AllFaultsOver()));
     look();
   }
 
-  private void build(Site site, Cast cast) {
-    Draws.Stream models = draws.of("models");
+  private void build(Site site, ProxyFactory cast) {
+    RandomStreams.Stream models = draws.of("models");
     List<String> zones = site.zones();
     double[] shares = site.kinds().stream().mapToDouble(Site.HostKind::share).toArray();
     for (int i = 0; i < site.hosts(); i++) {
@@ -220,11 +222,11 @@
             List.of(
                 world.machine("discovery-1", zones.get(0), 2, 1),
                 world.machine("discovery-2", zones.get(0), 2, 2))));
-    world.front(new Front(world));
+    world.loadBalancer(new UpstreamLoadBalancer(world));
     for (int i = 0; i < site.proxies(); i++) {
       String name = "n" + i;
       Machine machine = world.machine(name, zones.get(i % zones.size()), 0, i + 1);
-      proxies.put(name, cast.proxy(world, name, i, machine));
+      proxies.put(name, cast.create(world, name, i, machine));
     }
     for (int i = 0; i < zones.size(); i++) {
       Machine machine = world.machine("clients-" + zones.get(i), zones.get(i), 4, i + 1);
@@ -236,28 +238,28 @@
     if (joined != null) {
       joined.look(agenda.now());
     }
-    checks.look(agenda.now());
-    agenda.after(Checks.EVERY, this::look);
+    checks.onTick(agenda.now());
+    agenda.after(Checks.TICK_MICROS, this::look);
   }
 
   private void enter(Fault fault) {
     agenda.at(
         fault.atMillis() * MILLI,
         () -> {
-          world.tell(new Event.FaultBegan(fault.toString()));
+          world.publish(new Event.FaultBegan(fault.toString()));
           fault.kind().begin().to(stage, fault);
         });
     agenda.at(
         fault.untilMillis() * MILLI,
         () -> {
           fault.kind().end().to(stage, fault);
-          world.tell(new Event.FaultEnded(fault.toString()));
+          world.publish(new Event.FaultEnded(fault.toString()));
         });
   }
 
   /** The usual clients, each by its number, whoever of them comes. */
   private void arrivals() {
-    Draws.Stream stream = draws.of("arrivals");
+    RandomStreams.Stream stream = draws.of("arrivals");
     double at = FIRST_CLIENT;
     for (int number = 0; at < plan.seconds() * SECOND; number++) {
       Program home = stream.pick(homes);
@@ -276,7 +278,7 @@
   private final class Coming implements Stage.Crowd {
     @Override
     public void more(double rate, long millis) {
-      Draws.Stream stream = draws.of("burst " + agenda.now());
+      RandomStreams.Stream stream = draws.of("burst " + agenda.now());
       double at = agenda.now();
       double until = at + millis * MILLI;
       for (; at < until; at += stream.exponential(SECOND / rate)) {
@@ -286,7 +288,7 @@
 
     @Override
     public void bad(BadClient.Kind kind, double rate, long millis) {
-      Draws.Stream stream = draws.of("bad " + kind + agenda.now());
+      RandomStreams.Stream stream = draws.of("bad " + kind + agenda.now());
       double at = agenda.now();
       double until = at + millis * MILLI;
       for (int i = 0; at < until; i++) {
@@ -300,7 +302,7 @@
   }
 
   /** What the rules may know and the proxies do not. */
-  private final class Known implements Truth {
+  private final class Known implements GroundTruth {
     @Override
     public long slack() {
       return house.slack();
@@ -318,7 +320,7 @@
 
     @Override
     public long proxyCalmSince(String proxy) {
-      Instance node = proxies.get(proxy);
+      ProxyInstance node = proxies.get(proxy);
       return node == null ? 0 : node.pausedUntil();
     }
 
@@ -328,10 +330,10 @@
     }
 
     @Override
-    public Set<String> members() {
+    public Set<String> runningMembers() {
       Set<String> members = new TreeSet<>();
-      for (Instance proxy : proxies.values()) {
-        if (proxy.member()) {
+      for (ProxyInstance proxy : proxies.values()) {
+        if (proxy.isMember()) {
           members.add(proxy.name());
         }
       }
@@ -339,7 +341,7 @@
     }
 
     @Override
-    public long joinedSince(String one, String other) {
+    public long mutuallyReachableSince(String one, String other) {
       return joined.since(one, other);
     }
 
@@ -351,13 +353,13 @@
 
     @Override
     public String zone(String name) {
-      Instance proxy = proxies.get(name);
+      ProxyInstance proxy = proxies.get(name);
       return proxy != null ? proxy.machine().zone() : world.hosts().get(name).machine().zone();
     }
 
     @Override
-    public boolean zoneHasRoom(String proxy, long forMicros) {
-      List<String> usable = hostsToUse(forMicros);
+    public boolean zoneHasCapacity(String proxy, long forMicros) {
+      List<String> usable = usableHosts(forMicros);
       long hosts = world.hosts().keySet().stream().filter(h -> zone(h).equals(zone(proxy))).count();
       return 2 * usable.stream().filter(h -> zone(h).equals(zone(proxy))).count() > hosts;
     }
@@ -377,19 +379,19 @@
       double asked = 0;
       double can = 0;
       for (StreamHost host : world.hosts().values()) {
-        if (host.serving()) {
-          asked += host.asked() * host.capacityNow();
-          can += host.capacityNow();
+        if (host.isServing()) {
+          asked += host.utilization() * host.currentCapacity();
+          can += host.currentCapacity();
         }
       }
       return can == 0 ? 1 : asked / can;
     }
 
     @Override
-    public List<String> hostsToUse(long forMicros) {
+    public List<String> usableHosts(long forMicros) {
       return world.hosts().values().stream()
-          .filter(host -> host.serving() && agenda.now() - host.since() >= forMicros)
-          .filter(host -> host.asked() < ROOM)
+          .filter(host -> host.isServing() && agenda.now() - host.since() >= forMicros)
+          .filter(host -> host.utilization() < ROOM)
           .filter(
               host ->
                   proxies.values().stream()
--- a/src/main/java/brassbank/sim/Service.java
+++ b/src/main/java/brassbank/sim/ServiceStatistics.java
@@ -12,19 +12,19 @@
  * What the usual clients had of a run: which share of the seconds that they wanted was served, how
  * long they waited, how often they were moved. No rule depends on it.
  */
-public final class Service implements Trace.Listener {
+public final class ServiceStatistics implements Trace.Listener {
   private final Map<String, Long> wanting = new LinkedHashMap<>();
   private final Map<String, Long> standing = new LinkedHashMap<>();
   private final List<Long> waits = new ArrayList<>();
   private long served;
   private long waited;
   private long lost;
-  private int gaveUp;
+  private int unservedClients;
   private int moved;
   private int broken;
 
   @Override
-  public void see(long now, Event event) {
+  public void onEvent(long now, Event event) {
     if (event instanceof Event.ClientCame came) {
       wanting.put(came.client(), now);
       broken += came.again() ? 1 : 0;
@@ -45,7 +45,7 @@
     } else if (event instanceof Event.ClientGaveUp client) {
       waited += now - wanting.remove(client.client());
       lost += client.lost();
-      gaveUp++;
+      unservedClients++;
     }
   }
 
@@ -56,12 +56,12 @@
   }
 
   /** Clients that were not served, after all their tries. */
-  public int gaveUp() {
-    return gaveUp;
+  public int unservedClients() {
+    return unservedClients;
   }
 
   /** Share of the wanted seconds that was served. */
-  public double share() {
+  public double servedShare() {
     long all = served + waited + lost;
     return all == 0 ? 1 : served / (double) all;
   }
@@ -74,18 +74,18 @@
   }
 
   /** One line for people. */
-  public String text() {
+  public String summary() {
     return String.format(
         Locale.ROOT,
         "%.2f%% of the wanted seconds served; %d times served after a wait of %.1f ms (median),"
             + " %.0f ms (95%%), %.0f ms (most); %d moved, %d came again, %d gave up",
-        100 * share(),
+        100 * servedShare(),
         waits.size(),
         waitMillis(0.5),
         waitMillis(0.95),
         waitMillis(1),
         moved,
         broken,
-        gaveUp);
+        unservedClients);
   }
 }
--- a/src/main/java/brassbank/sim/Shrinker.java
+++ b/src/main/java/brassbank/sim/Shrinker.java
@@ -19,19 +19,19 @@
 
   /** Who is told how far it has come. */
   public interface Progress {
-    void left(int faults, int clients, int runs);
+    void onProgress(int faults, int clients, int runs);
   }
 
   /** The smallest plan that was found, and what it breaks. */
   public record Shrunk(Plan plan, Breach breach, int runs) {}
 
-  private final Function<Plan, Run.Outcome> runner;
+  private final Function<Plan, SimulationRun.Result> runner;
   private final Progress progress;
   private Plan best;
   private Breach breach;
   private int runs;
 
-  private Shrinker(Function<Plan, Run.Outcome> runner, Progress progress) {
+  private Shrinker(Function<Plan, SimulationRun.Result> runner, Progress progress) {
     this.runner = runner;
     this.progress = progress;
   }
@@ -42,10 +42,11 @@
    * @param runner runs a plan; the same one each time in the same way
    * @return null where the plan breaks no rule
    */
-  public static Shrunk shrink(Plan plan, Function<Plan, Run.Outcome> runner, Progress progress) {
+  public static Shrunk shrink(
+      Plan plan, Function<Plan, SimulationRun.Result> runner, Progress progress) {
     Shrinker shrinker = new Shrinker(runner, progress);
-    Run.Outcome first = shrinker.runner.apply(plan);
-    if (first.sound()) {
+    SimulationRun.Result first = shrinker.runner.apply(plan);
+    if (first.isSound()) {
       return null;
     }
     shrinker.best = plan;
@@ -71,7 +72,7 @@
 
   /** Most breaches come long before the end, and a run that holds is run to its end. */
   private void shorten() {
-    int end = (int) (breach.at() / 1_000_000) + 1;
+    int end = (int) (breach.atMicros() / 1_000_000) + 1;
     if (end < best.seconds()) {
       takes(best.until(end));
     }
@@ -106,7 +107,7 @@
       if (found.rule().equals(breach.rule())) {
         best = smaller;
         breach = found;
-        progress.left(best.faults().size(), clientsOf(best).size(), runs);
+        progress.onProgress(best.faults().size(), clientsOf(best).size(), runs);
         return true;
       }
     }
--- a/src/main/java/brassbank/sim/Run.java
+++ b/src/main/java/brassbank/sim/SimulationRun.java
@@ -20,61 +20,61 @@
 import java.util.function.UnaryOperator;
 
 /** One run of a plan: the world is built, everybody starts, and time goes by under all checks. */
-public final class Run {
+public final class SimulationRun {
   /** More steps than this at one moment are a loop that never ends. */
   private static final long MOST_AT_ONCE = 1_000_000;
 
   /** What came of a run. */
-  public record Outcome(
+  public record Result(
       Plan plan,
       List<Breach> breaches,
       long endedAt,
       long steps,
       long fingerprint,
-      Service service) {
+      ServiceStatistics service) {
     /** Virtual seconds that it lasted, rounded up. */
     public long endedAtSecond() {
       return (endedAt + Agenda.SECOND - 1) / Agenda.SECOND;
     }
 
-    public boolean sound() {
+    public boolean isSound() {
       return breaches.isEmpty();
     }
   }
 
   private final Plan plan;
-  private final Scene scene;
+  private final ScenarioRun scene;
   private boolean logs;
 
   /**
    * @param wrapping put round the network of each proxy; the identity but where a test plants a bug
    */
-  public Run(Plan plan, UnaryOperator<Network> wrapping) {
+  public SimulationRun(Plan plan, UnaryOperator<Network> wrapping) {
     this(plan, wrapping, UnaryOperator.identity());
   }
 
   /**
    * @param told the site as the proxies are told of it; as it is but where a test plants a fault
    */
-  public Run(Plan plan, UnaryOperator<Network> wrapping, UnaryOperator<Site> told) {
+  public SimulationRun(Plan plan, UnaryOperator<Network> wrapping, UnaryOperator<Site> told) {
     this(plan, wrapping, told, UnaryOperator.identity());
   }
 
   /**
    * @param joins how proxies become members, where they do; as it is but where a test plants a file
    */
-  Run(
+  SimulationRun(
       Plan plan,
       UnaryOperator<Network> wrapping,
       UnaryOperator<Site> told,
       UnaryOperator<MembershipConfig> joins) {
-    this(plan, wrapping, told, joins, Scene.site(plan));
+    this(plan, wrapping, told, joins, ScenarioRun.site(plan));
   }
 
   /**
    * @param stated the deployment, where it is another than the plan's own
    */
-  Run(
+  SimulationRun(
       Plan plan,
       UnaryOperator<Network> wrapping,
       UnaryOperator<Site> told,
@@ -85,9 +85,9 @@
     boolean upgraded =
         plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
     scene =
-        new Scene(
+        new ScenarioRun(
             plan,
-            Scene.House.VIRTUAL,
+            ScenarioRun.Environment.VIRTUAL,
             (world, name, rank, machine) ->
                 new ProxyNode(
                     world,
@@ -101,7 +101,7 @@
             stated);
   }
 
-  /** To be called before {@link #go}, by whoever wants to see the events. */
+  /** To be called before {@link #execute}, by whoever wants to see the events. */
   public Trace trace() {
     return scene.trace();
   }
@@ -124,15 +124,15 @@
   }
 
   /** Runs it to its end, or to the first breach. Nothing of it leaves the calling thread. */
-  public Outcome go() {
-    return go(breach -> true);
+  public Result execute() {
+    return execute(breach -> true);
   }
 
   /**
-   * As {@link #go()}, but only a breach that {@code ends} says so of ends the run: a test of one
-   * rule goes on past those that the same bug breaks before.
+   * As {@link #execute()}, but only a breach that {@code ends} says so of ends the run: a test of
+   * one rule goes on past those that the same bug breaks before.
    */
-  Outcome go(Predicate<Breach> ends) {
+  Result execute(Predicate<Breach> ends) {
     Log.setThreadSink(this::logged);
     try {
       return run(ends);
@@ -141,7 +141,7 @@
     }
   }
 
-  private Outcome run(Predicate<Breach> ends) {
+  private Result run(Predicate<Breach> ends) {
     Agenda agenda = scene.agenda();
     scene.begin();
     long moment = 0;
@@ -155,10 +155,10 @@
       }
     }
     if (breaches.isEmpty()) {
-      scene.checks().end(agenda.now());
+      scene.checks().onEnd(agenda.now());
     }
     scene.service().end(agenda.now());
-    return new Outcome(
+    return new Result(
         plan,
         List.copyOf(breaches),
         agenda.now(),
@@ -171,9 +171,9 @@
   private void logged(brassbank.log.Event event) {
     String proxy = scene.world().fabric().running().name();
     if (event.level() == Level.ERROR) {
-      scene.world().tell(new Event.ProxyFailed(proxy, text(event)));
+      scene.world().publish(new Event.ProxyFailed(proxy, text(event)));
     } else if (logs) {
-      scene.world().tell(new Event.ProxyLogged(proxy, text(event)));
+      scene.world().publish(new Event.ProxyLogged(proxy, text(event)));
     }
   }
 
--- a/src/main/java/brassbank/sim/actor/BadClient.java
+++ b/src/main/java/brassbank/sim/actor/BadClient.java
@@ -5,7 +5,7 @@
 import brassbank.sim.net.Machine;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -55,7 +55,7 @@
   private final Machine machine;
   private final Program program;
   private final String name;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private Lines lines;
   private String copied;
   private int left;
@@ -73,7 +73,7 @@
   }
 
   public void start() {
-    InetSocketAddress address = world.front().pick(machine.zone(), stream);
+    InetSocketAddress address = world.loadBalancer().pick(machine.zone(), stream);
     if (address != null && rounds > 0) {
       rounds--;
       program.connect(address, this);
@@ -91,7 +91,7 @@
     lines = new Lines(endpoint, this);
     String flow = name + "." + rounds;
     world.flows().client(flow, endpoint);
-    world.tell(
+    world.publish(
         new Event.BadConnected(
             flow,
             kind.name().toLowerCase(Locale.ROOT),
@@ -197,7 +197,7 @@
       settled = true;
       // Whoever copies the id of a flow that has ended meanwhile is a client like any other.
       boolean usual = copied != null && !world.flows().standing(copied);
-      world.tell(new Event.BadSettled(name + "." + rounds, usual ? "" : line));
+      world.publish(new Event.BadSettled(name + "." + rounds, usual ? "" : line));
     }
   }
 }
--- a/src/main/java/brassbank/sim/actor/Client.java
+++ b/src/main/java/brassbank/sim/actor/Client.java
@@ -5,7 +5,7 @@
 import brassbank.sim.net.Machine;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
@@ -50,7 +50,7 @@
   private final String name;
   private final Machine machine;
   private final Program program;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private final Site.FlowClass kind;
   private final String tenant;
   private final String group;
@@ -85,8 +85,8 @@
             .get(stream.pick(site.tenants().stream().mapToDouble(t -> t.share()).toArray()))
             .name();
     group = "g" + (int) (site.groups() * Math.pow(stream.between(0, 1), 2));
-    load = Math.round(kind.load() * stream.spread(0.7) * 1000) / 1000.0;
-    lifeLeft = (long) (stream.exponential(LIFE_SECONDS * kind.life()) * SECOND) + 100 * MILLI;
+    load = Math.round(kind.load() * stream.logNormal(0.7) * 1000) / 1000.0;
+    lifeLeft = (long) (stream.exponential(LIFE_SECONDS * kind.lifetime()) * SECOND) + 100 * MILLI;
     retries = stream.between(0, site.retries());
     backoff = stream.chance(0.3) ? 0 : stream.micros(17 * MILLI, 130 * MILLI);
     honours = stream.chance(0.75);
@@ -101,7 +101,7 @@
   /** Mean load of a client times its mean seconds. */
   public static double meanLoadSeconds(Site site) {
     return site.classes().stream()
-        .mapToDouble(c -> c.share() * c.load() * c.life() * LIFE_SECONDS)
+        .mapToDouble(c -> c.share() * c.load() * c.lifetime() * LIFE_SECONDS)
         .sum();
   }
 
@@ -115,7 +115,7 @@
 
   /** Comes for the first time. */
   public void start() {
-    world.tell(came(false));
+    world.publish(came(false));
     come();
   }
 
@@ -127,7 +127,7 @@
   }
 
   private void attempt() {
-    InetSocketAddress address = world.front().pick(machine.zone(), stream);
+    InetSocketAddress address = world.loadBalancer().pick(machine.zone(), stream);
     if (address == null) {
       unserved(-1);
       return;
@@ -138,7 +138,7 @@
   /** This try has not been served; {@code told} is when to come back, in ms, or -1. */
   private void unserved(long told) {
     if (tries++ >= retries || giveUpAt - world.now() < 100 * MILLI) {
-      world.tell(new Event.ClientGaveUp(name, cameAt, lifeLeft));
+      world.publish(new Event.ClientGaveUp(name, cameAt, lifeLeft));
       return;
     }
     long wait = told > 0 && honours ? Math.min(told, LONGEST_RETRY) * MILLI : backoff;
@@ -150,7 +150,7 @@
       return;
     }
     again = true;
-    world.tell(came(true));
+    world.publish(came(true));
     program.later(stream.micros(RETURN_LEAST, RETURN_MOST), this::come);
   }
 
@@ -204,9 +204,9 @@
       }
       lines = new Lines(endpoint, this);
       long millis = Math.max(1, (deadlineAt - world.now()) / MILLI);
-      String proxy = world.front().name(address);
+      String proxy = world.loadBalancer().name(address);
       world.flows().client(id, endpoint);
-      world.tell(new Event.FlowSent(id, name, proxy, millis));
+      world.publish(new Event.FlowSent(id, name, proxy, millis));
       lines.send(
           "OPEN "
               + id
@@ -226,7 +226,7 @@
               + load
               + ",life="
               + lifeLeft / MILLI);
-      endpoint.whenArrived(() -> world.tell(new Event.FlowTaken(id, proxy)));
+      endpoint.whenArrived(() -> world.publish(new Event.FlowTaken(id, proxy)));
       program.later(millis * MILLI + PAST_DEADLINE, this::late);
       if (impatient) {
         program.later(stream.micros(0, LONGEST_IMPATIENCE), this::leaveUnanswered);
@@ -235,15 +235,15 @@
 
     private void leaveUnanswered() {
       if (!answered && !over) {
-        world.tell(new Event.ClientLeft(id, true));
-        world.tell(new Event.ClientOver(name, id, false));
+        world.publish(new Event.ClientLeft(id, true));
+        world.publish(new Event.ClientOver(name, id, false));
         stop(stream.chance(0.5));
       }
     }
 
     private void late() {
       if (!answered && !over) {
-        world.tell(new Event.ClientLeft(id, true));
+        world.publish(new Event.ClientLeft(id, true));
         stop(false);
         unserved(-1);
       }
@@ -256,11 +256,11 @@
         return;
       }
       if (answered) {
-        world.tell(new Event.AnsweredAgain(id, line));
+        world.publish(new Event.AnsweredAgain(id, line));
         return;
       }
       answered = true;
-      world.tell(new Event.FlowAnswered(id, line));
+      world.publish(new Event.FlowAnswered(id, line));
       if (line.startsWith("UP ")) {
         serve();
       } else {
@@ -273,8 +273,8 @@
     private void serve() {
       served = true;
       servedAt = world.now();
-      world.flows().stands(id, world.front().name(address));
-      world.tell(new Event.ClientServed(name, id));
+      world.flows().stands(id, world.loadBalancer().name(address));
+      world.publish(new Event.ClientServed(name, id));
       if (leaving != Leaving.STAYS) {
         program.later(stream.micros(SECOND, 20 * SECOND), this::leave);
       }
@@ -289,8 +289,8 @@
         return;
       }
       if (sent > heard && world.now() - askedAt > PATIENCE) {
-        world.tell(new Event.ClientLeft(id, false));
-        world.tell(new Event.ClientOver(name, id, false));
+        world.publish(new Event.ClientLeft(id, false));
+        world.publish(new Event.ClientOver(name, id, false));
         stop(false);
         lifeLeft -= Math.min(lifeLeft, world.now() - servedAt);
         comeAgain();
@@ -304,7 +304,7 @@
       for (int i = 0; i < length; i++) {
         line.append((char) (stream.chance(0.05) ? 0xa0 + stream.below(0x5f) : ' ' + i % 90));
       }
-      world.tell(new Event.LineSent(id, true, line.toString()));
+      world.publish(new Event.LineSent(id, true, line.toString()));
       lines.send(line.toString());
       program.later(LINE_EVERY, this::ask);
     }
@@ -331,7 +331,7 @@
         lifeLeft = bye ? 0 : lifeLeft;
         return;
       }
-      world.tell(new Event.LineArrived(id, false, line));
+      world.publish(new Event.LineArrived(id, false, line));
       if (line.startsWith("r ")) {
         heard++;
         askedAt = world.now();
@@ -345,8 +345,8 @@
       }
       lifeLeft = 0;
       world.flows().over(id);
-      world.tell(new Event.ClientOver(name, id, false));
-      world.tell(new Event.ClientLeft(id, false));
+      world.publish(new Event.ClientOver(name, id, false));
+      world.publish(new Event.ClientLeft(id, false));
       switch (leaving) {
         case FINISHES -> {
           over = true;
@@ -379,10 +379,10 @@
       }
       over = true;
       world.flows().over(id);
-      world.tell(new Event.ClientSawEnd(id, served, farewell, bye, reset));
+      world.publish(new Event.ClientSawEnd(id, served, farewell, bye, reset));
       lines.close();
       if (served) {
-        world.tell(new Event.ClientOver(name, id, farewell && !bye));
+        world.publish(new Event.ClientOver(name, id, farewell && !bye));
         lifeLeft -= Math.min(lifeLeft, world.now() - servedAt);
         comeAgain();
       } else if (!answered) {
--- a/src/main/java/brassbank/sim/actor/Discovery.java
+++ b/src/main/java/brassbank/sim/actor/Discovery.java
@@ -6,7 +6,7 @@
 import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -48,7 +48,7 @@
   private static final long FIRST_INDEX = 41;
 
   /** What it does with its calls. */
-  public enum Manner {
+  public enum Behavior {
     SOUND("as it should"),
     ERRORS("answers 503"),
     CUTS("ends connections within a line"),
@@ -56,7 +56,7 @@
 
     private final String about;
 
-    Manner(String about) {
+    Behavior(String about) {
       this.about = about;
     }
 
@@ -78,7 +78,7 @@
 
   private final World world;
   private final List<Machine> addresses;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private final Map<String, Change> list = new TreeMap<>();
   private final List<Change> log = new ArrayList<>();
   private final Map<String, Set<String>> told = new HashMap<>();
@@ -88,9 +88,9 @@
   private boolean working;
   private int at;
   private Program program;
-  private Manner manner = Manner.SOUND;
-  private double slow = 1;
-  private boolean still;
+  private Behavior behavior = Behavior.SOUND;
+  private double slowdown = 1;
+  private boolean frozen;
   private long soundSince;
   private final List<Runnable> heldBack = new ArrayList<>();
 
@@ -103,7 +103,7 @@
 
   /** Where it is now, and where it would be after so many moves. */
   public String address(String proxy, int moves) {
-    return world.addresses().of(proxy, addresses.get((at + moves) % addresses.size()), PORT);
+    return world.addresses().addressOf(proxy, addresses.get((at + moves) % addresses.size()), PORT);
   }
 
   /** All machines that it can be at, the first one first. */
@@ -120,15 +120,15 @@
   /** Starts with all stream hosts that serve. */
   public void start() {
     for (StreamHost host : world.hosts().values()) {
-      if (host.serving()) {
+      if (host.isServing()) {
         list.put(host.name(), change(host, "SERVING"));
       }
     }
-    up();
+    bringUp();
   }
 
   /** Comes up at its address; it has lost nothing. */
-  public void up() {
+  public void bringUp() {
     if (program != null && program.alive()) {
       return;
     }
@@ -143,7 +143,7 @@
     disturbed();
   }
 
-  public void down() {
+  public void takeDown() {
     disturbed();
     calls.clear();
     queue.clear();
@@ -154,13 +154,13 @@
    * Moves to its next address. The old one accepts nothing new and closes what is open a while
    * later.
    */
-  public void move() {
+  public void moveAddress() {
     Program old = program;
     Set<Call> left = new LinkedHashSet<>(calls);
     queue.clear();
     at = (at + 1) % addresses.size();
     program = null;
-    up();
+    bringUp();
     old.stopListening();
     old.later(
         LEFT,
@@ -170,24 +170,24 @@
         });
   }
 
-  public void manner(Manner next) {
-    manner = next;
+  public void setBehavior(Behavior next) {
+    behavior = next;
     disturbed();
-    if (next == Manner.CUTS || next == Manner.ERRORS) {
+    if (next == Behavior.CUTS || next == Behavior.ERRORS) {
       for (Call call : List.copyOf(calls)) {
         call.cut();
       }
     }
   }
 
-  public void slow(double factor) {
-    slow = factor;
+  public void setSlowdown(double factor) {
+    slowdown = factor;
     disturbed();
   }
 
   /** While it stands still it learns nothing; what it missed it learns afterwards. */
-  public void still(boolean on) {
-    still = on;
+  public void setFrozen(boolean on) {
+    frozen = on;
     disturbed();
     if (!on) {
       List<Runnable> missed = List.copyOf(heldBack);
@@ -203,19 +203,23 @@
   /** Since when it has worked as it should, and could be reached from a proxy's machine. */
   public long soundSince(Machine proxy) {
     boolean sound =
-        program != null && program.alive() && manner == Manner.SOUND && slow <= 1 && !still;
+        program != null
+            && program.alive()
+            && behavior == Behavior.SOUND
+            && slowdown <= 1
+            && !frozen;
     return sound ? Math.max(soundSince, world.fabric().calmSince(proxy, machine())) : world.now();
   }
 
   // ------------------------------------------------------------- what it knows
 
   /** It learns of a stream host's status after so many microseconds. */
-  public void learn(StreamHost host, String status, long micros) {
+  public void receiveStatus(StreamHost host, String status, long micros) {
     world.agenda().after(micros, () -> learnNow(host, status));
   }
 
   private void learnNow(StreamHost host, String status) {
-    if (still) {
+    if (frozen) {
       heldBack.add(() -> learnNow(host, status));
       return;
     }
@@ -230,7 +234,7 @@
     } else {
       list.put(host.name(), change);
     }
-    world.tell(new Event.Listed(host.name(), status));
+    world.publish(new Event.Listed(host.name(), status));
     for (Call call : List.copyOf(calls)) {
       call.tellSoon();
     }
@@ -272,7 +276,7 @@
   }
 
   /** What a proxy knows from its start, by its configuration. */
-  public void knows(String proxy, boolean all) {
+  public void resetReported(String proxy, boolean all) {
     told.remove(proxy);
     if (all) {
       list.values().forEach(change -> remember(proxy, change));
@@ -298,7 +302,7 @@
     working = true;
     Call next = queue.remove();
     next.owner.later(
-        (long) (slow * stream.micros(CALL_LEAST, CALL_MOST)),
+        (long) (slowdown * stream.micros(CALL_LEAST, CALL_MOST)),
         () -> {
           working = false;
           next.handle();
@@ -345,7 +349,7 @@
       if (request == null) {
         request = line;
       } else if (line.isEmpty()) {
-        world.tell(new Event.ListCalled(proxy, request.contains("follow=1")));
+        world.publish(new Event.ListCalled(proxy, request.contains("follow=1")));
         queue.add(this);
         owner.later(MOST_WAIT, this::waitedTooLong);
         work();
@@ -366,7 +370,7 @@
       String[] parts = request.split(" ");
       boolean known = parts.length == 3 && parts[0].equals("GET");
       String path = known ? parts[1] : "";
-      if (manner == Manner.ERRORS) {
+      if (behavior == Behavior.ERRORS) {
         status("503 Service Unavailable");
       } else if (path.equals("/api/targets")) {
         whole();
@@ -383,19 +387,19 @@
     }
 
     private void whole() {
-      if (manner == Manner.CUTS) {
+      if (behavior == Behavior.CUTS) {
         lines.send("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n");
         lines.sendBytes("{\"index\":".getBytes());
         end();
         return;
       }
-      String text = manner == Manner.GARBAGE ? "{\"index\":" + index + ",\"end" : list(proxy);
+      String text = behavior == Behavior.GARBAGE ? "{\"index\":" + index + ",\"end" : list(proxy);
       lines.send(
           "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
               + text.length()
               + "\r\n");
       lines.sendBytes(text.getBytes());
-      if (manner == Manner.SOUND) {
+      if (behavior == Behavior.SOUND) {
         tellAll();
       }
       end();
@@ -415,12 +419,12 @@
           .whenArrived(
               () -> {
                 remember(proxy, change);
-                world.tell(new Event.Told(proxy, change.host(), change.status()));
+                world.publish(new Event.Told(proxy, change.host(), change.status()));
               });
     }
 
     private void tellGone(String host) {
-      lines.endpoint().whenArrived(() -> world.tell(new Event.Told(proxy, host, "DELETED")));
+      lines.endpoint().whenArrived(() -> world.publish(new Event.Told(proxy, host, "DELETED")));
     }
 
     private void watch(long since) {
@@ -448,14 +452,14 @@
         return;
       }
       String text = object(proxy, index, false, changes);
-      if (manner == Manner.GARBAGE) {
+      if (behavior == Behavior.GARBAGE) {
         chunk(text.substring(0, text.length() / 2));
         return;
       }
       chunk(text);
       toldIndex = index;
       changes.forEach(this::tell);
-      if (manner == Manner.CUTS) {
+      if (behavior == Behavior.CUTS) {
         cut();
       }
     }
@@ -471,7 +475,7 @@
       if (!over) {
         long quiet = world.now() - lineAt;
         if (quiet >= EMPTY_LINE) {
-          chunk(manner == Manner.GARBAGE ? "%&/" : "");
+          chunk(behavior == Behavior.GARBAGE ? "%&/" : "");
         }
         owner.later(Math.max(MILLI, EMPTY_LINE - (world.now() - lineAt)), this::keepAlive);
       }
--- a/src/main/java/brassbank/sim/actor/Flows.java
+++ b/src/main/java/brassbank/sim/actor/FlowEndpoints.java
@@ -1,7 +1,7 @@
 package brassbank.sim.actor;
 
 import brassbank.sim.net.Endpoint;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -12,7 +12,7 @@
  * Where each flow's two connections end, client and stream host, which no one but the checks may
  * know: whether the network was to blame for what was late on one of them.
  */
-public final class Flows {
+public final class FlowEndpoints {
   private static final class Legs {
     private Endpoint client;
     private Endpoint host;
@@ -48,7 +48,7 @@
   }
 
   /** A flow that stands at this proxy, or null. */
-  String anyStanding(String proxy, Draws.Stream stream) {
+  String anyStanding(String proxy, RandomStreams.Stream stream) {
     List<String> all = new ArrayList<>();
     standing.forEach(
         (flow, at) -> {
--- a/src/main/java/brassbank/sim/actor/Instance.java
+++ b/src/main/java/brassbank/sim/actor/ProxyInstance.java
@@ -7,7 +7,7 @@
  * virtual time, or the operating system. Times are in microseconds. All calls are made on the
  * thread that turns the agenda, and none waits.
  */
-public interface Instance {
+public interface ProxyInstance {
   String name();
 
   /** Its machine in the simulated network, which all others of the site meet. */
@@ -20,7 +20,7 @@
   void crash(long downFor);
 
   /** Its machine loses its power for so long. */
-  void darken(long downFor);
+  void losePower(long downFor);
 
   /** SIGTERM, SIGKILL when its time is over, and a new start. */
   void restart();
@@ -47,7 +47,7 @@
   long pausedUntil();
 
   /** Whether a process of it is a member of the fleet, and has not been told to stop. */
-  boolean member();
+  boolean isMember();
 
   /** Descriptors that its processes hold together. */
   int descriptors();
--- a/src/main/java/brassbank/sim/actor/Site.java
+++ b/src/main/java/brassbank/sim/actor/Site.java
@@ -37,15 +37,15 @@
       double share,
       long aimMillis,
       long deadlineMillis,
-      double worth,
+      double value,
       double load,
-      double life,
+      double lifetime,
       long messageMillis,
       Repeat repeat) {
     /** The same class, of which a request may be repeated as stated. */
     public FlowClass with(Repeat other) {
       return new FlowClass(
-          name, share, aimMillis, deadlineMillis, worth, load, life, messageMillis, other);
+          name, share, aimMillis, deadlineMillis, value, load, lifetime, messageMillis, other);
     }
   }
 
--- a/src/main/java/brassbank/sim/actor/StreamHost.java
+++ b/src/main/java/brassbank/sim/actor/StreamHost.java
@@ -6,7 +6,7 @@
 import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -69,7 +69,7 @@
   private static final int LONGEST_PUSH = 3_900;
 
   /** What the host does with an attempt, apart from serving it. */
-  public enum Manner {
+  public enum Behavior {
     SERVES("serves it"),
     LOSES("loses it, while probes are answered"),
     ERRS("answers ERR"),
@@ -84,7 +84,7 @@
 
     private final String about;
 
-    Manner(String about) {
+    Behavior(String about) {
       this.about = about;
     }
 
@@ -95,7 +95,7 @@
   }
 
   /** What its load reports say. */
-  public enum Reports {
+  public enum LoadReports {
     TRUE("with what there is"),
     LOW("with far less load than there is"),
     GARBAGE("with no figure at all"),
@@ -103,7 +103,7 @@
 
     private final String about;
 
-    Reports(String about) {
+    LoadReports(String about) {
       this.about = about;
     }
 
@@ -134,10 +134,10 @@
   private final double coldFrom;
   private final long warmUp;
   private final double capacity;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private final long reportPeriod;
   private final Set<Connection> connections = new LinkedHashSet<>();
-  private final Deque<Report> reports = new ArrayDeque<>();
+  private final Deque<Report> loadReports = new ArrayDeque<>();
   private final Deque<Pressure> pressures = new ArrayDeque<>();
   private final Deque<Arrival> arrivals = new ArrayDeque<>();
 
@@ -150,11 +150,11 @@
   private int served;
   private int errors;
 
-  private Manner manner = Manner.SERVES;
+  private Behavior behavior = Behavior.SERVES;
   private double mannerShare = 1;
-  private Reports truth = Reports.TRUE;
-  private double slow = 1;
-  private long reportLate;
+  private LoadReports truth = LoadReports.TRUE;
+  private double slowdown = 1;
+  private long reportDelay;
   private boolean fallen;
   private long pausedUntil;
 
@@ -163,7 +163,7 @@
     this.name = name;
     this.machine = machine;
     this.kind = kind;
-    Draws.Stream model = world.draws().of("model of " + name);
+    RandomStreams.Stream model = world.draws().of("model of " + name);
     speed = model.between(kind.speedLeast(), kind.speedMost());
     coldFrom = Math.max(world.site().coldShare(), model.between(kind.coldLeast(), kind.coldMost()));
     warmUp =
@@ -189,7 +189,7 @@
 
   /** As the proxy of this name is told it. */
   String address(String proxy) {
-    return world.addresses().of(proxy, machine, PORT);
+    return world.addresses().addressOf(proxy, machine, PORT);
   }
 
   /** Connections of mean load that it serves well once it is warm. */
@@ -198,11 +198,11 @@
   }
 
   /** The same, as far as it is warm now. */
-  public double capacityNow() {
+  public double currentCapacity() {
     return capacity * warmth();
   }
 
-  public boolean serving() {
+  public boolean isServing() {
     return state == State.SERVING;
   }
 
@@ -216,7 +216,7 @@
   }
 
   /** Whether it was pushed over and so stays down. */
-  public boolean fallen() {
+  public boolean hasFallen() {
     return fallen;
   }
 
@@ -237,7 +237,7 @@
     since = warm ? 0 : Math.max(1, startedAt);
     freeAt = 0;
     state = State.SERVING;
-    reports.clear();
+    loadReports.clear();
     pressures.clear();
     arrivals.clear();
     Acceptor acceptor = new Acceptor();
@@ -248,7 +248,7 @@
     }
     sample();
     look();
-    world.tell(new Event.HostStarted(name, !warm));
+    world.publish(new Event.HostStarted(name, !warm));
   }
 
   private final class Acceptor implements Runnable {
@@ -258,7 +258,7 @@
     public void run() {
       for (Endpoint endpoint = port.accept(); endpoint != null; endpoint = port.accept()) {
         connections.add(new Connection(endpoint));
-        world.tell(new Event.HostConnected(name, endpoint.peerMachine().name()));
+        world.publish(new Event.HostConnected(name, endpoint.peerMachine().name()));
       }
     }
   }
@@ -269,7 +269,7 @@
       return;
     }
     state = State.DRAINING;
-    world.tell(new Event.HostDrains(name));
+    world.publish(new Event.HostDrains(name));
     for (Connection connection : List.copyOf(connections)) {
       if (connection.up) {
         connection.lines.send("MOVE");
@@ -293,11 +293,11 @@
     }
     connections.clear();
     program.kill();
-    world.tell(new Event.HostGone(name));
+    world.publish(new Event.HostGone(name));
   }
 
   /** Its machine loses its power: nothing is told to anybody. */
-  public void darken() {
+  public void losePower() {
     machine.darken();
     kill();
   }
@@ -315,23 +315,23 @@
     return pausedUntil;
   }
 
-  public void manner(Manner next, double share) {
-    manner = next;
+  public void setBehavior(Behavior next, double share) {
+    behavior = next;
     mannerShare = share;
   }
 
-  public void reports(Reports next) {
+  public void setLoadReports(LoadReports next) {
     truth = next;
   }
 
   /** How many times slower than usual it is. */
-  public void slow(double factor) {
-    slow = factor;
+  public void setSlowdown(double factor) {
+    slowdown = factor;
   }
 
   /** Load reports show up so much later than usual. */
-  public void reportLate(long micros) {
-    reportLate = micros;
+  public void setReportDelay(long micros) {
+    reportDelay = micros;
   }
 
   /** Resets all connections that stand, as a middle box that forgets them does. */
@@ -354,7 +354,7 @@
   }
 
   /** Load asked over what it can do now. */
-  public double asked() {
+  public double utilization() {
     double load = 0;
     Set<String> groups = new LinkedHashSet<>();
     for (Connection connection : connections) {
@@ -363,27 +363,28 @@
         groups.add(connection.group);
       }
     }
-    return (load + world.site().groupCost() * groups.size()) * slow / capacityNow();
+    return (load + world.site().groupCost() * groups.size()) * slowdown / currentCapacity();
   }
 
   private void sample() {
     double backlog = Math.max(0, freeAt - world.now()) / (double) SECOND;
     double seconds = reportPeriod / (double) SECOND;
-    long visible = world.now() + stream.micros(72 * MILLI, 410 * MILLI) + reportLate;
+    long visible = world.now() + stream.micros(72 * MILLI, 410 * MILLI) + reportDelay;
     double noise = 1 + stream.between(-0.05, 0.05);
-    reports.add(new Report(visible, asked() * noise, backlog, served / seconds, errors / seconds));
+    loadReports.add(
+        new Report(visible, utilization() * noise, backlog, served / seconds, errors / seconds));
     served = 0;
     errors = 0;
     program.later(reportPeriod, this::sample);
   }
 
   private String stats() {
-    while (reports.size() > 1 && second().visibleAt() <= world.now()) {
-      reports.removeFirst();
+    while (loadReports.size() > 1 && second().visibleAt() <= world.now()) {
+      loadReports.removeFirst();
     }
-    Report report = reports.peek();
-    double load = truth == Reports.LOW ? 0.02 : report.load();
-    return truth == Reports.GARBAGE
+    Report report = loadReports.peek();
+    double load = truth == LoadReports.LOW ? 0.02 : report.load();
+    return truth == LoadReports.GARBAGE
         ? "PONG x0=many,x1="
         : "PONG x0="
             + rounded(load)
@@ -396,7 +397,7 @@
   }
 
   private Report second() {
-    var each = reports.iterator();
+    var each = loadReports.iterator();
     each.next();
     return each.next();
   }
@@ -407,7 +408,7 @@
 
   /** Work on a queue that all cores share; when it is done. */
   private long work(long micros) {
-    double cost = micros * slow / (speed * warmth() * kind.cores());
+    double cost = micros * slowdown / (speed * warmth() * kind.cores());
     freeAt = Math.max(freeAt, world.now()) + (long) cost;
     return freeAt - world.now();
   }
@@ -436,18 +437,18 @@
       asked += ATTEMPT_WEIGHT * arrival.load();
       told += arrival.told() ? ATTEMPT_WEIGHT * arrival.load() : 0;
     }
-    pressures.add(new Pressure(now, asked, told, capacityNow()));
+    pressures.add(new Pressure(now, asked, told, currentCapacity()));
     while (pressures.peek().at() < from) {
       pressures.removeFirst();
     }
     int placed = (int) arrivals.stream().filter(Arrival::told).count();
     Site site = world.site();
-    double turnover = capacityNow() / Client.meanLoadSeconds(site);
+    double turnover = currentCapacity() / Client.meanLoadSeconds(site);
     double bears = site.fallMultiple() * turnover * site.fallWindow() / SECOND;
-    world.tell(new Event.ColdHostAsked(name, toldShare() * pushedBy(), placed, bears));
+    world.publish(new Event.ColdHostAsked(name, toldShare() * pushedBy(), placed, bears));
     if (now - startedAt >= world.site().fallWindow() && pushedBy() > 1) {
       fallen = true;
-      world.tell(new Event.HostFellOver(name, toldShare()));
+      world.publish(new Event.HostFellOver(name, toldShare()));
       kill();
       return;
     }
@@ -518,7 +519,7 @@
     /** What becomes of a connection that the proxy has left is of no interest to any rule. */
     private void tell(Event event) {
       if (!left) {
-        world.tell(event);
+        world.publish(event);
       }
     }
 
@@ -541,19 +542,19 @@
     }
 
     private void unreadable(String line) {
-      world.tell(new Event.HostCannotRead(name, proxy, line));
+      world.publish(new Event.HostCannotRead(name, proxy, line));
       lines.send("SYNTAX");
       end(false);
     }
 
     private void probe(String line) {
       long calm = Math.max(pausedUntil, lines.endpoint().calmSince());
-      world.tell(new Event.ProbeArrived(name, proxy, line, calm));
+      world.publish(new Event.ProbeArrived(name, proxy, line, calm));
       program.later(
           work(stream.micros(PROBE_LEAST, PROBE_MOST)),
           () -> {
             if (!over) {
-              boolean errs = state == State.DRAINING || truth == Reports.ERRORS;
+              boolean errs = state == State.DRAINING || truth == LoadReports.ERRORS;
               lines.send(errs ? "ERR" : line.equals("PING") ? "PONG" : stats());
             }
           });
@@ -577,7 +578,7 @@
       flow = parts[1];
       group = values.getOrDefault("g", "");
       load = Double.parseDouble(values.getOrDefault("load", "1"));
-      world.tell(
+      world.publish(
           new Event.AttemptArrived(
               flow,
               name,
@@ -594,7 +595,7 @@
       if (state == State.DRAINING || connections.size() > CAP * capacity) {
         answer("BUSY");
         end(false);
-      } else if (manner != Manner.SERVES && stream.chance(mannerShare)) {
+      } else if (behavior != Behavior.SERVES && stream.chance(mannerShare)) {
         misbehave(life);
       } else {
         long deadline = world.now() + Long.parseLong(wait) * MILLI;
@@ -606,7 +607,7 @@
 
     private void misbehave(long life) {
       errors++;
-      switch (manner) {
+      switch (behavior) {
         case ERRS -> {
           answer("ERR");
           end(false);
@@ -711,7 +712,7 @@
 
     private void changeLoad() {
       if (!over) {
-        load = Math.round(load * stream.spread(0.4) * 1000) / 1000.0;
+        load = Math.round(load * stream.logNormal(0.4) * 1000) / 1000.0;
         say("LOAD " + load);
         program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
       }
@@ -719,8 +720,8 @@
 
     private void passed(String line) {
       tell(new Event.LineArrived(flow, true, line));
-      double asked = asked();
-      long delay = (long) (ECHO * slow * Math.max(1, asked > 1 ? 20 * asked : 1));
+      double asked = utilization();
+      long delay = (long) (ECHO * slowdown * Math.max(1, asked > 1 ? 20 * asked : 1));
       echoFreeAt = Math.max(echoFreeAt, world.now() + delay);
       program.later(
           echoFreeAt - world.now(),
--- a/src/main/java/brassbank/sim/actor/Front.java
+++ b/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
@@ -5,7 +5,7 @@
 import brassbank.sim.net.Machine;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * The plain layer before the proxies: spreads clients over the proxies of their zone that have
  * answered {@code PONG}, and learns only some seconds later that one has died.
  */
-public final class Front {
+public final class UpstreamLoadBalancer {
   private static final long ASK_AGAIN = 100 * Agenda.MILLI;
 
   /** How long a PING waits; the proxy may keep it until it knows a stream host. */
@@ -48,11 +48,11 @@
   }
 
   private final World world;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private final Map<String, Program> programs = new LinkedHashMap<>();
   private final Map<String, Entry> entries = new LinkedHashMap<>();
 
-  public Front(World world) {
+  public UpstreamLoadBalancer(World world) {
     this.world = world;
     this.stream = world.draws().of("front");
     int number = 1;
@@ -63,14 +63,14 @@
   }
 
   /** A proxy's process has begun: it is asked until it answers. */
-  public void started(String name, Machine machine, InetSocketAddress address) {
+  public void processStarted(String name, Machine machine, InetSocketAddress address) {
     Entry entry = entries.computeIfAbsent(name, n -> new Entry(name, machine, address));
     entry.life++;
     ask(entry, entry.life);
   }
 
   /** A proxy's process has ended without a word. */
-  public void died(String name) {
+  public void processFailed(String name) {
     Entry entry = entries.get(name);
     int life = entry.life;
     world
@@ -85,19 +85,19 @@
   }
 
   /** A planned stop has begun. */
-  public void stopping(String name) {
+  public void shutdownStarted(String name) {
     Entry entry = entries.get(name);
     world.agenda().after(stream.micros(STOP_LEAST, STOP_MOST), () -> entry.admitted = false);
   }
 
   /** A proxy that was on standby is asked again until it answers. */
-  public void calledBack(String name) {
+  public void returnedToService(String name) {
     Entry entry = entries.get(name);
     ask(entry, entry.life);
   }
 
   /** Where a client of this zone connects to, or null where no proxy is admitted. */
-  InetSocketAddress pick(String zone, Draws.Stream chance) {
+  InetSocketAddress pick(String zone, RandomStreams.Stream chance) {
     List<Entry> near = new ArrayList<>();
     List<Entry> all = new ArrayList<>();
     for (Entry entry : entries.values()) {
@@ -117,7 +117,7 @@
   }
 
   /** Sends a proxy so many times as many clients as the others get, each. */
-  public void favour(String name, double times) {
+  public void setWeight(String name, double times) {
     entries.get(name).favour = times;
   }
 
@@ -177,7 +177,7 @@
         over = true;
         entry.admitted = true;
         lines.close();
-        world.tell(new Event.ProxyAdmitted(entry.name));
+        world.publish(new Event.ProxyAdmitted(entry.name));
       }
     }
 
--- a/src/main/java/brassbank/sim/actor/World.java
+++ b/src/main/java/brassbank/sim/actor/World.java
@@ -5,7 +5,7 @@
 import brassbank.sim.net.Fabric;
 import brassbank.sim.net.Machine;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 import java.util.LinkedHashMap;
@@ -17,27 +17,27 @@
   public static final long EPOCH_MILLIS = 1_767_225_600_000L;
 
   private final Agenda agenda;
-  private final Draws draws;
+  private final RandomStreams draws;
   private final Fabric fabric;
   private final Trace trace;
   private final Site site;
-  private final Addresses addresses;
+  private final AddressMapping addresses;
   private long epochMillis;
-  private final Flows flows = new Flows();
+  private final FlowEndpoints flows = new FlowEndpoints();
   private final Map<String, StreamHost> hosts = new LinkedHashMap<>();
   private Discovery discovery;
-  private Front front;
+  private UpstreamLoadBalancer loadBalancer;
 
   /**
    * @param epochMillis Unix time at the beginning of the run
    */
   public World(
       Agenda agenda,
-      Draws draws,
+      RandomStreams draws,
       Fabric fabric,
       Trace trace,
       Site site,
-      Addresses addresses,
+      AddressMapping addresses,
       long epochMillis) {
     this.agenda = agenda;
     this.draws = draws;
@@ -58,11 +58,11 @@
   }
 
   /** Time begins only now, at this Unix time. */
-  public void beginsAt(long unixMillis) {
+  public void setEpochMillis(long unixMillis) {
     epochMillis = unixMillis;
   }
 
-  Addresses addresses() {
+  AddressMapping addresses() {
     return addresses;
   }
 
@@ -74,7 +74,7 @@
     return agenda.now();
   }
 
-  public Draws draws() {
+  public RandomStreams draws() {
     return draws;
   }
 
@@ -86,7 +86,7 @@
     return site;
   }
 
-  public Flows flows() {
+  public FlowEndpoints flows() {
     return flows;
   }
 
@@ -98,12 +98,12 @@
     discovery = service;
   }
 
-  public Front front() {
-    return front;
+  public UpstreamLoadBalancer loadBalancer() {
+    return loadBalancer;
   }
 
-  public void front(Front layer) {
-    front = layer;
+  public void loadBalancer(UpstreamLoadBalancer layer) {
+    loadBalancer = layer;
   }
 
   /** All stream hosts by their names, in a fixed order. */
@@ -111,8 +111,8 @@
     return hosts;
   }
 
-  public void tell(Event event) {
-    trace.tell(event);
+  public void publish(Event event) {
+    trace.publish(event);
   }
 
   /** A machine at 10.{group}.0.{number}; no name is looked up. */
--- a/src/main/java/brassbank/sim/check/AnswerFromHost.java
+++ b/src/main/java/brassbank/sim/check/AnswerFromHost.java
@@ -16,17 +16,17 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.AttemptAnswered answered) {
       given.put(answered.flow(), answered.line());
     } else if (event instanceof Event.FlowAnswered told) {
       String line = told.line();
       boolean refusal = line.matches("BUSY( \\d+)?|ERR( .*)?");
       if (!refusal && !line.equals(given.get(told.flow()))) {
-        broken(now, told.flow() + " was told '" + line + "', which no stream host has said");
+        reportBreach(now, told.flow() + " was told '" + line + "', which no stream host has said");
       }
     } else if (event instanceof Event.HostCannotRead unread) {
-      broken(now, unread.host() + " was sent '" + unread.line() + "' by " + unread.proxy());
+      reportBreach(now, unread.host() + " was sent '" + unread.line() + "' by " + unread.proxy());
     }
   }
 }
--- a/src/main/java/brassbank/sim/check/AnsweredAtOnce.java
+++ b/src/main/java/brassbank/sim/check/AnsweredAtOnce.java
@@ -16,18 +16,18 @@
 
   private record Over(String proxy, long at) {}
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Map<String, Integer> attempts = new HashMap<>();
   private final Map<String, String> proxies = new HashMap<>();
   private final Map<String, Over> over = new LinkedHashMap<>();
 
-  AnsweredAtOnce(Checks.Figures figures) {
+  AnsweredAtOnce(Checks.RuleParameters figures) {
     super("what is given up is answered at once");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.AttemptArrived arrived) {
       attempts.merge(arrived.flow(), 1, Integer::sum);
       proxies.put(arrived.flow(), arrived.proxy());
@@ -47,7 +47,7 @@
   }
 
   private void failed(long now, String flow) {
-    if (attempts.getOrDefault(flow, 0) >= figures.mostAttempts()) {
+    if (attempts.getOrDefault(flow, 0) >= figures.maxAttempts()) {
       over.putIfAbsent(flow, new Over(proxies.get(flow), now));
     }
   }
@@ -59,7 +59,7 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     over.forEach(
         (flow, given) -> {
           long from =
@@ -69,7 +69,7 @@
                       truth.proxyCalmSince(given.proxy()),
                       Math.max(truth.clientCalmSince(flow), truth.hostCalmSince(flow))));
           if (now > from + truth.slack() + WAYS) {
-            broken(now, flow + " has failed " + attempts.get(flow) + " times and waits");
+            reportBreach(now, flow + " has failed " + attempts.get(flow) + " times and waits");
           }
         });
   }
--- a/src/main/java/brassbank/sim/check/BadClients.java
+++ b/src/main/java/brassbank/sim/check/BadClients.java
@@ -18,7 +18,7 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.BadConnected bad) {
       long within = bad.within() * MILLI;
       open.put(bad.client(), new Bad(bad.proxy(), bad.kind(), now, within));
@@ -26,7 +26,7 @@
       Bad bad = open.remove(settled.client());
       String line = settled.line();
       if (bad != null && !line.isEmpty() && !line.matches("(ERR|BUSY)( .*)?")) {
-        broken(now, settled.client() + " (" + bad.kind() + ") was told '" + line + "'");
+        reportBreach(now, settled.client() + " (" + bad.kind() + ") was told '" + line + "'");
       }
     } else if (event instanceof Event.ProxyKilled killed) {
       open.values().removeIf(bad -> bad.proxy().equals(killed.proxy()));
@@ -34,7 +34,7 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     open.forEach(
         (client, bad) -> {
           long from =
@@ -42,7 +42,8 @@
                   bad.since(),
                   Math.max(truth.clientCalmSince(client), truth.proxyCalmSince(bad.proxy())));
           if (now - from > bad.within() + truth.slack()) {
-            broken(now, client + " (" + bad.kind() + ") has had neither an answer nor an end");
+            reportBreach(
+                now, client + " (" + bad.kind() + ") has had neither an answer nor an end");
           }
         });
   }
--- a/src/main/java/brassbank/sim/check/Breach.java
+++ b/src/main/java/brassbank/sim/check/Breach.java
@@ -4,12 +4,12 @@
  * A rule that was broken.
  *
  * @param rule the rule's name
- * @param at microseconds of the run
- * @param what what was seen, for a reader of the trace
+ * @param atMicros microseconds of the run
+ * @param description what was seen, for a reader of the trace
  */
-public record Breach(String rule, long at, String what) {
+public record Breach(String rule, long atMicros, String description) {
   @Override
   public String toString() {
-    return String.format("%.6f s: %s: %s", at / 1e6, rule, what);
+    return String.format("%.6f s: %s: %s", atMicros / 1e6, rule, description);
   }
 }
--- a/src/main/java/brassbank/sim/check/CallPace.java
+++ b/src/main/java/brassbank/sim/check/CallPace.java
@@ -17,25 +17,25 @@
 
   private static final int ALL_BESIDE = 8;
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Map<String, Window> calls = new HashMap<>();
   private final Window all = new Window();
 
-  CallPace(Checks.Figures figures) {
+  CallPace(Checks.RuleParameters figures) {
     super("calls a second at discovery");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.ListCalled call) {
       int own = calls.computeIfAbsent(call.proxy(), p -> new Window()).add(now);
       int together = all.add(now);
       int most = ALL_FOR_EACH * figures.proxies() + ALL_BESIDE;
       if (own > EACH_PROXY) {
-        broken(now, call.proxy() + " has called discovery " + own + " times within a second");
+        reportBreach(now, call.proxy() + " has called discovery " + own + " times within a second");
       } else if (together > most) {
-        broken(
+        reportBreach(
             now,
             "discovery was called "
                 + together
--- a/src/main/java/brassbank/sim/check/Checks.java
+++ b/src/main/java/brassbank/sim/check/Checks.java
@@ -10,25 +10,25 @@
 /** All rules of a run, and what they found. */
 public final class Checks implements Trace.Listener {
   /** How often time alone is looked at, in microseconds. */
-  public static final long EVERY = 50_000;
+  public static final long TICK_MICROS = 50_000;
 
   private static final int MOST = 20;
 
   private final List<Rule> rules;
   private final List<Breach> breaches = new ArrayList<>();
-  private final Map<String, Integer> counts = new LinkedHashMap<>();
+  private final Map<String, Integer> breachCounts = new LinkedHashMap<>();
 
-  public Checks(List<Rule> rules, Truth truth) {
+  public Checks(List<Rule> rules, GroundTruth truth) {
     this.rules = List.copyOf(rules);
     this.rules.forEach(
         rule -> {
-          rule.judgedBy(this, truth);
-          counts.put(rule.name(), 0);
+          rule.attach(this, truth);
+          breachCounts.put(rule.name(), 0);
         });
   }
 
   /** Every rule there is; {@code figures} are the site's. */
-  public static List<Rule> all(Figures figures) {
+  public static List<Rule> commonRules(RuleParameters figures) {
     return List.of(
         new OneAnswer(figures),
         new AnswerFromHost(),
@@ -58,7 +58,7 @@
   }
 
   /** Those that a fleet with a view of itself has beside them. */
-  public static List<Rule> ofMembership(Figures figures, boolean shares) {
+  public static List<Rule> membershipRules(RuleParameters figures, boolean shares) {
     return List.of(
         new DeathsNoticed(figures),
         new NoFalseDeath(),
@@ -68,34 +68,35 @@
   }
 
   /** Those that a fleet has besides whose proxies share its budgets. */
-  public static List<Rule> ofShares(Figures figures) {
+  public static List<Rule> sharedBudgetRules(RuleParameters figures) {
     return List.of(new ColdPlaces(figures), new OneLeaves());
   }
 
   /** Those that a fleet has besides whose proxies ask a part of the hosts each. */
-  public static List<Rule> ofSubsets(Figures figures) {
+  public static List<Rule> subsetRules(RuleParameters figures) {
     return List.of(new FewAsk(figures), new SubsetCostsNobody(figures));
   }
 
   /**
    * The site's figures that rules need, in microseconds where they are times.
    *
-   * @param mostAttempts attempts that a flow may have
-   * @param descriptorsBind there may be fewer descriptors than the usual clients need
+   * @param maxAttempts attempts that a flow may have
+   * @param descriptorsAreScarce there may be fewer descriptors than the usual clients need
    * @param demand what the usual clients ask for together, over what the fleet can do once warm
-   * @param askers by how many proxies a host is asked at least, where they choose among hosts
+   * @param minProxiesPerHost by how many proxies a host is asked at least, where they choose among
+   *     hosts
    * @param repeats how flows of each class may be repeated; a class that is missing, at any time
    * @param recovery how long after the last fault everything must be sound again
    */
-  public record Figures(
+  public record RuleParameters(
       long answerSlack,
       long drainGrace,
-      int mostAttempts,
+      int maxAttempts,
       int proxies,
       int hosts,
-      int askers,
+      int minProxiesPerHost,
       long recovery,
-      boolean descriptorsBind,
+      boolean descriptorsAreScarce,
       double demand,
       Map<String, Repeat> repeats) {}
 
@@ -108,35 +109,35 @@
   public record Repeat(boolean never, long window) {}
 
   @Override
-  public void see(long now, Event event) {
+  public void onEvent(long now, Event event) {
     for (Rule rule : rules) {
-      rule.see(now, event);
+      rule.onEvent(now, event);
     }
   }
 
-  /** To be called every {@link #EVERY}. */
-  public void look(long now) {
+  /** To be called every {@link #TICK_MICROS}. */
+  public void onTick(long now) {
     for (Rule rule : rules) {
-      rule.look(now);
+      rule.onTick(now);
     }
   }
 
-  public void end(long now) {
+  public void onEnd(long now) {
     for (Rule rule : rules) {
-      rule.end(now);
+      rule.onEnd(now);
     }
   }
 
-  void broken(Breach breach) {
-    counts.merge(breach.rule(), 1, Integer::sum);
+  void record(Breach breach) {
+    breachCounts.merge(breach.rule(), 1, Integer::sum);
     if (breaches.size() < MOST) {
       breaches.add(breach);
     }
   }
 
   /** How often each rule was broken so far, in the rules' order. */
-  public Map<String, Integer> counts() {
-    return counts;
+  public Map<String, Integer> breachCounts() {
+    return breachCounts;
   }
 
   /** What was broken so far, in the order of time; no more than the first twenty. */
--- a/src/main/java/brassbank/sim/check/ColdHosts.java
+++ b/src/main/java/brassbank/sim/check/ColdHosts.java
@@ -18,11 +18,11 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.HostFellOver fell && fell.told() >= MOST_TOLD) {
-      broken(now, fell.host() + " fell over while it was cold");
+      reportBreach(now, fell.host() + " fell over while it was cold");
     } else if (event instanceof Event.ColdHostAsked asked && asked.share() > MOST_ASKED) {
-      broken(
+      reportBreach(
           now,
           asked.host()
               + " is asked for "
--- a/src/main/java/brassbank/sim/check/ColdPlaces.java
+++ b/src/main/java/brassbank/sim/check/ColdPlaces.java
@@ -15,19 +15,19 @@
    */
   private static final double GUESSED = 2;
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
 
-  ColdPlaces(Checks.Figures figures) {
+  ColdPlaces(Checks.RuleParameters figures) {
     super("a cold host's places, of all proxies together");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.ColdHostAsked asked) {
       double most = figures.proxies() + GUESSED * asked.bears();
       if (asked.placed() > most) {
-        broken(
+        reportBreach(
             now,
             asked.host()
                 + " was sent "
--- a/src/main/java/brassbank/sim/check/ColdSum.java
+++ b/src/main/java/brassbank/sim/check/ColdSum.java
@@ -18,13 +18,13 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.HostStarted started) {
       told.remove(started.host());
     } else if (event instanceof Event.ColdHostAsked asked
         && asked.placed() > most(asked.bears())
         && told.add(asked.host())) {
-      broken(
+      reportBreach(
           now,
           asked.host()
               + " was sent "
--- a/src/main/java/brassbank/sim/check/ConnectionsKept.java
+++ b/src/main/java/brassbank/sim/check/ConnectionsKept.java
@@ -20,7 +20,7 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent sent) {
       standing.put(sent.flow(), sent.proxy());
     } else if (event instanceof Event.HostEnded ended && ended.stood()) {
@@ -42,7 +42,7 @@
           && !endedByHost.contains(end.flow())
           && !killed.contains(end.flow())
           && !disturbed(now, end.flow())) {
-        broken(now, end.flow() + " was cut off by " + proxy + " without MOVE");
+        reportBreach(now, end.flow() + " was cut off by " + proxy + " without MOVE");
       }
     }
   }
--- a/src/main/java/brassbank/sim/check/DeathsNoticed.java
+++ b/src/main/java/brassbank/sim/check/DeathsNoticed.java
@@ -14,25 +14,25 @@
   /** One that is left alone finds out about all others by itself; seen for 13: 13.5 s. */
   private static final long EACH = SECOND;
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Views views = new Views();
   private final Map<String, Long> downSince = new HashMap<>();
   private final Map<String, Long> upSince = new HashMap<>();
   private final Set<String> told = new HashSet<>();
 
-  DeathsNoticed(Checks.Figures figures) {
+  DeathsNoticed(Checks.RuleParameters figures) {
     super("whoever is dead is dead in each view");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     views.see(event);
   }
 
   @Override
-  void look(long now) {
-    Set<String> running = truth.members();
+  void onTick(long now) {
+    Set<String> running = truth.runningMembers();
     for (int i = 0; i < figures.proxies(); i++) {
       String name = "n" + i;
       if (running.contains(name)) {
@@ -53,10 +53,10 @@
     }
     long since = Math.max(up, truth.proxyCalmSince(viewer));
     long within = WITHIN + truth.slack() + EACH * downSince.size();
-    for (String name : view.live()) {
+    for (String name : view.liveMembers()) {
       Long down = downSince.get(name);
       if (down != null && now - Math.max(down, since) > within && told.add(viewer + name)) {
-        broken(now, viewer + " takes " + name + " for there, which is gone since " + down);
+        reportBreach(now, viewer + " takes " + name + " for there, which is gone since " + down);
       }
     }
   }
--- a/src/main/java/brassbank/sim/check/Descriptors.java
+++ b/src/main/java/brassbank/sim/check/Descriptors.java
@@ -18,21 +18,21 @@
 
   private static final int OTHERS = 70;
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Map<String, String> open = new HashMap<>();
   private final Map<String, Integer> flows = new HashMap<>();
   private final Map<String, Long> overSince = new LinkedHashMap<>();
   private boolean calm;
 
-  Descriptors(Checks.Figures figures) {
+  Descriptors(Checks.RuleParameters figures) {
     super("descriptors within their limits and given back");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.DescriptorsExhausted exhausted) {
-      broken(now, exhausted.proxy() + " met its limit: " + exhausted.held());
+      reportBreach(now, exhausted.proxy() + " met its limit: " + exhausted.held());
     } else if (event instanceof Event.FlowSent sent) {
       open.put(sent.flow(), sent.proxy());
       flows.merge(sent.proxy(), 1, Integer::sum);
@@ -57,7 +57,7 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     overSince.replaceAll(
         (proxy, since) -> {
           int needed = 2 * flows.getOrDefault(proxy, 0) + PER_HOST * figures.hosts() + OTHERS;
@@ -65,7 +65,7 @@
             return -1L;
           }
           if (since >= 0 && now - since > LINGERS) {
-            broken(
+            reportBreach(
                 now,
                 proxy + " holds " + truth.descriptors(proxy) + " descriptors and needs " + needed);
           }
--- a/src/main/java/brassbank/sim/check/DrainsKept.java
+++ b/src/main/java/brassbank/sim/check/DrainsKept.java
@@ -18,20 +18,20 @@
 
   private record Pair(String proxy, String host) {}
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Map<Pair, Long> toldAt = new HashMap<>();
   private final Map<String, Long> leavesSince = new LinkedHashMap<>();
   private final Map<String, Long> startedAt = new LinkedHashMap<>();
   private final Map<String, Long> hungUpAt = new HashMap<>();
   private final Set<String> resumed = new LinkedHashSet<>();
 
-  DrainsKept(Checks.Figures figures) {
+  DrainsKept(Checks.RuleParameters figures) {
     super("nothing to a draining or gone host");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.ProxyStarted started) {
       startedAt.put(started.proxy(), now);
       toldAt.keySet().removeIf(pair -> pair.proxy().equals(started.proxy()));
@@ -59,7 +59,7 @@
     Long told = toldAt.get(new Pair(arrived.proxy(), arrived.host()));
     if (told != null && arrived.firstByteAt() > told + figures.drainGrace() + truth.slack()) {
       long late = (arrived.firstByteAt() - told) / MILLI;
-      broken(
+      reportBreach(
           now,
           arrived.flow()
               + " was sent to "
@@ -73,7 +73,7 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     leavesSince.forEach(
         (host, since) ->
             startedAt.forEach(
--- a/src/main/java/brassbank/sim/check/EndsPassedOn.java
+++ b/src/main/java/brassbank/sim/check/EndsPassedOn.java
@@ -20,7 +20,7 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent sent) {
       open.put(sent.flow(), sent.proxy());
     } else if (event instanceof Event.ClientServed served) {
@@ -55,7 +55,7 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     endedAt.forEach(
         (flow, at) -> {
           if (!servedAt.containsKey(flow)) {
@@ -66,7 +66,8 @@
                   Math.max(Math.max(at, servedAt.get(flow)), truth.proxyCalmSince(open.get(flow))),
                   Math.max(truth.clientCalmSince(flow), truth.hostCalmSince(flow)));
           if (now - from > WITHIN + truth.slack()) {
-            broken(now, flow + " was ended by its host at " + at / 1e6 + " s and still stands");
+            reportBreach(
+                now, flow + " was ended by its host at " + at / 1e6 + " s and still stands");
           }
         });
   }
--- a/src/main/java/brassbank/sim/check/FewAsk.java
+++ b/src/main/java/brassbank/sim/check/FewAsk.java
@@ -24,20 +24,20 @@
   /** A host that may still be cold has no room but for its places. */
   private static final long WARM = 25 * SECOND;
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Calm calm;
   private final Sessions sessions = new Sessions();
   private final Map<String, Map<String, Long>> asked = new HashMap<>();
   private long fullAt;
 
-  FewAsk(Checks.Figures figures) {
+  FewAsk(Checks.RuleParameters figures) {
     super("a host is asked by few, with subsets");
     this.figures = figures;
     calm = new Calm(figures.recovery());
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     calm.see(now, event);
     sessions.see(now, event);
     if (event instanceof Event.ProbeArrived probe && now - probe.calmSince() > SECOND) {
@@ -47,9 +47,9 @@
         by.put(probe.proxy(), now);
       }
       int enough = (HOSTS * figures.proxies() + figures.hosts() - 1) / figures.hosts();
-      int most = Math.max(figures.askers(), enough);
+      int most = Math.max(figures.minProxiesPerHost(), enough);
       if (by.size() > most && calm.is(now) && now - fullAt > NARROWED) {
-        broken(
+        reportBreach(
             now,
             probe.host()
                 + " was asked by "
@@ -64,7 +64,7 @@
   }
 
   @Override
-  void look(long now) {
-    fullAt = truth.hostsToUse(WARM).size() < figures.hosts() ? now : fullAt;
+  void onTick(long now) {
+    fullAt = truth.usableHosts(WARM).size() < figures.hosts() ? now : fullAt;
   }
 }
--- a/src/main/java/brassbank/sim/check/FourAttempts.java
+++ b/src/main/java/brassbank/sim/check/FourAttempts.java
@@ -8,20 +8,20 @@
  * No flow costs the stream hosts more attempts than are allowed, over all proxies and their lives.
  */
 final class FourAttempts extends Rule {
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Map<String, Integer> attempts = new HashMap<>();
 
-  FourAttempts(Checks.Figures figures) {
+  FourAttempts(Checks.RuleParameters figures) {
     super("no more attempts of a flow than are allowed");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.AttemptArrived arrived) {
       int count = attempts.merge(arrived.flow(), 1, Integer::sum);
-      if (count == figures.mostAttempts() + 1) {
-        broken(
+      if (count == figures.maxAttempts() + 1) {
+        reportBreach(
             now,
             arrived.flow()
                 + " comes to "
--- a/src/main/java/brassbank/sim/check/Truth.java
+++ b/src/main/java/brassbank/sim/check/GroundTruth.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 
 /** What no proxy can know and the rules must, to blame no one for what the network did. */
-public interface Truth {
+public interface GroundTruth {
   /** PROTOCOL, The rules on sockets: each time limit is extended by this. */
-  long SOCKETS = 50_000;
+  long SOCKET_SLACK_MICROS = 50_000;
 
   /**
    * What each time limit is extended by here; more than the protocol's on a machine that others
    * use.
    */
   default long slack() {
-    return SOCKETS;
+    return SOCKET_SLACK_MICROS;
   }
 
   /** Since when neither the network nor the client has held up the client's connection. */
@@ -30,7 +30,7 @@
   long discoverySoundSince(String proxy);
 
   /** Names of the proxies that run as members of the fleet. */
-  default Set<String> members() {
+  default Set<String> runningMembers() {
     return Collections.emptySet();
   }
 
@@ -38,7 +38,7 @@
    * Since when two members have run, and could hear each other, straight or by a third, whatever
    * the rules take for a way; Long.MAX_VALUE while it is not so.
    */
-  default long joinedSince(String one, String other) {
+  default long mutuallyReachableSince(String one, String other) {
     return Long.MAX_VALUE;
   }
 
@@ -53,7 +53,7 @@
   }
 
   /** Whether most hosts of a proxy's zone have served for so long, and have room. */
-  default boolean zoneHasRoom(String proxy, long forMicros) {
+  default boolean zoneHasCapacity(String proxy, long forMicros) {
     return false;
   }
 
@@ -70,5 +70,5 @@
    * Names of the stream hosts that have served for so long, have room, and stand in a zone that a
    * proxy serves: of another zone a proxy takes hosts only as a last resort.
    */
-  List<String> hostsToUse(long forMicros);
+  List<String> usableHosts(long forMicros);
 }
--- a/src/main/java/brassbank/sim/check/HostPace.java
+++ b/src/main/java/brassbank/sim/check/HostPace.java
@@ -37,11 +37,11 @@
   }
 
   private final Of of;
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Map<String, Window> counts = new HashMap<>();
   private final Window flows;
 
-  HostPace(Of of, Checks.Figures figures) {
+  HostPace(Of of, Checks.RuleParameters figures) {
     super(of.name + " a second at one stream host");
     this.of = of;
     flows = new Window(of.meanwhile);
@@ -49,7 +49,7 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent) {
       flows.add(now);
     } else if (of == Of.PROBES && event instanceof Event.ProbeArrived probe) {
@@ -68,7 +68,7 @@
     int count = counts.computeIfAbsent(host, h -> new Window()).add(now);
     int most = of.eachProxy * figures.proxies() + (int) (of.eachFlow * flows.count(now));
     if (count > most) {
-      broken(
+      reportBreach(
           now,
           host
               + " "
--- a/src/main/java/brassbank/sim/check/LinesIntact.java
+++ b/src/main/java/brassbank/sim/check/LinesIntact.java
@@ -31,7 +31,7 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.LineSent sent) {
       Way way = new Way(sent.flow(), sent.byClient());
       if (!over.contains(way)) {
@@ -44,7 +44,7 @@
     } else if (event instanceof Event.ClientSawEnd end) {
       Deque<Line> left = ways.get(new Way(end.flow(), false));
       if (end.served() && !end.reset() && end.byHost() && left != null && !left.isEmpty()) {
-        broken(now, end.flow() + " ended and lost '" + shown(left.peek().text()) + "'");
+        reportBreach(now, end.flow() + " ended and lost '" + shown(left.peek().text()) + "'");
       }
       forget(end.flow());
     } else if (event instanceof Event.ClientLeft left) {
@@ -75,7 +75,8 @@
     if (expected == null) {
       // The other end may have left meanwhile: then what it sent is no longer kept.
       if (!over.contains(new Way(arrived.flow(), arrived.byClient()))) {
-        broken(now, arrived.flow() + ": '" + shown(arrived.line()) + "' came and was not sent");
+        reportBreach(
+            now, arrived.flow() + ": '" + shown(arrived.line()) + "' came and was not sent");
       }
       return;
     }
@@ -84,7 +85,7 @@
       ways.remove(new Way(arrived.flow(), arrived.byClient()));
     }
     if (line == null || !line.text().equals(arrived.line())) {
-      broken(
+      reportBreach(
           now,
           arrived.flow()
               + ": '"
@@ -103,7 +104,7 @@
             Math.max(line.sentAt(), truth.proxyCalmSince(proxies.getOrDefault(flow, ""))),
             Math.max(truth.clientCalmSince(flow), truth.hostCalmSince(flow)));
     if (now - from > LONGEST_HELD + truth.slack()) {
-      broken(
+      reportBreach(
           now,
           flow + ": '" + shown(line.text()) + "' was held for " + (now - from) / MILLI + " ms");
     }
@@ -114,7 +115,7 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     ways.forEach(
         (way, lines) -> {
           if (now - lines.peek().sentAt() > LONGEST_HELD + truth.slack()) {
--- a/src/main/java/brassbank/sim/check/MembershipPace.java
+++ b/src/main/java/brassbank/sim/check/MembershipPace.java
@@ -25,7 +25,7 @@
   private final int mostDatagrams;
   private final int mostBytes;
 
-  MembershipPace(Checks.Figures figures, boolean shares) {
+  MembershipPace(Checks.RuleParameters figures, boolean shares) {
     super("datagrams and bytes a second of one member");
     int seats = shares ? SEATS_EACH * (figures.proxies() + KEEPERS) : 0;
     mostDatagrams = MOST_DATAGRAMS + seats;
@@ -34,13 +34,13 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     // Time alone is looked at.
   }
 
   @Override
-  void look(long now) {
-    for (String name : truth.members()) {
+  void onTick(long now) {
+    for (String name : truth.runningMembers()) {
       long[] sent = truth.datagrams(name);
       Deque<Sample> last = samples.computeIfAbsent(name, n -> new ArrayDeque<>());
       last.add(new Sample(now, sent[0], sent[1]));
@@ -53,7 +53,7 @@
       boolean calm = now - truth.proxyCalmSince(name) > SECOND;
       if (calm && (datagrams > mostDatagrams || bytes > mostBytes)) {
         last.clear();
-        broken(
+        reportBreach(
             now, name + " has sent " + datagrams + " datagrams, " + bytes + " bytes, in a second");
       }
     }
--- a/src/main/java/brassbank/sim/check/NoEffectDoubled.java
+++ b/src/main/java/brassbank/sim/check/NoEffectDoubled.java
@@ -34,13 +34,13 @@
   private final Map<String, String> kinds = new HashMap<>();
   private final Map<String, Guarded> flows = new HashMap<>();
 
-  NoEffectDoubled(Checks.Figures figures) {
+  NoEffectDoubled(Checks.RuleParameters figures) {
     super("no effect doubled");
     this.repeats = figures.repeats();
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (repeats.isEmpty()) {
       return;
     }
@@ -68,7 +68,7 @@
     } else if (event instanceof Event.FlowAnswered answered && answered.line().startsWith("BUSY")) {
       Guarded flow = flows.get(answered.flow());
       if (flow != null && flow.repeat.never() && flow.mayHaveRun()) {
-        broken(now, answered.flow() + " may have run and is told '" + answered.line() + "'");
+        reportBreach(now, answered.flow() + " may have run and is told '" + answered.line() + "'");
       } else if (flow != null) {
         flow.toldHarmless = true;
       }
@@ -77,15 +77,16 @@
 
   private void arrived(long now, Guarded flow, Event.AttemptArrived arrived) {
     if (flow.mayHaveRun() && flow.repeat.never()) {
-      broken(now, arrived.flow() + " may have run and is sent to " + arrived.host());
+      reportBreach(now, arrived.flow() + " may have run and is sent to " + arrived.host());
     } else if (flow.ranAt >= 0
         && arrived.firstByteAt() > flow.ranAt + flow.repeat.window() + truth.slack()) {
       long late = (arrived.firstByteAt() - flow.ranAt - flow.repeat.window()) / MILLI;
-      broken(
+      reportBreach(
           now,
           arrived.flow() + " is sent to " + arrived.host() + " " + late + " ms past its window");
     } else if (flow.repeat.never() && flow.toldHarmless) {
-      broken(now, arrived.flow() + " comes to " + arrived.host() + " after its client was refused");
+      reportBreach(
+          now, arrived.flow() + " comes to " + arrived.host() + " after its client was refused");
     }
     flow.out = arrived.host();
     if (arrived.givenUp()) {
--- a/src/main/java/brassbank/sim/check/NoFailure.java
+++ b/src/main/java/brassbank/sim/check/NoFailure.java
@@ -9,9 +9,9 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.ProxyFailed failed) {
-      broken(now, failed.proxy() + ": " + failed.text());
+      reportBreach(now, failed.proxy() + ": " + failed.text());
     }
   }
 }
--- a/src/main/java/brassbank/sim/check/NoFalseDeath.java
+++ b/src/main/java/brassbank/sim/check/NoFalseDeath.java
@@ -17,7 +17,7 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     Event.ViewSeen before = views.see(event);
     if (before == null) {
       return;
@@ -25,9 +25,10 @@
     Event.ViewSeen after = (Event.ViewSeen) event;
     for (Event.Seen one : after.members()) {
       if (one.state().equals("dead")
-          && before.live().contains(one.name())
-          && now - truth.joinedSince(after.proxy(), one.name()) > HEARD_FOR + truth.slack()) {
-        broken(now, after.proxy() + " declares " + one.name() + " dead, which it could hear");
+          && before.liveMembers().contains(one.name())
+          && now - truth.mutuallyReachableSince(after.proxy(), one.name())
+              > HEARD_FOR + truth.slack()) {
+        reportBreach(now, after.proxy() + " declares " + one.name() + " dead, which it could hear");
       }
     }
   }
--- a/src/main/java/brassbank/sim/check/NobodyLeft.java
+++ b/src/main/java/brassbank/sim/check/NobodyLeft.java
@@ -26,7 +26,7 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent flow) {
       sent.put(flow.flow(), flow.proxy());
     } else if (event instanceof Event.ClientServed client) {
@@ -58,12 +58,12 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     left.forEach(
         (flow, since) -> {
           long from = Math.max(since, truth.clientCalmSince(flow));
           if (now - from > WITHIN + truth.slack()) {
-            broken(
+            reportBreach(
                 now,
                 flow
                     + " still stands at "
--- a/src/main/java/brassbank/sim/check/OneAnswer.java
+++ b/src/main/java/brassbank/sim/check/OneAnswer.java
@@ -20,10 +20,10 @@
     }
   }
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Map<String, Owed> owed = new LinkedHashMap<>();
 
-  OneAnswer(Checks.Figures figures) {
+  OneAnswer(Checks.RuleParameters figures) {
     super("one final answer in time");
     this.figures = figures;
   }
@@ -36,7 +36,7 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent sent) {
       owed.put(sent.flow(), new Owed(sent.proxy(), sent.deadline()));
     } else if (event instanceof Event.FlowTaken taken) {
@@ -49,11 +49,11 @@
     } else if (event instanceof Event.ClientLeft left && left.waiting()) {
       judge(now, left.flow(), "had no answer");
     } else if (event instanceof Event.AnsweredAgain again) {
-      broken(now, again.flow() + " was answered and then got '" + again.line() + "'");
+      reportBreach(now, again.flow() + " was answered and then got '" + again.line() + "'");
     } else if (event instanceof Event.ClientSawEnd end && !end.served()) {
       Owed owes = owed.remove(end.flow());
       if (owes != null && owes.takenAt >= 0 && truth.clientCalmSince(end.flow()) < owes.takenAt) {
-        broken(now, end.flow() + " was ended by " + owes.proxy + " without an answer");
+        reportBreach(now, end.flow() + " was ended by " + owes.proxy + " without an answer");
       }
     } else if (event instanceof Event.ProxyKilled killed) {
       owed.values().removeIf(owes -> owes.proxy.equals(killed.proxy()));
@@ -63,7 +63,7 @@
             if (owes.proxy.equals(exited.proxy())
                 && owes.takenAt >= 0
                 && truth.clientCalmSince(flow) < owes.takenAt) {
-              broken(now, flow + " had no answer when " + exited.proxy() + " ended");
+              reportBreach(now, flow + " had no answer when " + exited.proxy() + " ended");
             }
           });
       owed.values().removeIf(owes -> owes.proxy.equals(exited.proxy()));
@@ -73,7 +73,7 @@
   private void judge(long now, String flow, String what) {
     Owed owes = owed.remove(flow);
     if (owes != null && owes.takenAt >= 0 && now > due(flow, owes)) {
-      broken(now, flow + " " + what + " " + (now - due(flow, owes)) / MILLI + " ms late");
+      reportBreach(now, flow + " " + what + " " + (now - due(flow, owes)) / MILLI + " ms late");
     }
   }
 }
--- a/src/main/java/brassbank/sim/check/OneAttempt.java
+++ b/src/main/java/brassbank/sim/check/OneAttempt.java
@@ -14,11 +14,12 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.AttemptArrived arrived && !arrived.givenUp()) {
       String other = out.put(arrived.flow(), arrived.host());
       if (other != null) {
-        broken(now, arrived.flow() + " is sent to " + arrived.host() + " while out at " + other);
+        reportBreach(
+            now, arrived.flow() + " is sent to " + arrived.host() + " while out at " + other);
       }
     } else if (event instanceof Event.AttemptAnswered answered && answered.ends()) {
       out.remove(answered.flow(), answered.host());
--- a/src/main/java/brassbank/sim/check/OneDoor.java
+++ b/src/main/java/brassbank/sim/check/OneDoor.java
@@ -16,13 +16,13 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.DoorHeld held) {
       holders.put(held.proxy(), held.process());
     } else if (event instanceof Event.DoorUsed used) {
       Long holder = holders.get(used.proxy());
       if (holder == null || holder != used.process()) {
-        broken(
+        reportBreach(
             now,
             used.proxy() + ": process " + used.process() + " accepts, and " + holder + " is to");
       }
--- a/src/main/java/brassbank/sim/check/OneLeaves.java
+++ b/src/main/java/brassbank/sim/check/OneLeaves.java
@@ -17,10 +17,10 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.ProxyOnStandby proxy) {
       if (now - since < AWAY - truth.slack() && !proxy.proxy().equals(last)) {
-        broken(now, proxy.proxy() + " leaves " + (now - since) / 1_000 + " ms after " + last);
+        reportBreach(now, proxy.proxy() + " leaves " + (now - since) / 1_000 + " ms after " + last);
       }
       last = proxy.proxy();
       since = now;
--- a/src/main/java/brassbank/sim/check/PlannedStop.java
+++ b/src/main/java/brassbank/sim/check/PlannedStop.java
@@ -9,11 +9,11 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.ProxyKilled killed && killed.overdue()) {
-      broken(now, killed.proxy() + " was still there when SIGKILL came");
+      reportBreach(now, killed.proxy() + " was still there when SIGKILL came");
     } else if (event instanceof Event.ProxyExited exited && exited.status() != 0) {
-      broken(now, exited.proxy() + " ended with status " + exited.status());
+      reportBreach(now, exited.proxy() + " ended with status " + exited.status());
     }
   }
 }
--- a/src/main/java/brassbank/sim/check/Recovery.java
+++ b/src/main/java/brassbank/sim/check/Recovery.java
@@ -18,7 +18,7 @@
   /** A host that serves for this long must have been chosen. */
   private static final long IN_USE_WITHIN = 14 * SECOND;
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
 
   /** With so many attempts for each host, one that got none was left out. */
   private static final int ENOUGH = 8;
@@ -31,18 +31,18 @@
   private final Set<String> used = new HashSet<>();
   private long soundFrom = Long.MAX_VALUE;
 
-  Recovery(Checks.Figures figures) {
+  Recovery(Checks.RuleParameters figures) {
     super("all sound again after the last fault");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.AllFaultsOver) {
       soundFrom = now + figures.recovery();
     } else if (event instanceof Event.ClientGaveUp gaveUp && gaveUp.cameAt() >= soundFrom) {
-      if (!figures.descriptorsBind() && figures.demand() < ROOM && fleetHadRoom) {
-        broken(now, gaveUp.client() + " was not served");
+      if (!figures.descriptorsAreScarce() && figures.demand() < ROOM && fleetHadRoom) {
+        reportBreach(now, gaveUp.client() + " was not served");
       }
     } else if (event instanceof Event.AttemptArrived arrived && now >= soundFrom) {
       used.add(arrived.host());
@@ -51,21 +51,21 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     if (now >= soundFrom) {
       fleetHadRoom &= truth.fleetLoad() < ROOM;
     }
   }
 
   @Override
-  void end(long now) {
+  void onEnd(long now) {
     if (now - soundFrom < IN_USE_WITHIN
         || attempts < ENOUGH * figures.hosts() * Math.max(1, figures.hosts() / FEW_HOSTS)) {
       return;
     }
-    for (String host : truth.hostsToUse(now - soundFrom)) {
+    for (String host : truth.usableHosts(now - soundFrom)) {
       if (!used.contains(host)) {
-        broken(now, host + " serves and was sent nothing");
+        reportBreach(now, host + " serves and was sent nothing");
       }
     }
   }
--- a/src/main/java/brassbank/sim/check/Rule.java
+++ b/src/main/java/brassbank/sim/check/Rule.java
@@ -2,14 +2,16 @@
 
 import brassbank.sim.event.Event;
 
-/** One rule of a run. It sees every event, and is asked every {@link Checks#EVERY} besides. */
+/**
+ * One rule of a run. It sees every event, and is asked every {@link Checks#TICK_MICROS} besides.
+ */
 public abstract class Rule {
   static final long MILLI = 1_000;
   static final long SECOND = 1_000_000;
 
   private final String name;
   private Checks checks;
-  Truth truth;
+  GroundTruth truth;
 
   /** {@code name} is what reports and tables call it. */
   Rule(String name) {
@@ -20,21 +22,21 @@
     return name;
   }
 
-  final void judgedBy(Checks by, Truth known) {
+  final void attach(Checks by, GroundTruth known) {
     checks = by;
     truth = known;
   }
 
   /** An event has happened. */
-  abstract void see(long now, Event event);
+  abstract void onEvent(long now, Event event);
 
   /** Time has passed. */
-  void look(long now) {}
+  void onTick(long now) {}
 
   /** The run is over. */
-  void end(long now) {}
+  void onEnd(long now) {}
 
-  final void broken(long now, String what) {
-    checks.broken(new Breach(name, now, what));
+  final void reportBreach(long now, String what) {
+    checks.record(new Breach(name, now, what));
   }
 }
--- a/src/main/java/brassbank/sim/check/SilenceNoticed.java
+++ b/src/main/java/brassbank/sim/check/SilenceNoticed.java
@@ -27,7 +27,7 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent sent) {
       flows.put(sent.flow(), new Standing(sent.proxy()));
     } else if (event instanceof Event.LineSent sent && sent.byClient()) {
@@ -51,7 +51,7 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     flows.forEach(
         (flow, standing) -> {
           if (standing.askedAt < 0 || now - standing.askedAt <= WITHIN) {
@@ -62,7 +62,7 @@
                   standing.askedAt,
                   Math.max(truth.clientCalmSince(flow), truth.proxyCalmSince(standing.proxy)));
           if (now - from > WITHIN + truth.slack()) {
-            broken(now, flow + " has heard nothing since " + standing.askedAt / 1e6 + " s");
+            reportBreach(now, flow + " has heard nothing since " + standing.askedAt / 1e6 + " s");
           }
         });
   }
--- a/src/main/java/brassbank/sim/check/StandbyEmpty.java
+++ b/src/main/java/brassbank/sim/check/StandbyEmpty.java
@@ -21,7 +21,7 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent sent) {
       proxies.put(sent.flow(), sent.proxy());
     } else if (event instanceof Event.ClientServed client) {
@@ -47,7 +47,7 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     if (standby.isEmpty()) {
       return;
     }
@@ -59,7 +59,8 @@
       }
       long calm = Math.max(truth.clientCalmSince(flow), truth.proxyCalmSince(proxy));
       if (now - Math.max(since, calm) > WITHIN + truth.slack()) {
-        broken(now, flow + " is held by " + proxy + ", on standby since " + since / 1e6 + " s");
+        reportBreach(
+            now, flow + " is held by " + proxy + ", on standby since " + since / 1e6 + " s");
       }
     }
   }
--- a/src/main/java/brassbank/sim/check/SubsetCostsNobody.java
+++ b/src/main/java/brassbank/sim/check/SubsetCostsNobody.java
@@ -21,19 +21,19 @@
   /** What a proxy that was called away or told to stop refuses is none of a subset's. */
   private static final long LEFT = 10 * SECOND;
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Calm calm = new Calm(KNOWS);
   private final Set<String> tried = new HashSet<>();
   private final Map<String, String> proxyOf = new HashMap<>();
   private final Map<String, Long> left = new HashMap<>();
 
-  SubsetCostsNobody(Checks.Figures figures) {
+  SubsetCostsNobody(Checks.RuleParameters figures) {
     super("a subset costs nobody his place");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     calm.see(now, event);
     if (event instanceof Event.FlowSent sent) {
       proxyOf.put(sent.flow(), sent.proxy());
@@ -41,7 +41,7 @@
       boolean first = tried.add(attempt.flow());
       String zone = truth.zone(attempt.proxy());
       if (first && !zone.equals(truth.zone(attempt.host())) && room(now, attempt.proxy())) {
-        broken(
+        reportBreach(
             now,
             attempt.flow()
                 + " went to "
@@ -52,9 +52,9 @@
       }
     } else if (event instanceof Event.FlowAnswered answer && answer.line().startsWith("BUSY")) {
       String proxy = proxyOf.get(answer.flow());
-      boolean refused = !tried.contains(answer.flow()) && !figures.descriptorsBind();
+      boolean refused = !tried.contains(answer.flow()) && !figures.descriptorsAreScarce();
       if (refused && proxy != null && room(now, proxy)) {
-        broken(now, answer.flow() + " is refused by " + proxy + ", whose hosts have room");
+        reportBreach(now, answer.flow() + " is refused by " + proxy + ", whose hosts have room");
       }
     } else if (event instanceof Event.ProxyOnStandby proxy) {
       left.put(proxy.proxy(), now);
@@ -66,6 +66,6 @@
   private boolean room(long now, String proxy) {
     return calm.is(now)
         && now - left.getOrDefault(proxy, -LEFT) >= LEFT
-        && truth.zoneHasRoom(proxy, WARM);
+        && truth.zoneHasCapacity(proxy, WARM);
   }
 }
--- a/src/main/java/brassbank/sim/check/ViewsAgree.java
+++ b/src/main/java/brassbank/sim/check/ViewsAgree.java
@@ -7,18 +7,18 @@
 final class ViewsAgree extends Rule {
   private static final long EVERY = SECOND;
 
-  private final Checks.Figures figures;
+  private final Checks.RuleParameters figures;
   private final Views views = new Views();
   private long from = Long.MAX_VALUE;
   private boolean told;
 
-  ViewsAgree(Checks.Figures figures) {
+  ViewsAgree(Checks.RuleParameters figures) {
     super("all views are equal, and the truth, after the faults");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     views.see(event);
     if (event instanceof Event.AllFaultsOver) {
       from = now + figures.recovery();
@@ -29,19 +29,23 @@
   }
 
   @Override
-  void look(long now) {
+  void onTick(long now) {
     if (now < from || told) {
       return;
     }
     from = now + EVERY;
-    Set<String> members = truth.members();
+    Set<String> members = truth.runningMembers();
     for (String name : members) {
       Event.ViewSeen view = views.last().get(name);
-      if (view == null || !view.live().equals(members)) {
+      if (view == null || !view.liveMembers().equals(members)) {
         told = true;
-        broken(
+        reportBreach(
             now,
-            name + " sees " + (view == null ? "nobody" : view.live()) + ", there are " + members);
+            name
+                + " sees "
+                + (view == null ? "nobody" : view.liveMembers())
+                + ", there are "
+                + members);
         return;
       }
     }
--- a/src/main/java/brassbank/sim/check/ViewsGrow.java
+++ b/src/main/java/brassbank/sim/check/ViewsGrow.java
@@ -16,14 +16,15 @@
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     Event.ViewSeen before = views.see(event);
     if (before == null) {
       return;
     }
     Event.ViewSeen after = (Event.ViewSeen) event;
     if (after.version() <= before.version()) {
-      broken(now, after.proxy() + " goes from " + before.version() + " to " + after.version());
+      reportBreach(
+          now, after.proxy() + " goes from " + before.version() + " to " + after.version());
     }
     Map<String, Event.Seen> known = new HashMap<>();
     before.members().forEach(one -> known.put(one.name(), one));
@@ -38,7 +39,7 @@
       boolean gone = old.state().equals("dead") || old.state().equals("left");
       boolean live = one.state().equals("alive") || one.state().equals("suspect");
       if (lower || (gone && live && !higher)) {
-        broken(now, after.proxy() + " goes from " + old + " to " + one);
+        reportBreach(now, after.proxy() + " goes from " + old + " to " + one);
       }
     }
   }
--- a/src/main/java/brassbank/sim/cli/Seeds.java
+++ b/src/main/java/brassbank/sim/cli/Seeds.java
@@ -1,6 +1,6 @@
 package brassbank.sim.cli;
 
-import brassbank.sim.Run;
+import brassbank.sim.SimulationRun;
 import brassbank.sim.check.Breach;
 import brassbank.sim.fault.Plan;
 import brassbank.sources.SystemClock;
@@ -29,7 +29,7 @@
   /** What came of them, in the order of the seeds. */
   record Summary(
       Range range,
-      List<Run.Outcome> failed,
+      List<SimulationRun.Result> failed,
       long virtualSeconds,
       double wallSeconds,
       int jobs,
@@ -41,7 +41,7 @@
 
     String text() {
       StringBuilder text = new StringBuilder();
-      for (Run.Outcome outcome : failed) {
+      for (SimulationRun.Result outcome : failed) {
         Breach first = outcome.breaches().get(0);
         text.append("seed ").append(outcome.plan().seed()).append(": ").append(first).append('\n');
       }
@@ -74,13 +74,13 @@
       json.addProperty("seeds", range.count());
       json.addProperty("sound", range.count() - failed.size());
       JsonArray broken = new JsonArray();
-      for (Run.Outcome outcome : failed) {
+      for (SimulationRun.Result outcome : failed) {
         Breach first = outcome.breaches().get(0);
         JsonObject one = new JsonObject();
         one.addProperty("seed", outcome.plan().seed());
         one.addProperty("rule", first.rule());
-        one.addProperty("at_s", first.at() / 1e6);
-        one.addProperty("what", first.what());
+        one.addProperty("at_s", first.atMicros() / 1e6);
+        one.addProperty("what", first.description());
         broken.add(one);
       }
       json.add("broken", broken);
@@ -97,7 +97,7 @@
   private final int jobs;
   private final PrintStream notes;
   private final SystemClock clock = new SystemClock();
-  private Run.Outcome[] outcomes;
+  private SimulationRun.Result[] outcomes;
   private long toldAt;
   private int done;
   private int broken;
@@ -124,7 +124,7 @@
 
   Summary run(Range range) {
     long began = clock.nanos();
-    outcomes = new Run.Outcome[(int) range.count()];
+    outcomes = new SimulationRun.Result[(int) range.count()];
     AtomicLong next = new AtomicLong(range.first());
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < Math.min(jobs, range.count()); i++) {
@@ -146,11 +146,12 @@
 
   private void work(AtomicLong next, Range range) {
     for (long seed = next.getAndIncrement(); seed <= range.last(); seed = next.getAndIncrement()) {
-      Run.Outcome outcome = new Run(plans.apply(seed), UnaryOperator.identity()).go();
+      SimulationRun.Result outcome =
+          new SimulationRun(plans.apply(seed), UnaryOperator.identity()).execute();
       synchronized (this) {
         outcomes[(int) (seed - range.first())] = outcome;
         done++;
-        broken += outcome.sound() ? 0 : 1;
+        broken += outcome.isSound() ? 0 : 1;
         told(range, false);
       }
     }
@@ -170,13 +171,13 @@
   }
 
   private Summary summary(Range range, double wallSeconds) {
-    List<Run.Outcome> failed = new ArrayList<>();
+    List<SimulationRun.Result> failed = new ArrayList<>();
     long seconds = 0;
     long fingerprint = 0;
-    for (Run.Outcome outcome : outcomes) {
+    for (SimulationRun.Result outcome : outcomes) {
       seconds += outcome.endedAtSecond();
       fingerprint = fingerprint * 0x100000001b3L + outcome.fingerprint();
-      if (!outcome.sound()) {
+      if (!outcome.isSound()) {
         failed.add(outcome);
       }
     }
--- a/src/main/java/brassbank/sim/cli/SimulateCommand.java
+++ b/src/main/java/brassbank/sim/cli/SimulateCommand.java
@@ -2,8 +2,8 @@
 
 import brassbank.cli.ExitStatus;
 import brassbank.cli.UsageException;
-import brassbank.sim.Run;
 import brassbank.sim.Shrinker;
+import brassbank.sim.SimulationRun;
 import brassbank.sim.check.Breach;
 import brassbank.sim.fault.FaultKind;
 import brassbank.sim.fault.Kinds;
@@ -136,23 +136,24 @@
   }
 
   private int one(Plan plan) {
-    Run run = new Run(plan, UnaryOperator.identity());
+    SimulationRun run = new SimulationRun(plan, UnaryOperator.identity());
     if (trace) {
       run.withLogs();
-      run.trace().listen((now, event) -> output.printf("%11.6f %s%n", now / 1e6, event.text()));
+      run.trace()
+          .addListener((now, event) -> output.printf("%11.6f %s%n", now / 1e6, event.text()));
     }
-    Run.Outcome outcome = run.go();
+    SimulationRun.Result outcome = run.execute();
     for (Breach breach : outcome.breaches()) {
       output.println(breach);
     }
     output.printf(
         "%s%nseed %d: %s; %d steps; fingerprint %016x%n",
-        outcome.service().text(),
+        outcome.service().summary(),
         plan.seed(),
-        outcome.sound() ? "all rules hold" : "a rule is broken",
+        outcome.isSound() ? "all rules hold" : "a rule is broken",
         outcome.steps(),
         outcome.fingerprint());
-    return outcome.sound() ? ExitStatus.OK : ExitStatus.FAILED;
+    return outcome.isSound() ? ExitStatus.OK : ExitStatus.FAILED;
   }
 
   private int seeds() {
@@ -173,7 +174,7 @@
     Shrinker.Shrunk shrunk =
         Shrinker.shrink(
             plan,
-            smaller -> new Run(smaller, UnaryOperator.identity()).go(),
+            smaller -> new SimulationRun(smaller, UnaryOperator.identity()).execute(),
             (faults, clients, runs) ->
                 notes.printf("%d faults, %d clients left after %d runs%n", faults, clients, runs));
     if (shrunk == null) {
--- a/src/main/java/brassbank/sim/event/Event.java
+++ b/src/main/java/brassbank/sim/event/Event.java
@@ -198,7 +198,7 @@
    * @param birth and {@code raised}, the incarnation
    */
   record Seen(String name, String state, long birth, int raised) {
-    boolean live() {
+    boolean isLive() {
       return state.equals("alive") || state.equals("suspect");
     }
 
@@ -222,9 +222,9 @@
       List<Seen> members)
       implements Event {
     /** Names of those that it takes for there. */
-    public Set<String> live() {
+    public Set<String> liveMembers() {
       Set<String> names = new TreeSet<>();
-      members.stream().filter(Seen::live).forEach(one -> names.add(one.name()));
+      members.stream().filter(Seen::isLive).forEach(one -> names.add(one.name()));
       return names;
     }
   }
--- a/src/main/java/brassbank/sim/event/Trace.java
+++ b/src/main/java/brassbank/sim/event/Trace.java
@@ -8,7 +8,7 @@
 public final class Trace {
   /** Who hears of each event. */
   public interface Listener {
-    void see(long now, Event event);
+    void onEvent(long now, Event event);
   }
 
   private final Agenda agenda;
@@ -18,13 +18,13 @@
     this.agenda = agenda;
   }
 
-  public void listen(Listener listener) {
+  public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
-  public void tell(Event event) {
+  public void publish(Event event) {
     for (Listener listener : listeners) {
-      listener.see(agenda.now(), event);
+      listener.onEvent(agenda.now(), event);
     }
   }
 }
--- a/src/main/java/brassbank/sim/experiment/Counted.java
+++ b/src/main/java/brassbank/sim/experiment/Counted.java
@@ -1,6 +1,6 @@
 package brassbank.sim.experiment;
 
-import brassbank.sim.Service;
+import brassbank.sim.ServiceStatistics;
 import brassbank.sim.event.Event;
 import brassbank.sim.event.Trace;
 import java.util.EnumMap;
@@ -18,9 +18,9 @@
 
   private final Map<String, Double> capacities;
   private final Map<String, String> zones;
-  private final Service all = new Service();
-  private final Map<String, Service> byClass = new TreeMap<>();
-  private final Map<String, Service> byPractice = new TreeMap<>();
+  private final ServiceStatistics all = new ServiceStatistics();
+  private final Map<String, ServiceStatistics> byClass = new TreeMap<>();
+  private final Map<String, ServiceStatistics> byPractice = new TreeMap<>();
   private final Map<String, Event.ClientCame> clients = new HashMap<>();
   private final Map<String, Integer> probes = new HashMap<>();
   private final Map<String, Integer> connects = new HashMap<>();
@@ -47,16 +47,16 @@
   }
 
   @Override
-  public void see(long now, Event event) {
-    all.see(now, event);
+  public void onEvent(long now, Event event) {
+    all.onEvent(now, event);
     String client = client(event);
     if (event instanceof Event.ClientCame came) {
       clients.put(came.client(), came);
     }
     if (client != null) {
       Event.ClientCame who = clients.get(client);
-      byClass.computeIfAbsent(who.kind(), k -> new Service()).see(now, event);
-      byPractice.computeIfAbsent(who.practice(), p -> new Service()).see(now, event);
+      byClass.computeIfAbsent(who.kind(), k -> new ServiceStatistics()).onEvent(now, event);
+      byPractice.computeIfAbsent(who.practice(), p -> new ServiceStatistics()).onEvent(now, event);
     }
     if (event instanceof Event.ProbeArrived probe) {
       probes.merge(probe.host(), 1, Integer::sum);
@@ -133,10 +133,10 @@
     double seconds = now / SECOND;
     int hosts = capacities.size();
     Map<Figure, Double> figures = new EnumMap<>(Figure.class);
-    figures.put(Figure.SERVED, 100 * all.share());
+    figures.put(Figure.SERVED, 100 * all.servedShare());
     figures.put(Figure.WORST_CLASS, worst(now, byClass));
     figures.put(Figure.WORST_PRACTICE, worst(now, byPractice));
-    figures.put(Figure.GAVE_UP, (double) all.gaveUp());
+    figures.put(Figure.GAVE_UP, (double) all.unservedClients());
     figures.put(Figure.REFUSALS, (double) refusals);
     figures.put(Figure.CROSSINGS, begun == 0 ? 0 : 100.0 * crossed / begun);
     figures.put(Figure.SETUPS, (double) setups);
@@ -153,9 +153,9 @@
     return figures;
   }
 
-  private static double worst(long now, Map<String, Service> parts) {
+  private static double worst(long now, Map<String, ServiceStatistics> parts) {
     parts.values().forEach(part -> part.end(now));
-    return parts.values().stream().mapToDouble(part -> 100 * part.share()).min().orElse(100);
+    return parts.values().stream().mapToDouble(part -> 100 * part.servedShare()).min().orElse(100);
   }
 
   private static double sum(Map<String, ? extends Number> counts) {
--- a/src/main/java/brassbank/sim/experiment/Experiment.java
+++ b/src/main/java/brassbank/sim/experiment/Experiment.java
@@ -1,6 +1,6 @@
 package brassbank.sim.experiment;
 
-import brassbank.sim.Run;
+import brassbank.sim.SimulationRun;
 import brassbank.sim.fault.Plan;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -57,10 +57,10 @@
   }
 
   private static Map<Figure, Double> play(Plan plan) {
-    Run run = new Run(plan, UnaryOperator.identity());
+    SimulationRun run = new SimulationRun(plan, UnaryOperator.identity());
     Counted counted = new Counted(run.capacities(), run.zones());
-    run.trace().listen(counted);
-    Run.Outcome outcome = run.go();
-    return counted.figures(outcome.endedAt(), outcome.sound());
+    run.trace().addListener(counted);
+    SimulationRun.Result outcome = run.execute();
+    return counted.figures(outcome.endedAt(), outcome.isSound());
   }
 }
--- a/src/main/java/brassbank/sim/fault/FaultKind.java
+++ b/src/main/java/brassbank/sim/fault/FaultKind.java
@@ -1,6 +1,6 @@
 package brassbank.sim.fault;
 
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.util.List;
 
 /**
@@ -37,7 +37,7 @@
   }
 
   /** Draws one fault that begins and ends within these times. */
-  Fault draw(Draws.Stream stream, List<String> targets, long fromMillis, long untilMillis) {
+  Fault draw(RandomStreams.Stream stream, List<String> targets, long fromMillis, long untilMillis) {
     long length = stream.micros(leastMillis, mostMillis);
     long latest = Math.max(fromMillis, untilMillis - length);
     double size = Math.round(stream.between(leastSize, mostSize) * 100) / 100.0;
--- a/src/main/java/brassbank/sim/fault/Kinds.java
+++ b/src/main/java/brassbank/sim/fault/Kinds.java
@@ -2,11 +2,11 @@
 
 import brassbank.sim.actor.BadClient;
 import brassbank.sim.actor.Discovery;
-import brassbank.sim.actor.Instance;
+import brassbank.sim.actor.ProxyInstance;
 import brassbank.sim.actor.StreamHost;
 import brassbank.sim.net.Disturbance;
 import brassbank.sim.net.Machine;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -79,7 +79,7 @@
             0,
             2,
             (stage, fault) -> {
-              stage.host(fault).darken();
+              stage.host(fault).losePower();
               learn(stage, fault, "DELETED", SILENT_NOTICE);
             },
             (stage, fault) -> {
@@ -121,8 +121,8 @@
             1.9,
             3,
             3,
-            (stage, fault) -> stage.host(fault).slow(fault.size()),
-            (stage, fault) -> stage.host(fault).slow(1)));
+            (stage, fault) -> stage.host(fault).setSlowdown(fault.size()),
+            (stage, fault) -> stage.host(fault).setSlowdown(1)));
     all.add(
         new FaultKind(
             "all-hosts-slow",
@@ -133,8 +133,8 @@
             1.9,
             3,
             1,
-            (stage, fault) -> stage.hosts().forEach(host -> host.slow(fault.size())),
-            (stage, fault) -> stage.hosts().forEach(host -> host.slow(1))));
+            (stage, fault) -> stage.hosts().forEach(host -> host.setSlowdown(fault.size())),
+            (stage, fault) -> stage.hosts().forEach(host -> host.setSlowdown(1))));
     all.add(
         new FaultKind(
             "all-hosts-err",
@@ -146,9 +146,11 @@
             1,
             2,
             (stage, fault) ->
-                stage.hosts().forEach(host -> host.manner(StreamHost.Manner.ERRS, fault.size())),
+                stage
+                    .hosts()
+                    .forEach(host -> host.setBehavior(StreamHost.Behavior.ERRS, fault.size())),
             (stage, fault) ->
-                stage.hosts().forEach(host -> host.manner(StreamHost.Manner.SERVES, 1))));
+                stage.hosts().forEach(host -> host.setBehavior(StreamHost.Behavior.SERVES, 1))));
     all.add(
         new FaultKind(
             "host-pause",
@@ -173,8 +175,8 @@
             4,
             (stage, fault) -> stage.host(fault).resetConnections(fault.size()),
             NOTHING));
-    for (StreamHost.Manner manner : StreamHost.Manner.values()) {
-      if (manner != StreamHost.Manner.SERVES) {
+    for (StreamHost.Behavior manner : StreamHost.Behavior.values()) {
+      if (manner != StreamHost.Behavior.SERVES) {
         all.add(
             new FaultKind(
                 "host-" + named(manner),
@@ -185,8 +187,8 @@
                 0.2,
                 1,
                 2,
-                (stage, fault) -> stage.host(fault).manner(manner, fault.size()),
-                (stage, fault) -> stage.host(fault).manner(StreamHost.Manner.SERVES, 1)));
+                (stage, fault) -> stage.host(fault).setBehavior(manner, fault.size()),
+                (stage, fault) -> stage.host(fault).setBehavior(StreamHost.Behavior.SERVES, 1)));
       }
     }
     return all;
@@ -197,9 +199,12 @@
   }
 
   private static void learn(Stage stage, Fault fault, String status, long[] notice) {
-    Draws.Stream stream =
+    RandomStreams.Stream stream =
         stage.world().draws().of("notice " + fault.target() + status + fault.atMillis());
-    stage.world().discovery().learn(stage.host(fault), status, stream.micros(notice[0], notice[1]));
+    stage
+        .world()
+        .discovery()
+        .receiveStatus(stage.host(fault), status, stream.micros(notice[0], notice[1]));
   }
 
   private static void comeBack(Stage stage, Fault fault) {
@@ -220,10 +225,12 @@
             4.6,
             1,
             (stage, fault) ->
-                stage.hosts().forEach(host -> host.reportLate((long) (fault.size() * 1_000_000))),
-            (stage, fault) -> stage.hosts().forEach(host -> host.reportLate(0))));
-    for (StreamHost.Reports reports : StreamHost.Reports.values()) {
-      if (reports != StreamHost.Reports.TRUE) {
+                stage
+                    .hosts()
+                    .forEach(host -> host.setReportDelay((long) (fault.size() * 1_000_000))),
+            (stage, fault) -> stage.hosts().forEach(host -> host.setReportDelay(0))));
+    for (StreamHost.LoadReports reports : StreamHost.LoadReports.values()) {
+      if (reports != StreamHost.LoadReports.TRUE) {
         all.add(
             new FaultKind(
                 "reports-" + named(reports),
@@ -234,8 +241,8 @@
                 0,
                 0,
                 2,
-                (stage, fault) -> stage.host(fault).reports(reports),
-                (stage, fault) -> stage.host(fault).reports(StreamHost.Reports.TRUE)));
+                (stage, fault) -> stage.host(fault).setLoadReports(reports),
+                (stage, fault) -> stage.host(fault).setLoadReports(StreamHost.LoadReports.TRUE)));
       }
     }
     return all;
@@ -450,10 +457,10 @@
             0,
             0,
             2,
-            (stage, fault) -> stage.world().discovery().down(),
-            (stage, fault) -> stage.world().discovery().up()));
-    for (Discovery.Manner manner : Discovery.Manner.values()) {
-      if (manner != Discovery.Manner.SOUND) {
+            (stage, fault) -> stage.world().discovery().takeDown(),
+            (stage, fault) -> stage.world().discovery().bringUp()));
+    for (Discovery.Behavior manner : Discovery.Behavior.values()) {
+      if (manner != Discovery.Behavior.SOUND) {
         all.add(
             new FaultKind(
                 "discovery-" + named(manner),
@@ -464,8 +471,8 @@
                 0,
                 0,
                 1,
-                (stage, fault) -> stage.world().discovery().manner(manner),
-                (stage, fault) -> stage.world().discovery().manner(Discovery.Manner.SOUND)));
+                (stage, fault) -> stage.world().discovery().setBehavior(manner),
+                (stage, fault) -> stage.world().discovery().setBehavior(Discovery.Behavior.SOUND)));
       }
     }
     all.add(
@@ -478,8 +485,8 @@
             0,
             0,
             1,
-            (stage, fault) -> stage.world().discovery().still(true),
-            (stage, fault) -> stage.world().discovery().still(false)));
+            (stage, fault) -> stage.world().discovery().setFrozen(true),
+            (stage, fault) -> stage.world().discovery().setFrozen(false)));
     all.add(
         new FaultKind(
             "discovery-slow",
@@ -490,8 +497,8 @@
             2,
             20,
             1,
-            (stage, fault) -> stage.world().discovery().slow(fault.size()),
-            (stage, fault) -> stage.world().discovery().slow(1)));
+            (stage, fault) -> stage.world().discovery().setSlowdown(fault.size()),
+            (stage, fault) -> stage.world().discovery().setSlowdown(1)));
     return all;
   }
 
@@ -521,7 +528,7 @@
             0,
             0,
             1,
-            (stage, fault) -> stage.proxy(fault).darken(fault.forMillis() * MILLI),
+            (stage, fault) -> stage.proxy(fault).losePower(fault.forMillis() * MILLI),
             NOTHING));
     all.add(
         new FaultKind(
@@ -571,7 +578,7 @@
             1,
             (stage, fault) -> {
               long at = 0;
-              for (Instance proxy : stage.proxies()) {
+              for (ProxyInstance proxy : stage.proxies()) {
                 stage.world().agenda().after(at, proxy::restart);
                 at += (long) (fault.size() * 1_000_000);
               }
@@ -588,7 +595,7 @@
             0,
             2,
             (stage, fault) -> {
-              stage.world().discovery().move();
+              stage.world().discovery().moveAddress();
               stage.proxies().forEach(proxy -> proxy.hangUp(0));
             },
             NOTHING));
--- a/src/main/java/brassbank/sim/fault/LinkKinds.java
+++ b/src/main/java/brassbank/sim/fault/LinkKinds.java
@@ -1,9 +1,9 @@
 package brassbank.sim.fault;
 
-import brassbank.sim.actor.Instance;
+import brassbank.sim.actor.ProxyInstance;
 import brassbank.sim.net.Disturbance;
 import brassbank.sim.net.Machine;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.util.List;
 import java.util.function.BiFunction;
 
@@ -127,8 +127,8 @@
             2,
             8,
             0,
-            (stage, fault) -> stage.world().front().favour(fault.target(), fault.size()),
-            (stage, fault) -> stage.world().front().favour(fault.target(), 1)),
+            (stage, fault) -> stage.world().loadBalancer().setWeight(fault.target(), fault.size()),
+            (stage, fault) -> stage.world().loadBalancer().setWeight(fault.target(), 1)),
         new FaultKind(
             "proxies-hang-up-damaged",
             "SIGHUP to all proxies with a file that breaks off in the middle",
@@ -138,7 +138,7 @@
             0,
             0,
             0,
-            (stage, fault) -> stage.proxies().forEach(Instance::hangUpDamaged),
+            (stage, fault) -> stage.proxies().forEach(ProxyInstance::hangUpDamaged),
             NOTHING),
         new FaultKind(
             "proxies-crash",
@@ -150,7 +150,7 @@
             0,
             0,
             (stage, fault) -> {
-              for (Instance proxy : stage.proxies()) {
+              for (ProxyInstance proxy : stage.proxies()) {
                 proxy.crash(fault.forMillis() * MILLI);
               }
             },
@@ -173,7 +173,7 @@
   }
 
   private static Disturbance late(Ends ends, Fault fault) {
-    Draws.Stream jitter = new Draws(fault.atMillis()).of("jitter " + fault);
+    RandomStreams.Stream jitter = new RandomStreams(fault.atMillis()).of("jitter " + fault);
     return new Disturbance() {
       @Override
       public long delay(Machine from, Machine to) {
--- a/src/main/java/brassbank/sim/fault/Night.java
+++ b/src/main/java/brassbank/sim/fault/Night.java
@@ -1,6 +1,6 @@
 package brassbank.sim.fault;
 
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -83,7 +83,7 @@
 
   /** The night of a seed; the same for the same seed. */
   public Plan plan(long seed, int seconds, int proxies, int hosts, double rate) {
-    Site site = new Site(new Draws(seed).of("night " + name()), proxies, hosts);
+    Site site = new Site(new RandomStreams(seed).of("night " + name()), proxies, hosts);
     draw(site);
     site.faults.sort(Comparator.comparingLong(Fault::atMillis));
     return new Plan(
@@ -100,14 +100,14 @@
 
   /** What a night is drawn on. */
   static final class Site {
-    private final Draws.Stream stream;
+    private final RandomStreams.Stream stream;
     private final List<Fault> faults = new ArrayList<>();
     private final int proxyCount;
     private final int hostCount;
     private final List<String> proxies;
     private final List<String> hosts;
 
-    private Site(Draws.Stream stream, int proxies, int hosts) {
+    private Site(RandomStreams.Stream stream, int proxies, int hosts) {
       proxyCount = proxies;
       hostCount = hosts;
       this.stream = stream;
--- a/src/main/java/brassbank/sim/fault/Plan.java
+++ b/src/main/java/brassbank/sim/fault/Plan.java
@@ -1,6 +1,6 @@
 package brassbank.sim.fault;
 
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -93,14 +93,14 @@
    * 2012), and for each of them its number, times, targets and sizes from a stream of its own.
    */
   public static Plan drawn(long seed, int seconds, int proxies, int hosts, double rate) {
-    Draws draws = new Draws(seed);
-    Draws.Stream swarm = draws.of("swarm");
+    RandomStreams draws = new RandomStreams(seed);
+    RandomStreams.Stream swarm = draws.of("swarm");
     double share = swarm.between(LEAST_KINDS, MOST_KINDS);
     int sockets = swarm.chance(FEW_SOCKETS) ? swarm.between(FEW[0], FEW[1]) : USUAL_SOCKETS;
     long until = seconds * 1_000L - RECOVERY_MILLIS - SOUND_MILLIS;
     List<Fault> faults = new ArrayList<>();
     for (FaultKind kind : Kinds.ALL) {
-      Draws.Stream stream = draws.of("fault " + kind.name());
+      RandomStreams.Stream stream = draws.of("fault " + kind.name());
       if (kind.most() == 0 || !stream.chance(share)) {
         continue;
       }
--- a/src/main/java/brassbank/sim/fault/Stage.java
+++ b/src/main/java/brassbank/sim/fault/Stage.java
@@ -1,7 +1,7 @@
 package brassbank.sim.fault;
 
 import brassbank.sim.actor.BadClient;
-import brassbank.sim.actor.Instance;
+import brassbank.sim.actor.ProxyInstance;
 import brassbank.sim.actor.StreamHost;
 import brassbank.sim.actor.World;
 import brassbank.sim.net.Disturbance;
@@ -23,11 +23,11 @@
   }
 
   private final World world;
-  private final Map<String, Instance> proxies;
+  private final Map<String, ProxyInstance> proxies;
   private final Crowd crowd;
   private final Map<Fault, Deque<Disturbance>> disturbances = new HashMap<>();
 
-  public Stage(World world, Map<String, Instance> proxies, Crowd crowd) {
+  public Stage(World world, Map<String, ProxyInstance> proxies, Crowd crowd) {
     this.world = world;
     this.proxies = proxies;
     this.crowd = crowd;
@@ -49,11 +49,11 @@
     return world.hosts().values();
   }
 
-  Instance proxy(Fault fault) {
+  ProxyInstance proxy(Fault fault) {
     return proxies.get(fault.target());
   }
 
-  Collection<Instance> proxies() {
+  Collection<ProxyInstance> proxies() {
     return proxies.values();
   }
 
--- a/src/main/java/brassbank/sim/members/Flock.java
+++ b/src/main/java/brassbank/sim/members/Flock.java
@@ -17,7 +17,7 @@
 import brassbank.sim.proxy.SimClock;
 import brassbank.sim.proxy.SimNetwork;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -236,7 +236,7 @@
 
   private final Agenda agenda = new Agenda();
   private final Fabric fabric;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private final Settings settings;
   private final UnaryOperator<Network> wrapping;
   private final List<InetSocketAddress> seeds = new ArrayList<>();
@@ -257,7 +257,7 @@
    * @param wrapping put round the network of each; the identity but where a test plants a bug
    */
   Flock(long seed, int most, Settings settings, UnaryOperator<Network> wrapping) {
-    Draws draws = new Draws(seed);
+    RandomStreams draws = new RandomStreams(seed);
     fabric = new Fabric(agenda, draws, LATENCY, BUFFERS);
     stream = draws.of("flock");
     this.settings = settings;
@@ -319,7 +319,7 @@
     return stoppedDeaths;
   }
 
-  Draws.Stream stream() {
+  RandomStreams.Stream stream() {
     return stream;
   }
 
--- a/src/main/java/brassbank/sim/members/Scene.java
+++ b/src/main/java/brassbank/sim/members/Scene.java
@@ -6,7 +6,7 @@
 import brassbank.sim.net.Disturbance;
 import brassbank.sim.net.Machine;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.UnaryOperator;
@@ -264,7 +264,7 @@
   OLD_DATAGRAMS {
     @Override
     void play(Flock flock, Result result) {
-      Draws.Stream jitter = flock.stream();
+      RandomStreams.Stream jitter = flock.stream();
       Disturbance old =
           new Disturbance() {
             @Override
@@ -455,7 +455,7 @@
   }
 
   private static void rough(Flock flock, double loss, long late, long longestStop) {
-    Draws.Stream jitter = flock.stream();
+    RandomStreams.Stream jitter = flock.stream();
     Disturbance rough =
         new Disturbance() {
           @Override
--- a/src/main/java/brassbank/sim/net/Datagrams.java
+++ b/src/main/java/brassbank/sim/net/Datagrams.java
@@ -1,6 +1,6 @@
 package brassbank.sim.net;
 
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
@@ -22,7 +22,7 @@
   private final Program program;
   private final int port;
   private final Handler handler;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private final Map<Machine, Long> lastArrival = new HashMap<>();
   private boolean open = true;
 
--- a/src/main/java/brassbank/sim/net/Endpoint.java
+++ b/src/main/java/brassbank/sim/net/Endpoint.java
@@ -1,7 +1,7 @@
 package brassbank.sim.net;
 
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.util.ArrayDeque;
 import java.util.Deque;
 
@@ -39,7 +39,7 @@
 
   private final Fabric fabric;
   private final Machine machine;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private Endpoint peer;
   private Program program;
   private Handler handler;
@@ -92,7 +92,7 @@
   private Runnable onLocalEnd;
   private long firstWriteAt = -1;
 
-  Endpoint(Fabric fabric, Machine machine, Draws.Stream stream) {
+  Endpoint(Fabric fabric, Machine machine, RandomStreams.Stream stream) {
     this.fabric = fabric;
     this.machine = machine;
     this.stream = stream;
--- a/src/main/java/brassbank/sim/net/Fabric.java
+++ b/src/main/java/brassbank/sim/net/Fabric.java
@@ -1,7 +1,7 @@
 package brassbank.sim.net;
 
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.net.InetAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -25,7 +25,7 @@
   public record Buffers(int send, int receive, long bandwidth) {}
 
   private final Agenda agenda;
-  private final Draws draws;
+  private final RandomStreams draws;
   private final Latency latency;
   private final Buffers buffers;
   private final Map<InetAddress, Machine> machines = new LinkedHashMap<>();
@@ -34,7 +34,7 @@
   private final List<Disturbance> disturbances = new ArrayList<>();
   private final Map<Disturbance, Long> ended = new LinkedHashMap<>();
 
-  public Fabric(Agenda agenda, Draws draws, Latency latency, Buffers buffers) {
+  public Fabric(Agenda agenda, RandomStreams draws, Latency latency, Buffers buffers) {
     this.agenda = agenda;
     this.draws = draws;
     this.latency = latency;
@@ -77,7 +77,7 @@
   }
 
   /** The stream of one connection, named by the machine that opens it and how many it had. */
-  Draws.Stream stream(Machine from, long number) {
+  RandomStreams.Stream stream(Machine from, long number) {
     return draws.of("connection " + from.name() + " " + number);
   }
 
@@ -149,7 +149,7 @@
   }
 
   /** The stream of a machine's datagrams. */
-  Draws.Stream datagrams(Machine from) {
+  RandomStreams.Stream datagrams(Machine from) {
     return draws.of("datagrams " + from.name());
   }
 
@@ -163,16 +163,16 @@
     return false;
   }
 
-  boolean loses(Machine from, Machine to, Draws.Stream stream) {
+  boolean loses(Machine from, Machine to, RandomStreams.Stream stream) {
     return drawn(stream, one -> one.losesDatagrams(from, to));
   }
 
-  boolean doubles(Machine from, Machine to, Draws.Stream stream) {
+  boolean doubles(Machine from, Machine to, RandomStreams.Stream stream) {
     return drawn(stream, one -> one.doublesDatagrams(from, to));
   }
 
   /** Whether one of the disturbances strikes, each by its share. */
-  private boolean drawn(Draws.Stream stream, ToDoubleFunction<Disturbance> share) {
+  private boolean drawn(RandomStreams.Stream stream, ToDoubleFunction<Disturbance> share) {
     for (Disturbance disturbance : disturbances) {
       double likely = share.applyAsDouble(disturbance);
       if (likely > 0 && stream.chance(likely)) {
@@ -256,10 +256,10 @@
   }
 
   /** How long a segment takes from one machine to another, in microseconds. */
-  long latency(Machine from, Machine to, Draws.Stream stream) {
+  long latency(Machine from, Machine to, RandomStreams.Stream stream) {
     Long base = from.wayTo(to);
     if (base == null) {
-      Draws.Stream drawn = draws.of("way " + from.name() + " " + to.name());
+      RandomStreams.Stream drawn = draws.of("way " + from.name() + " " + to.name());
       base =
           from.zone().equals(to.zone())
               ? drawn.micros(latency.sameLeast(), latency.sameMost())
--- a/src/main/java/brassbank/sim/proxy/ProxyConfig.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyConfig.java
@@ -90,7 +90,7 @@
       type.addProperty("give-up", c.deadlineMillis() * MILLI);
       type.addProperty("effect", c.repeat().effect());
       type.addProperty("group", c.repeat().group());
-      type.addProperty("value", c.worth());
+      type.addProperty("value", c.value());
       type.addProperty("window", c.repeat().windowMillis() * MILLI);
       classes.add(type);
     }
--- a/src/main/java/brassbank/sim/proxy/ProxyNode.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyNode.java
@@ -11,14 +11,14 @@
 import brassbank.net.Network;
 import brassbank.proxy.Proxy;
 import brassbank.relay.limits.RelayLimits;
-import brassbank.sim.actor.Instance;
+import brassbank.sim.actor.ProxyInstance;
 import brassbank.sim.actor.Site;
 import brassbank.sim.actor.World;
 import brassbank.sim.event.Event;
 import brassbank.sim.net.Machine;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -34,7 +34,7 @@
  * planned, told to read its configuration again. What runs in it is the program's own {@link
  * Proxy}.
  */
-public class ProxyNode implements Instance {
+public class ProxyNode implements ProxyInstance {
   private static final int PORT = 7070;
   private static final long MILLI = Agenda.MILLI;
 
@@ -71,7 +71,7 @@
   private final UnaryOperator<Network> wrapping;
   private final boolean inherits;
   private final MembershipConfig joining;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
 
   /** Those that live, the last one among them. */
   private final List<Process> processes = new ArrayList<>();
@@ -147,7 +147,7 @@
     if (known == null) {
       known = world.discovery().list(name);
     }
-    world.discovery().knows(name, true);
+    world.discovery().resetReported(name, true);
     stopping = false;
     proxy = null;
     if (inherits && door == null) {
@@ -156,9 +156,9 @@
     process = new Process();
     program = process.program;
     clock = new SimClock(world.agenda(), stream.bits() >>> 8, world.epochMillis());
-    world.tell(new Event.ProxyStarted(name));
+    world.publish(new Event.ProxyStarted(name));
     program.later(atOnce ? 0 : stream.micros(BOOT_LEAST, BOOT_MOST), process::serve);
-    world.front().started(name, machine, address);
+    world.loadBalancer().processStarted(name, machine, address);
   }
 
   private void openDoor() {
@@ -171,7 +171,7 @@
               by ->
                   processes.stream()
                       .filter(one -> one.program == by)
-                      .forEach(one -> world.tell(new Event.DoorUsed(name, one.number))));
+                      .forEach(one -> world.publish(new Event.DoorUsed(name, one.number))));
     } catch (IOException e) {
       throw new IllegalStateException("the platform cannot listen: " + e.getMessage(), e);
     }
@@ -187,7 +187,7 @@
   }
 
   @Override
-  public boolean member() {
+  public boolean isMember() {
     return joining != null
         && processes.stream()
             .anyMatch(
@@ -235,7 +235,7 @@
 
     void serve() {
       SimNetwork.Exhausted exhausted =
-          held -> world.tell(new Event.DescriptorsExhausted(name, held));
+          held -> world.publish(new Event.DescriptorsExhausted(name, held));
       Network network = wrapping.apply(new SimNetwork(program, clock, exhausted, door));
       try {
         Config read = Config.of(config(0));
@@ -267,7 +267,7 @@
                 one.incarnation().startTime(),
                 one.incarnation().revision()));
       }
-      world.tell(
+      world.publish(
           new Event.ViewSeen(
               name, number, view.version(), view.settled(), view.displaced(), members));
     }
@@ -293,7 +293,7 @@
       } else {
         told = phase;
         if (!before.isAccepting() && phase.isAccepting()) {
-          world.tell(new Event.DoorHeld(name, number));
+          world.publish(new Event.DoorHeld(name, number));
           proxy.setAccepting(true, () -> yes.run());
         }
       }
@@ -376,7 +376,7 @@
             () -> {
               if (old.program.alive()) {
                 old.program.kill();
-                world.tell(new Event.ProxyKilled(name, true));
+                world.publish(new Event.ProxyKilled(name, true));
               }
             });
   }
@@ -400,14 +400,14 @@
       end();
       processes.forEach(one -> one.program.kill());
       closeDoor();
-      world.front().died(name);
-      world.tell(new Event.ProxyKilled(name, false));
+      world.loadBalancer().processFailed(name);
+      world.publish(new Event.ProxyKilled(name, false));
     }
     world.agenda().after(downFor, () -> start(false));
   }
 
   @Override
-  public void darken(long downFor) {
+  public void losePower(long downFor) {
     machine.darken();
     crash(downFor);
     world.agenda().after(downFor, machine::lighten);
@@ -420,8 +420,8 @@
     }
     stopping = true;
     process.terminated = true;
-    world.tell(new Event.ProxyTerminated(name));
-    world.front().stopping(name);
+    world.publish(new Event.ProxyTerminated(name));
+    world.loadBalancer().shutdownStarted(name);
     Program life = program;
     Proxy stopped = proxy;
     kill = world.agenda().after(stream.micros(KILL_LEAST, KILL_MOST), () -> overdue(life));
@@ -444,7 +444,7 @@
             if (yes) {
               away(awayFor);
             } else {
-              world.tell(new Event.ProxyPutOff(name));
+              world.publish(new Event.ProxyPutOff(name));
             }
           });
       return;
@@ -456,8 +456,8 @@
   /** Its clients are sent away from here on. */
   private void away(long awayFor) {
     Program life = program;
-    world.tell(new Event.ProxyOnStandby(name));
-    world.front().stopping(name);
+    world.publish(new Event.ProxyOnStandby(name));
+    world.loadBalancer().shutdownStarted(name);
     world
         .agenda()
         .after(
@@ -465,8 +465,8 @@
             () -> {
               if (serving() && program == life) {
                 proxy.activate();
-                world.tell(new Event.ProxyCalledBack(name));
-                world.front().calledBack(name);
+                world.publish(new Event.ProxyCalledBack(name));
+                world.loadBalancer().returnedToService(name);
               }
             });
   }
@@ -479,7 +479,7 @@
       closeDoor();
       // One that was succeeded between SIGTERM and its end leaves a proxy that lives.
       if (life == program) {
-        world.tell(new Event.ProxyExited(name, 0));
+        world.publish(new Event.ProxyExited(name, 0));
       }
       world.agenda().after(stream.micros(RESTART_LEAST, RESTART_MOST), () -> start(false));
     }
@@ -490,7 +490,7 @@
       end();
       life.kill();
       closeDoor();
-      world.tell(new Event.ProxyKilled(name, true));
+      world.publish(new Event.ProxyKilled(name, true));
       world.agenda().after(stream.micros(RESTART_LEAST, RESTART_MOST), () -> start(false));
     }
   }
@@ -503,7 +503,7 @@
   @Override
   public void hangUp(int further) {
     if (serving()) {
-      world.tell(new Event.ProxyHungUp(name, further > 0));
+      world.publish(new Event.ProxyHungUp(name, further > 0));
       if (!reload(config(further))) {
         throw new IllegalStateException(name + " cannot read its own configuration");
       }
--- a/src/main/java/brassbank/sim/proxy/SimNetwork.java
+++ b/src/main/java/brassbank/sim/proxy/SimNetwork.java
@@ -59,7 +59,7 @@
   /** As the real selector does, which waits for whole milliseconds, rounded up. */
   private void arm() {
     long due = loop == null ? Long.MAX_VALUE : loop.nextDeadlineNanos();
-    if (due == armedFor && timer != null && timer.pending()) {
+    if (due == armedFor && timer != null && timer.isPending()) {
       return;
     }
     if (timer != null) {
--- a/src/main/java/brassbank/sim/time/Agenda.java
+++ b/src/main/java/brassbank/sim/time/Agenda.java
@@ -32,7 +32,7 @@
     }
 
     /** Whether it is still to happen. */
-    public boolean pending() {
+    public boolean isPending() {
       return task != null;
     }
   }
--- a/src/main/java/brassbank/sim/time/Draws.java
+++ b/src/main/java/brassbank/sim/time/RandomStreams.java
@@ -7,10 +7,10 @@
  * The streams of chance of one seed. Each purpose has a stream of its own, so that leaving one
  * fault or one client out does not shift what all others draw.
  */
-public final class Draws {
+public final class RandomStreams {
   private final long seed;
 
-  public Draws(long seed) {
+  public RandomStreams(long seed) {
     this.seed = seed;
   }
 
@@ -68,7 +68,7 @@
     }
 
     /** Log-normal with mean 1, by the Box-Muller transform. */
-    public double spread(double sigma) {
+    public double logNormal(double sigma) {
       double normal =
           StrictMath.sqrt(-2 * StrictMath.log(1 - random.nextDouble()))
               * StrictMath.cos(2 * Math.PI * random.nextDouble());
--- a/src/test/java/brassbank/SimStand.java
+++ b/src/test/java/brassbank/SimStand.java
@@ -10,7 +10,7 @@
 import brassbank.sim.proxy.SimClock;
 import brassbank.sim.proxy.SimNetwork;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.IOException;
@@ -35,7 +35,7 @@
   private final Fabric fabric =
       new Fabric(
           agenda,
-          new Draws(1),
+          new RandomStreams(1),
           new Fabric.Latency(30, 60, 700, 1_300, 0.2),
           new Fabric.Buffers(64 * 1024, 64 * 1024, 100_000_000));
   private final Map<String, Host> hosts = new LinkedHashMap<>();
--- a/src/test/java/brassbank/lab/LabIT.java
+++ b/src/test/java/brassbank/lab/LabIT.java
@@ -105,7 +105,7 @@
         StreamHost host = world.hosts().get("s-1");
         host.kill();
         host.start(false);
-        world.discovery().learn(host, "SERVING", 0);
+        world.discovery().receiveStatus(host, "SERVING", 0);
         log(proxy, "2026-01-01T00:00:00.000Z error test: planted\n");
       } else if (done == 1 && now > 3_000_000) {
         done = 2;
--- a/src/test/java/brassbank/sim/MembershipTest.java
+++ b/src/test/java/brassbank/sim/MembershipTest.java
@@ -33,8 +33,8 @@
     return plans.parallelStream()
         .flatMap(
             plan ->
-                new Run(plan, UnaryOperator.identity())
-                    .go().breaches().stream().map(breach -> plan.seed() + ": " + breach))
+                new SimulationRun(plan, UnaryOperator.identity())
+                    .execute().breaches().stream().map(breach -> plan.seed() + ": " + breach))
         .toList();
   }
 
@@ -62,14 +62,14 @@
   /** In an upgrade two processes of one name live for seconds: for the others nobody was away. */
   @Test
   void anUpgradeIsOneMemberAndNoFlap() throws Exception {
-    Run run =
-        new Run(
+    SimulationRun run =
+        new SimulationRun(
             Script.read(SCRIPTS.resolve("restarts-faster-than-noticed.toml")),
             UnaryOperator.identity());
     Set<String> states = new HashSet<>();
     Set<Long> births = new HashSet<>();
     run.trace()
-        .listen(
+        .addListener(
             (now, event) -> {
               if (event instanceof Event.ViewSeen view
                   && now > 9_500_000
@@ -83,7 +83,7 @@
                         });
               }
             });
-    assertThat(run.go().breaches()).isEmpty();
+    assertThat(run.execute().breaches()).isEmpty();
     assertThat(births).as("two processes").hasSize(2);
     assertThat(states).isSubsetOf("alive", "suspect");
   }
@@ -93,7 +93,10 @@
   private static Map<String, Integer> broken(UnaryOperator<Network> bug) throws Exception {
     Plan plan = Script.read(Path.of("src/test/resources/lab-planted/members-away.toml"));
     Map<String, Integer> counts = new HashMap<>();
-    new Run(plan, bug).go().breaches().forEach(one -> counts.merge(one.rule(), 1, Integer::sum));
+    new SimulationRun(plan, bug)
+        .execute()
+        .breaches()
+        .forEach(one -> counts.merge(one.rule(), 1, Integer::sum));
     return counts;
   }
 
--- a/src/test/java/brassbank/sim/PlantedBug.java
+++ b/src/test/java/brassbank/sim/PlantedBug.java
@@ -121,7 +121,7 @@
   long caughtBy(long most, BiConsumer<Long, Breach> others) {
     for (long seed = 1; seed <= most; seed++) {
       Plan plan = Plan.drawn(seed, Plan.SECONDS, Plan.PROXIES, Plan.HOSTS, Plan.RATE);
-      List<Breach> breaches = new Run(plan, this.plant).go(this::ends).breaches();
+      List<Breach> breaches = new SimulationRun(plan, this.plant).execute(this::ends).breaches();
       if (breaches.stream().anyMatch(breach -> breach.rule().startsWith(rule))) {
         return seed;
       }
--- a/src/test/java/brassbank/sim/SharesTest.java
+++ b/src/test/java/brassbank/sim/SharesTest.java
@@ -26,13 +26,13 @@
   private static final Path SCRIPTS = Path.of("src/test/resources/lab-shares");
 
   private static List<Breach> breaches(Plan plan, UnaryOperator<Network> wrapping) {
-    return new Run(plan, wrapping).go().breaches();
+    return new SimulationRun(plan, wrapping).execute().breaches();
   }
 
   /** As above, past the rule on a cold host's calls, which the same bug breaks before. */
   private static List<Breach> pastCalls(Plan plan, UnaryOperator<Network> wrapping) {
-    return new Run(plan, wrapping)
-        .go(breach -> !breach.rule().startsWith("a cold host's calls"))
+    return new SimulationRun(plan, wrapping)
+        .execute(breach -> !breach.rule().startsWith("a cold host's calls"))
         .breaches();
   }
 
@@ -71,9 +71,11 @@
   @Test
   void changesNothingWhileAllAreThere() {
     Plan plan = Plan.drawn(1, Plan.SECONDS, 5, Plan.HOSTS, Plan.RATE).with(List.of());
-    Run members = new Run(plan.with(Plan.View.MEMBERS), UnaryOperator.identity());
-    Run shares = new Run(plan.with(Plan.View.SHARES), UnaryOperator.identity());
-    assertThat(shares.go().service().text()).isEqualTo(members.go().service().text());
+    SimulationRun members =
+        new SimulationRun(plan.with(Plan.View.MEMBERS), UnaryOperator.identity());
+    SimulationRun shares = new SimulationRun(plan.with(Plan.View.SHARES), UnaryOperator.identity());
+    assertThat(shares.execute().service().summary())
+        .isEqualTo(members.execute().service().summary());
   }
 
   /** Answers of nobody: each proxy takes itself for the only one with a seat. */
@@ -114,15 +116,16 @@
 
   private static List<String> away(List<String> events, UnaryOperator<Network> wrapping)
       throws Exception {
-    Run run = new Run(Script.read(SCRIPTS.resolve("two-are-sent-away-at-once.toml")), wrapping);
+    SimulationRun run =
+        new SimulationRun(Script.read(SCRIPTS.resolve("two-are-sent-away-at-once.toml")), wrapping);
     run.trace()
-        .listen(
+        .addListener(
             (now, event) -> {
               if (event instanceof Event.ProxyOnStandby || event instanceof Event.ProxyPutOff) {
                 events.add(event.text());
               }
             });
-    return run.go().breaches().stream().map(Breach::rule).toList();
+    return run.execute().breaches().stream().map(Breach::rule).toList();
   }
 
   @Test
--- a/src/test/java/brassbank/sim/SimulationTest.java
+++ b/src/test/java/brassbank/sim/SimulationTest.java
@@ -38,8 +38,8 @@
     return Plan.drawn(seed, Plan.SECONDS, Plan.PROXIES, Plan.HOSTS, Plan.RATE);
   }
 
-  private static Run.Outcome run(Plan plan) {
-    return new Run(plan, UnaryOperator.identity()).go();
+  private static SimulationRun.Result run(Plan plan) {
+    return new SimulationRun(plan, UnaryOperator.identity()).execute();
   }
 
   @Test
@@ -53,9 +53,9 @@
     assertThat(breaches).isEmpty();
   }
 
-  private static Run.Outcome night(Night night, long seed) {
+  private static SimulationRun.Result night(Night night, long seed) {
     Plan plan = night.plan(seed, Plan.SECONDS, Night.PROXIES, Night.HOSTS, Night.RATE);
-    return new Run(plan, UnaryOperator.identity()).go();
+    return new SimulationRun(plan, UnaryOperator.identity()).execute();
   }
 
   /** Join nights broke the cold hosts' rule while sizes were taken for cores. */
@@ -79,12 +79,16 @@
             .mapToObj(seed -> Night.JOIN.plan(seed, 40, Night.PROXIES, Night.HOSTS, 60))
             .map(
                 plan ->
-                    new Run(
+                    new SimulationRun(
                         plan,
                         UnaryOperator.identity(),
                         site -> site.withFallMultiple(1_000 * site.fallMultiple())))
             .flatMap(
-                run -> run.go(b -> !b.rule().startsWith("a cold host's calls")).breaches().stream())
+                run ->
+                    run
+                        .execute(b -> !b.rule().startsWith("a cold host's calls"))
+                        .breaches()
+                        .stream())
             .toList();
     assertThat(breaches).anyMatch(breach -> breach.rule().startsWith("no cold host pushed over"));
   }
@@ -98,23 +102,24 @@
             .mapToObj(seed -> Night.JOIN.plan(seed, 40, Night.PROXIES, Night.HOSTS, 60))
             .map(
                 plan ->
-                    new Run(
+                    new SimulationRun(
                         plan,
                         UnaryOperator.identity(),
                         site -> site.withFallMultiple(50 * site.fallMultiple())))
-            .flatMap(run -> run.go().breaches().stream())
+            .flatMap(run -> run.execute().breaches().stream())
             .toList();
     assertThat(breaches).anyMatch(breach -> breach.rule().startsWith("a cold host's calls"));
   }
 
   /** One class that may never be repeated, and one in a short window; both may fail at any time. */
-  private static Run guarded(long seed, UnaryOperator<Network> wrapping) {
+  private static SimulationRun guarded(long seed, UnaryOperator<Network> wrapping) {
     Plan plan = drawn(seed);
     Site site =
-        Scene.site(plan)
+        ScenarioRun.site(plan)
             .withRepeats(
                 new Site.Repeat("single_shot", "all", 0), new Site.Repeat("guarded", "all", 300));
-    return new Run(plan, wrapping, UnaryOperator.identity(), UnaryOperator.identity(), site);
+    return new SimulationRun(
+        plan, wrapping, UnaryOperator.identity(), UnaryOperator.identity(), site);
   }
 
   /**
@@ -128,7 +133,7 @@
                 LongStream.rangeClosed(1, SEEDS), LongStream.of(147, 181, 184, 216, 290, 352))
             .parallel()
             .mapToObj(seed -> guarded(seed, UnaryOperator.identity()))
-            .flatMap(run -> run.go().breaches().stream())
+            .flatMap(run -> run.execute().breaches().stream())
             .toList();
     assertThat(breaches).isEmpty();
   }
@@ -140,7 +145,7 @@
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
             .mapToObj(seed -> guarded(seed, PlantedBug::failedToldAsBusy))
-            .flatMap(run -> run.go().breaches().stream())
+            .flatMap(run -> run.execute().breaches().stream())
             .toList();
     assertThat(breaches).anyMatch(breach -> breach.rule().equals("no effect doubled"));
   }
@@ -167,14 +172,14 @@
   }
 
   /** How often each rule was broken by the proxies of this cast, whatever was broken before. */
-  private static Map<String, Integer> counts(Scene.Cast cast) throws Exception {
+  private static Map<String, Integer> counts(ScenarioRun.ProxyFactory cast) throws Exception {
     Plan plan = Script.read(Path.of("src/test/resources/lab/one-is-killed.toml"));
-    Scene scene = new Scene(plan, Scene.House.VIRTUAL, cast);
+    ScenarioRun scene = new ScenarioRun(plan, ScenarioRun.Environment.VIRTUAL, cast);
     scene.begin();
     while (scene.agenda().step(scene.end())) {
       // All that is due.
     }
-    return scene.checks().counts();
+    return scene.checks().breachCounts();
   }
 
   /** A kill that does not kill: its clients stand at a proxy that nobody has any longer. */
@@ -194,7 +199,7 @@
                     null) {
                   @Override
                   public void crash(long downFor) {
-                    world.tell(new Event.ProxyKilled(name, false));
+                    world.publish(new Event.ProxyKilled(name, false));
                   }
                 });
     assertThat(counts.get("no client is left that no proxy holds")).isPositive();
@@ -218,9 +223,9 @@
   }
 
   private static List<String> events(Plan plan, List<String> into) {
-    Run run = new Run(plan, UnaryOperator.identity());
-    run.trace().listen((now, event) -> into.add(now + " " + event.text()));
-    into.add(String.format("%016x", run.go().fingerprint()));
+    SimulationRun run = new SimulationRun(plan, UnaryOperator.identity());
+    run.trace().addListener((now, event) -> into.add(now + " " + event.text()));
+    into.add(String.format("%016x", run.execute().fingerprint()));
     return into;
   }
 
@@ -267,14 +272,15 @@
     Shrinker.Shrunk shrunk =
         Shrinker.shrink(
             plan,
-            smaller -> new Run(smaller, PlantedBug.DRAIN_HEARD_LATE.plant).go(),
+            smaller -> new SimulationRun(smaller, PlantedBug.DRAIN_HEARD_LATE.plant).execute(),
             (faults, clients, runs) -> {});
     assertThat(shrunk.breach().rule()).startsWith(PlantedBug.DRAIN_HEARD_LATE.rule);
     assertThat(shrunk.plan().faults()).hasSizeLessThanOrEqualTo(3);
     assertThat(shrunk.plan().clients().below(10_000)).hasSizeLessThanOrEqualTo(5);
     Path file = Files.createTempFile("brassbank", ".toml");
     Files.writeString(file, Script.write(shrunk.plan(), shrunk.breach().toString()));
-    Run.Outcome again = new Run(Script.read(file), PlantedBug.DRAIN_HEARD_LATE.plant).go();
+    SimulationRun.Result again =
+        new SimulationRun(Script.read(file), PlantedBug.DRAIN_HEARD_LATE.plant).execute();
     assertThat(again.breaches()).contains(shrunk.breach());
     Files.delete(file);
   }
--- a/src/test/java/brassbank/sim/SubsetsTest.java
+++ b/src/test/java/brassbank/sim/SubsetsTest.java
@@ -24,8 +24,8 @@
   private static final Plan CALM =
       Plan.drawn(3, Plan.LEAST_SECONDS, 16, 32, 8).with(List.of()).with(Plan.View.SUBSETS);
 
-  private static List<String> broken(Run run) {
-    return run.go().breaches().stream().map(Breach::rule).toList();
+  private static List<String> broken(SimulationRun run) {
+    return run.execute().breaches().stream().map(Breach::rule).toList();
   }
 
   private static List<Plan> scripts(String folder) throws Exception {
@@ -48,7 +48,7 @@
     assertThat(plans).hasSizeGreaterThan(10);
     assertThat(
             plans.parallelStream()
-                .flatMap(plan -> new Run(plan, AS_IT_IS).go().breaches().stream())
+                .flatMap(plan -> new SimulationRun(plan, AS_IT_IS).execute().breaches().stream())
                 .toList())
         .isEmpty();
   }
@@ -62,7 +62,8 @@
                 .parallelStream()
                 .flatMap(
                     plan ->
-                        new Run(plan.with(Plan.View.SUBSETS), AS_IT_IS).go().breaches().stream())
+                        new SimulationRun(plan.with(Plan.View.SUBSETS), AS_IT_IS)
+                            .execute().breaches().stream())
                 .toList())
         .isEmpty();
   }
@@ -70,10 +71,10 @@
   /** A file with another number than the others have: all ask all. */
   @Test
   void catchesHostsThatAllAsk() {
-    assertThat(broken(new Run(CALM, AS_IT_IS))).isEmpty();
+    assertThat(broken(new SimulationRun(CALM, AS_IT_IS))).isEmpty();
     assertThat(
             broken(
-                new Run(
+                new SimulationRun(
                     CALM, AS_IT_IS, told -> told, joining -> joining.withMinProxiesPerHost(1_000))))
         .containsOnly("a host is asked by few, with subsets");
   }
@@ -83,6 +84,7 @@
   void catchesSubsetsOfAnotherZone() {
     UnaryOperator<Site> turned =
         site -> site.withZones(List.of(site.zones().get(1), site.zones().get(0)));
-    assertThat(broken(new Run(CALM, AS_IT_IS, turned))).contains("a subset costs nobody his place");
+    assertThat(broken(new SimulationRun(CALM, AS_IT_IS, turned)))
+        .contains("a subset costs nobody his place");
   }
 }
--- a/src/test/java/brassbank/sim/check/HostPaceTest.java
+++ b/src/test/java/brassbank/sim/check/HostPaceTest.java
@@ -11,13 +11,13 @@
 class HostPaceTest {
   /** Three proxies; nobody asks for the truth. */
   private static Checks checks() {
-    Checks.Figures figures =
-        new Checks.Figures(50_000, 400_000, 4, 3, 12, 2, 0, false, 0.5, Map.of());
-    Truth unasked =
-        (Truth)
+    Checks.RuleParameters figures =
+        new Checks.RuleParameters(50_000, 400_000, 4, 3, 12, 2, 0, false, 0.5, Map.of());
+    GroundTruth unasked =
+        (GroundTruth)
             Proxy.newProxyInstance(
-                Truth.class.getClassLoader(),
-                new Class<?>[] {Truth.class},
+                GroundTruth.class.getClassLoader(),
+                new Class<?>[] {GroundTruth.class},
                 (proxy, method, arguments) -> {
                   throw new IllegalStateException(method.getName());
                 });
@@ -27,10 +27,10 @@
   private static int broken(int setups, int flows) {
     Checks checks = checks();
     for (int i = 0; i < flows; i++) {
-      checks.see(1_000_000, new Event.FlowSent("c" + i + ".0", "c" + i, "n0", 1_000));
+      checks.onEvent(1_000_000, new Event.FlowSent("c" + i + ".0", "c" + i, "n0", 1_000));
     }
     for (int i = 0; i < setups; i++) {
-      checks.see(
+      checks.onEvent(
           1_000_000 + i, new Event.AttemptArrived("d" + i + ".0", "s-1", "n0", 1_000_000, false));
     }
     return checks.breaches().size();
--- a/src/test/java/brassbank/sim/check/ViewsGrowTest.java
+++ b/src/test/java/brassbank/sim/check/ViewsGrowTest.java
@@ -8,8 +8,8 @@
 
 /** No process of the program makes such a view, and none can be made to: these are told by hand. */
 class ViewsGrowTest {
-  private static final Truth NOBODY =
-      new Truth() {
+  private static final GroundTruth NOBODY =
+      new GroundTruth() {
         @Override
         public long clientCalmSince(String flow) {
           return 0;
@@ -46,7 +46,7 @@
         }
 
         @Override
-        public List<String> hostsToUse(long forMicros) {
+        public List<String> usableHosts(long forMicros) {
           return List.of();
         }
       };
@@ -58,8 +58,8 @@
 
   private static int breaches(Event first, Event second) {
     Checks checks = new Checks(List.of(new ViewsGrow()), NOBODY);
-    checks.see(1, first);
-    checks.see(2, second);
+    checks.onEvent(1, first);
+    checks.onEvent(2, second);
     return checks.breaches().size();
   }
 
--- a/src/test/java/brassbank/sim/net/EndpointTest.java
+++ b/src/test/java/brassbank/sim/net/EndpointTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -20,7 +20,7 @@
   private final Fabric fabric =
       new Fabric(
           agenda,
-          new Draws(1),
+          new RandomStreams(1),
           new Fabric.Latency(1_000, 1_000, 1_000, 1_000, 0),
           new Fabric.Buffers(16_384, 16_384, 100_000_000));
   private Program left;
