--- a/src/main/java/brassbank/Commands.java
+++ b/src/main/java/brassbank/Commands.java
@@ -4,7 +4,7 @@
 import brassbank.load.LoadCommand;
 import brassbank.sim.cli.ExperimentCommand;
 import brassbank.sim.cli.SimulateCommand;
-import brassbank.sim.members.MembersDrillCommand;
+import brassbank.sim.members.SimulateMembersCommand;
 import java.util.List;
 import java.util.concurrent.Callable;
 
@@ -29,6 +29,6 @@
         new SimulateCommand(),
         new ExperimentCommand(),
         new LabCommand(),
-        new MembersDrillCommand());
+        new SimulateMembersCommand());
   }
 }
--- a/src/main/java/brassbank/lab/Door.java
+++ b/src/main/java/brassbank/lab/Door.java
@@ -32,7 +32,7 @@
   private final Consumer<SocketChannel> accepted;
   private final List<SocketChannel> fillers = new ArrayList<>();
   private final Set<SocketAddress> filled = new HashSet<>();
-  private Fabric.Reach reach = Fabric.Reach.REFUSED;
+  private Fabric.ConnectResult reach = Fabric.ConnectResult.REFUSED;
   private ServerSocketChannel listener;
   private SelectionKey key;
 
@@ -68,7 +68,7 @@
 
   /** Does as the network does now; whether anything had to change for it. */
   boolean mirror() throws IOException {
-    Fabric.Reach now = fabric.reach(from, to, port);
+    Fabric.ConnectResult now = fabric.probeConnect(from, to, port);
     if (now == reach) {
       return false;
     }
@@ -143,6 +143,6 @@
       listener.close();
       listener = null;
     }
-    reach = Fabric.Reach.REFUSED;
+    reach = Fabric.ConnectResult.REFUSED;
   }
 }
--- a/src/main/java/brassbank/lab/Lab.java
+++ b/src/main/java/brassbank/lab/Lab.java
@@ -9,7 +9,7 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.event.Trace;
 import brassbank.sim.fault.Fault;
-import brassbank.sim.fault.Kinds;
+import brassbank.sim.fault.FaultKinds;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.net.Machine;
 import brassbank.sim.time.Agenda;
@@ -131,7 +131,8 @@
     this.logs = Files.createDirectories(logs == null ? folder.resolve("logs") : logs);
     loopback = new Loopback();
     boolean inherits =
-        plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
+        plan.faults().stream()
+            .anyMatch(fault -> fault.kind().name().equals(FaultKinds.PROXY_UPGRADE));
     ByteBuffer scratch = ByteBuffer.allocate(Splice.scratchSize());
     scene =
         new ScenarioRun(
@@ -232,7 +233,7 @@
   private void warmUp() {
     for (int i = 0; i < WARM_UPS; i++) {
       new SimulationRun(
-              plan.until(Math.min(plan.seconds(), WARM_UP_SECONDS)), UnaryOperator.identity())
+              plan.withSeconds(Math.min(plan.seconds(), WARM_UP_SECONDS)), UnaryOperator.identity())
           .execute();
     }
   }
@@ -265,7 +266,7 @@
       }
       doors.addAll(proxy.doors());
     }
-    if (plan.membership()) {
+    if (plan.usesMembership()) {
       List<RealProxy> seeds = List.copyOf(proxies.values()).subList(0, Math.min(2, proxies.size()));
       for (RealProxy proxy : proxies.values()) {
         proxy.joins(seeds, plan);
--- a/src/main/java/brassbank/lab/LabCommand.java
+++ b/src/main/java/brassbank/lab/LabCommand.java
@@ -101,24 +101,24 @@
   }
 
   private Plan plan() throws IOException {
-    require(script == null || !site.night(), "a script has its own faults: no --night with it");
+    require(script == null || !site.scenario(), "a script has its own faults: no --night with it");
     if (script != null) {
       require(
-          !site.sized() && !site.together(),
+          !site.hasSize() && !site.usesFleetMode(),
           "a script says itself how many proxies, hosts and clients there are, and what they do");
       try {
         Plan read = Script.read(script);
         require(read.proxies() <= MOST_PROXIES, "a lab has at most " + MOST_PROXIES + " proxies");
         require(
-            read.faults().equals(read.playable().faults()),
+            read.faults().equals(read.withoutClockSteps().faults()),
             script + ": clock-step cannot be played on real processes");
         return read;
       } catch (ScriptException e) {
         throw new UsageException(e.getMessage());
       }
     }
-    site.check(MOST_PROXIES);
-    return site.plan(seed).playable();
+    site.validate(MOST_PROXIES);
+    return site.plan(seed).withoutClockSteps();
   }
 
   private static void require(boolean holds, String otherwise) {
--- a/src/main/java/brassbank/lab/RealProxy.java
+++ b/src/main/java/brassbank/lab/RealProxy.java
@@ -6,10 +6,10 @@
 import brassbank.sim.actor.World;
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Plan;
-import brassbank.sim.net.Datagrams;
+import brassbank.sim.net.DatagramSocket;
 import brassbank.sim.net.Endpoint;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.proxy.ProxyConfig;
 import brassbank.sim.time.Agenda;
@@ -103,7 +103,7 @@
 
   private ProxyProcess process;
   private Program program;
-  private Datagrams datagrams;
+  private DatagramSocket datagrams;
   private String known;
   private boolean stopping;
   private boolean listening;
@@ -223,7 +223,7 @@
   }
 
   private void says(Machine to, byte[] bytes) {
-    if (datagrams != null && bytes.length <= Datagrams.MOST_BYTES) {
+    if (datagrams != null && bytes.length <= DatagramSocket.MAX_BYTES) {
       for (int i = lab.tamper().copies(name); i > 0; i--) {
         datagrams.send(to, PORT, bytes);
       }
@@ -233,7 +233,7 @@
   private void hear() {
     try {
       datagrams =
-          program.datagrams(
+          program.openDatagramSocket(
               PORT,
               (from, port, bytes) -> {
                 RealProxy sender = others.get(from);
@@ -252,15 +252,15 @@
 
   /** The process has opened a connection. */
   private void opened(SocketChannel channel, Door door) {
-    if (program == null || !program.alive()) {
+    if (program == null || !program.isAlive()) {
       Splice.reset(channel);
       return;
     }
     program.connect(
         new InetSocketAddress(lab.tamper().meant(door.to()).address(), door.port()),
-        new Program.Connected() {
+        new Program.ConnectHandler() {
           @Override
-          public void up(Endpoint endpoint) {
+          public void connected(Endpoint endpoint) {
             join(channel, endpoint, lab.tamper()::said);
           }
 
@@ -278,7 +278,7 @@
   }
 
   /** Somebody of the site has connected to the proxy. */
-  private void take(Port port) {
+  private void take(ListeningSocket port) {
     Endpoint endpoint = port.accept();
     if (endpoint == null) {
       return;
@@ -309,11 +309,11 @@
   }
 
   private void open() {
-    if (listening || program == null || !program.alive()) {
+    if (listening || program == null || !program.isAlive()) {
       return;
     }
     listening = true;
-    Port[] port = new Port[1];
+    ListeningSocket[] port = new ListeningSocket[1];
     try {
       port[0] = program.listen(PORT, BACKLOG, () -> take(port[0]));
     } catch (IOException e) {
@@ -325,7 +325,7 @@
 
   @Override
   public void start(boolean atOnce) {
-    if (program != null && program.alive()) {
+    if (program != null && program.isAlive()) {
       return;
     }
     if (known == null) {
@@ -334,7 +334,7 @@
     world.discovery().resetReported(name, true);
     stopping = false;
     listening = false;
-    program = new Program(machine, name, 0, Integer.MAX_VALUE).passingOn();
+    program = new Program(machine, name, 0, Integer.MAX_VALUE).asRelay();
     if (datagrams == null || !lab.tamper().keepsClientsOf(name)) {
       hear();
     }
@@ -474,7 +474,7 @@
           new Event.ProxyFailed(
               name, "process " + one.number() + " ended by itself, status " + one.exitStatus()));
     }
-    if (one == process && stopping && kill != null && program.alive()) {
+    if (one == process && stopping && kill != null && program.isAlive()) {
       int status = one.exitStatus();
       kill.cancel();
       program.stopListening();
@@ -499,16 +499,16 @@
   /** Its processes join a fleet, which they look for at these proxies' places. */
   void joins(List<RealProxy> others, Plan plan) throws IOException {
     seeds = List.copyOf(others);
-    sharing = plan.shares();
+    sharing = plan.sharesBudgets();
     StringBuilder text = new StringBuilder("[membership]\nfleet = \"lab\"\n");
     text.append("advertise = \"").append(text(common())).append("\"\nseeds = [");
     seeds.forEach(other -> text.append('"').append(text(other.common())).append("\","));
     text.append("]\n");
-    if (plan.shares()) {
+    if (plan.sharesBudgets()) {
       text.append("[shares]\nbase = ").append(LeaseSettings.DEFAULT_BASE_SHARE).append('\n');
     }
-    if (plan.subsets()) {
-      text.append("[subsets]\naskers = ").append(plan.askers()).append('\n');
+    if (plan.usesSubsets()) {
+      text.append("[subsets]\naskers = ").append(plan.minProxiesPerHost()).append('\n');
     }
     Files.writeString(folder().resolve(OWN), text.toString());
   }
@@ -554,7 +554,7 @@
 
   @Override
   public void crash(long downFor) {
-    if (program != null && program.alive()) {
+    if (program != null && program.isAlive()) {
       known = world.discovery().list(name);
       stopping = true;
       listening = false;
@@ -575,9 +575,9 @@
 
   @Override
   public void losePower(long downFor) {
-    machine.darken();
+    machine.losePower();
     crash(downFor);
-    world.agenda().after(downFor, machine::lighten);
+    world.agenda().after(downFor, machine::restorePower);
   }
 
   @Override
@@ -723,7 +723,7 @@
   @Override
   public void hangUpDamaged() {
     if (serving()) {
-      hangUp(ProxyConfig.damaged(config(1)), () -> {});
+      hangUp(ProxyConfig.truncated(config(1)), () -> {});
     }
   }
 
--- a/src/main/java/brassbank/lab/Splice.java
+++ b/src/main/java/brassbank/lab/Splice.java
@@ -175,7 +175,7 @@
     try {
       int count = channel.write(ByteBuffer.wrap(toReal));
       toReal = Arrays.copyOfRange(toReal, count, toReal.length);
-      endpoint.passedOn(count);
+      endpoint.confirmRelayed(count);
       boolean empty = toReal.length == 0;
       if (empty) {
         key.interestOpsAnd(~SelectionKey.OP_WRITE);
--- a/src/main/java/brassbank/sim/Fleets.java
+++ b/src/main/java/brassbank/sim/Fleets.java
@@ -30,7 +30,8 @@
     }
     MembershipConfig joining =
         new MembershipConfig("simulated", null, null, seeds, Settings.DEFAULTS);
-    joining = plan.shares() ? joining.withBaseShare(LeaseSettings.DEFAULT_BASE_SHARE) : joining;
-    return plan.subsets() ? joining.withMinProxiesPerHost(plan.askers()) : joining;
+    joining =
+        plan.sharesBudgets() ? joining.withBaseShare(LeaseSettings.DEFAULT_BASE_SHARE) : joining;
+    return plan.usesSubsets() ? joining.withMinProxiesPerHost(plan.minProxiesPerHost()) : joining;
   }
 }
--- a/src/main/java/brassbank/sim/Joined.java
+++ b/src/main/java/brassbank/sim/Joined.java
@@ -35,7 +35,8 @@
         hear[i][j] =
             runs[i]
                 && runs[j]
-                && fabric.hear(all.get(i).machine(), all.get(j).machine(), MOST_LOST, MOST_LATE);
+                && fabric.canExchangeDatagrams(
+                    all.get(i).machine(), all.get(j).machine(), MOST_LOST, MOST_LATE);
         hear[j][i] = hear[i][j];
       }
     }
--- a/src/main/java/brassbank/sim/ScenarioRun.java
+++ b/src/main/java/brassbank/sim/ScenarioRun.java
@@ -15,8 +15,8 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.event.Trace;
 import brassbank.sim.fault.Fault;
+import brassbank.sim.fault.FaultContext;
 import brassbank.sim.fault.Plan;
-import brassbank.sim.fault.Stage;
 import brassbank.sim.net.Fabric;
 import brassbank.sim.net.Machine;
 import brassbank.sim.net.Program;
@@ -89,7 +89,7 @@
   /** Null where the proxies keep no view. */
   private final Joined joined;
 
-  private final Stage stage;
+  private final FaultContext stage;
   private final ServiceStatistics service = new ServiceStatistics();
   private int extra = EXTRA;
 
@@ -112,16 +112,16 @@
             MOST_ATTEMPTS,
             site.proxies(),
             site.hosts(),
-            plan.askers(),
+            plan.minProxiesPerHost(),
             Plan.RECOVERY_MILLIS * MILLI,
-            plan.sockets() < Plan.USUAL_SOCKETS,
+            plan.sockets() < Plan.DEFAULT_SOCKETS,
             demand(site),
             repeats(site));
     List<Rule> rules = new ArrayList<>(Checks.commonRules(figures));
-    if (plan.membership()) {
-      rules.addAll(Checks.membershipRules(figures, plan.shares()));
-      rules.addAll(plan.shares() ? Checks.sharedBudgetRules(figures) : List.of());
-      rules.addAll(plan.subsets() ? Checks.subsetRules(figures) : List.of());
+    if (plan.usesMembership()) {
+      rules.addAll(Checks.membershipRules(figures, plan.sharesBudgets()));
+      rules.addAll(plan.sharesBudgets() ? Checks.sharedBudgetRules(figures) : List.of());
+      rules.addAll(plan.usesSubsets() ? Checks.subsetRules(figures) : List.of());
       joined = new Joined(fabric, proxies);
     } else {
       joined = null;
@@ -129,7 +129,7 @@
     checks = new Checks(rules, new Known());
     trace.addListener(checks);
     trace.addListener(service);
-    stage = new Stage(world, proxies, new Coming());
+    stage = new FaultContext(world, proxies, new Coming());
   }
 
   /** The figures of a plan's deployment. */
@@ -201,7 +201,7 @@
     arrivals();
     plan.faults().forEach(this::enter);
     agenda.at(
-        Math.max(plan.faultsOverMillis() * MILLI, FIRST_CLIENT),
+        Math.max(plan.lastFaultEndMillis() * MILLI, FIRST_CLIENT),
         () -> world.publish(new Event.AllFaultsOver()));
     look();
   }
@@ -247,12 +247,12 @@
         fault.atMillis() * MILLI,
         () -> {
           world.publish(new Event.FaultBegan(fault.toString()));
-          fault.kind().begin().to(stage, fault);
+          fault.kind().begin().apply(stage, fault);
         });
     agenda.at(
         fault.untilMillis() * MILLI,
         () -> {
-          fault.kind().end().to(stage, fault);
+          fault.kind().end().apply(stage, fault);
           world.publish(new Event.FaultEnded(fault.toString()));
         });
   }
@@ -275,9 +275,9 @@
   }
 
   /** Clients that faults bring. */
-  private final class Coming implements Stage.Crowd {
+  private final class Coming implements FaultContext.ClientGenerator {
     @Override
-    public void more(double rate, long millis) {
+    public void addClients(double rate, long millis) {
       RandomStreams.Stream stream = draws.of("burst " + agenda.now());
       double at = agenda.now();
       double until = at + millis * MILLI;
@@ -287,7 +287,7 @@
     }
 
     @Override
-    public void bad(BadClient.Kind kind, double rate, long millis) {
+    public void addBadClients(BadClient.Kind kind, double rate, long millis) {
       RandomStreams.Stream stream = draws.of("bad " + kind + agenda.now());
       double at = agenda.now();
       double until = at + millis * MILLI;
@@ -348,7 +348,7 @@
     @Override
     public long[] datagrams(String proxy) {
       Machine machine = proxies.get(proxy).machine();
-      return new long[] {machine.datagrams(), machine.datagramBytes()};
+      return new long[] {machine.sentDatagrams(), machine.sentDatagramBytes()};
     }
 
     @Override
--- a/src/main/java/brassbank/sim/Shrinker.java
+++ b/src/main/java/brassbank/sim/Shrinker.java
@@ -2,7 +2,7 @@
 
 import brassbank.sim.check.Breach;
 import brassbank.sim.fault.Fault;
-import brassbank.sim.fault.Numbers;
+import brassbank.sim.fault.IndexSet;
 import brassbank.sim.fault.Plan;
 import java.util.ArrayList;
 import java.util.List;
@@ -74,7 +74,7 @@
   private void shorten() {
     int end = (int) (breach.atMicros() / 1_000_000) + 1;
     if (end < best.seconds()) {
-      takes(best.until(end));
+      takes(best.withSeconds(end));
     }
   }
 
@@ -92,7 +92,7 @@
     new Parts<Integer>(clientsOf(best)) {
       @Override
       boolean holds(List<Integer> some) {
-        return takes(best.with(Numbers.of(some)));
+        return takes(best.with(IndexSet.of(some)));
       }
     }.reduce();
   }
--- a/src/main/java/brassbank/sim/SimulationRun.java
+++ b/src/main/java/brassbank/sim/SimulationRun.java
@@ -9,7 +9,7 @@
 import brassbank.sim.check.Breach;
 import brassbank.sim.event.Event;
 import brassbank.sim.event.Trace;
-import brassbank.sim.fault.Kinds;
+import brassbank.sim.fault.FaultKinds;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.proxy.ProxyNode;
 import brassbank.sim.time.Agenda;
@@ -83,7 +83,8 @@
     this.plan = plan;
     Site site = told.apply(stated);
     boolean upgraded =
-        plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
+        plan.faults().stream()
+            .anyMatch(fault -> fault.kind().name().equals(FaultKinds.PROXY_UPGRADE));
     scene =
         new ScenarioRun(
             plan,
@@ -97,7 +98,7 @@
                     machine,
                     wrapping,
                     upgraded,
-                    plan.membership() ? joins.apply(Fleets.joining(plan)) : null),
+                    plan.usesMembership() ? joins.apply(Fleets.joining(plan)) : null),
             stated);
   }
 
@@ -169,7 +170,7 @@
 
   /** What a proxy logs: a failure is a rule's business, all else the trace's. */
   private void logged(brassbank.log.Event event) {
-    String proxy = scene.world().fabric().running().name();
+    String proxy = scene.world().fabric().runningProgram().name();
     if (event.level() == Level.ERROR) {
       scene.world().publish(new Event.ProxyFailed(proxy, text(event)));
     } else if (logs) {
--- a/src/main/java/brassbank/sim/actor/BadClient.java
+++ b/src/main/java/brassbank/sim/actor/BadClient.java
@@ -16,7 +16,7 @@
  * A client that does not keep to the protocol. It sends at full speed and reads whatever is sent to
  * it; it is owed an error or an end in time, and must not be served.
  */
-public final class BadClient implements Program.Connected, Lines.Taker {
+public final class BadClient implements Program.ConnectHandler, Lines.Taker {
   private static final int SOME = 64 * 1024;
 
   /** What it does. */
@@ -86,7 +86,7 @@
   }
 
   @Override
-  public void up(Endpoint endpoint) {
+  public void connected(Endpoint endpoint) {
     settled = false;
     lines = new Lines(endpoint, this);
     String flow = name + "." + rounds;
@@ -171,7 +171,7 @@
       lines.sendBytes(some);
     }
     if (left > 0 && !lines.over()) {
-      program.later(Agenda.MILLI, this::more);
+      program.schedule(Agenda.MILLI, this::more);
     } else if (kind == Kind.HUGE) {
       lines.sendBytes(bytes("\r\n"));
     }
--- a/src/main/java/brassbank/sim/actor/Client.java
+++ b/src/main/java/brassbank/sim/actor/Client.java
@@ -142,7 +142,7 @@
       return;
     }
     long wait = told > 0 && honours ? Math.min(told, LONGEST_RETRY) * MILLI : backoff;
-    program.later(wait, this::attempt);
+    program.schedule(wait, this::attempt);
   }
 
   private void comeAgain() {
@@ -151,15 +151,15 @@
     }
     again = true;
     world.publish(came(true));
-    program.later(stream.micros(RETURN_LEAST, RETURN_MOST), this::come);
+    program.schedule(stream.micros(RETURN_LEAST, RETURN_MOST), this::come);
   }
 
   /** One try, and the connection that comes of it. */
-  private final class Flow implements Program.Connected, Lines.Taker {
+  private final class Flow implements Program.ConnectHandler, Lines.Taker {
     private final InetSocketAddress address;
     private final String id = name + "." + flows++;
     private final long deadlineAt = giveUpAt;
-    private Program.Connecting connecting;
+    private Program.PendingConnect connecting;
     private Lines lines;
     private boolean answered;
     private boolean served;
@@ -177,7 +177,7 @@
 
     void start() {
       connecting = program.connect(address, this);
-      program.later(deadlineAt - world.now(), this::unreachable);
+      program.schedule(deadlineAt - world.now(), this::unreachable);
     }
 
     private void unreachable() {
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public void up(Endpoint endpoint) {
+    public void connected(Endpoint endpoint) {
       if (over) {
         endpoint.close();
         return;
@@ -226,10 +226,10 @@
               + load
               + ",life="
               + lifeLeft / MILLI);
-      endpoint.whenArrived(() -> world.publish(new Event.FlowTaken(id, proxy)));
-      program.later(millis * MILLI + PAST_DEADLINE, this::late);
+      endpoint.onDelivered(() -> world.publish(new Event.FlowTaken(id, proxy)));
+      program.schedule(millis * MILLI + PAST_DEADLINE, this::late);
       if (impatient) {
-        program.later(stream.micros(0, LONGEST_IMPATIENCE), this::leaveUnanswered);
+        program.schedule(stream.micros(0, LONGEST_IMPATIENCE), this::leaveUnanswered);
       }
     }
 
@@ -276,10 +276,10 @@
       world.flows().stands(id, world.loadBalancer().name(address));
       world.publish(new Event.ClientServed(name, id));
       if (leaving != Leaving.STAYS) {
-        program.later(stream.micros(SECOND, 20 * SECOND), this::leave);
+        program.schedule(stream.micros(SECOND, 20 * SECOND), this::leave);
       }
       if (slowReader) {
-        program.later(stream.micros(SECOND, 10 * SECOND), this::readNothing);
+        program.schedule(stream.micros(SECOND, 10 * SECOND), this::readNothing);
       }
       ask();
     }
@@ -306,7 +306,7 @@
       }
       world.publish(new Event.LineSent(id, true, line.toString()));
       lines.send(line.toString());
-      program.later(LINE_EVERY, this::ask);
+      program.schedule(LINE_EVERY, this::ask);
     }
 
     private void readNothing() {
@@ -314,7 +314,7 @@
         long micros = stream.micros(SECOND, 8 * SECOND);
         lines.reading(false);
         world.flows().clientBusy(id, world.now() + micros);
-        program.later(
+        program.schedule(
             micros,
             () -> {
               if (!over) {
@@ -351,7 +351,7 @@
         case FINISHES -> {
           over = true;
           lines.finish();
-          program.later(5 * SECOND, lines::close);
+          program.schedule(5 * SECOND, lines::close);
         }
         case RESETS -> {
           over = true;
--- a/src/main/java/brassbank/sim/actor/Discovery.java
+++ b/src/main/java/brassbank/sim/actor/Discovery.java
@@ -2,8 +2,8 @@
 
 import brassbank.sim.event.Event;
 import brassbank.sim.net.Endpoint;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
 import brassbank.sim.time.RandomStreams;
@@ -129,7 +129,7 @@
 
   /** Comes up at its address; it has lost nothing. */
   public void bringUp() {
-    if (program != null && program.alive()) {
+    if (program != null && program.isAlive()) {
       return;
     }
     program = new Program(machine(), "discovery", 0, Integer.MAX_VALUE);
@@ -162,7 +162,7 @@
     program = null;
     bringUp();
     old.stopListening();
-    old.later(
+    old.schedule(
         LEFT,
         () -> {
           left.forEach(Call::end);
@@ -204,11 +204,13 @@
   public long soundSince(Machine proxy) {
     boolean sound =
         program != null
-            && program.alive()
+            && program.isAlive()
             && behavior == Behavior.SOUND
             && slowdown <= 1
             && !frozen;
-    return sound ? Math.max(soundSince, world.fabric().calmSince(proxy, machine())) : world.now();
+    return sound
+        ? Math.max(soundSince, world.fabric().undisturbedSince(proxy, machine()))
+        : world.now();
   }
 
   // ------------------------------------------------------------- what it knows
@@ -301,7 +303,7 @@
     }
     working = true;
     Call next = queue.remove();
-    next.owner.later(
+    next.owner.schedule(
         (long) (slowdown * stream.micros(CALL_LEAST, CALL_MOST)),
         () -> {
           working = false;
@@ -312,7 +314,7 @@
 
   private final class Acceptor implements Runnable {
     private final Program owner;
-    private Port port;
+    private ListeningSocket port;
 
     Acceptor(Program owner) {
       this.owner = owner;
@@ -351,7 +353,7 @@
       } else if (line.isEmpty()) {
         world.publish(new Event.ListCalled(proxy, request.contains("follow=1")));
         queue.add(this);
-        owner.later(MOST_WAIT, this::waitedTooLong);
+        owner.schedule(MOST_WAIT, this::waitedTooLong);
         work();
       }
     }
@@ -416,7 +418,7 @@
     private void tell(Change change) {
       lines
           .endpoint()
-          .whenArrived(
+          .onDelivered(
               () -> {
                 remember(proxy, change);
                 world.publish(new Event.Told(proxy, change.host(), change.status()));
@@ -424,7 +426,7 @@
     }
 
     private void tellGone(String host) {
-      lines.endpoint().whenArrived(() -> world.publish(new Event.Told(proxy, host, "DELETED")));
+      lines.endpoint().onDelivered(() -> world.publish(new Event.Told(proxy, host, "DELETED")));
     }
 
     private void watch(long since) {
@@ -467,7 +469,7 @@
     void tellSoon() {
       if (watching && !telling && !over) {
         telling = true;
-        owner.later(stream.micros(10 * MILLI, 120 * MILLI), () -> tellNow(false));
+        owner.schedule(stream.micros(10 * MILLI, 120 * MILLI), () -> tellNow(false));
       }
     }
 
@@ -477,7 +479,7 @@
         if (quiet >= EMPTY_LINE) {
           chunk(behavior == Behavior.GARBAGE ? "%&/" : "");
         }
-        owner.later(Math.max(MILLI, EMPTY_LINE - (world.now() - lineAt)), this::keepAlive);
+        owner.schedule(Math.max(MILLI, EMPTY_LINE - (world.now() - lineAt)), this::keepAlive);
       }
     }
 
--- a/src/main/java/brassbank/sim/actor/FlowEndpoints.java
+++ b/src/main/java/brassbank/sim/actor/FlowEndpoints.java
@@ -71,7 +71,7 @@
     if (legs == null || legs.client == null) {
       return 0;
     }
-    return Math.max(legs.clientBusyUntil, legs.client.calmSince());
+    return Math.max(legs.clientBusyUntil, legs.client.undisturbedSince());
   }
 
   /** Since when neither the network nor the stream host has held up its connection. */
@@ -79,6 +79,6 @@
     Legs legs = flows.get(flow);
     return legs == null || legs.host == null
         ? 0
-        : Math.max(legs.at.pausedUntil(), legs.host.calmSince());
+        : Math.max(legs.at.pausedUntil(), legs.host.undisturbedSince());
   }
 }
--- a/src/main/java/brassbank/sim/actor/StreamHost.java
+++ b/src/main/java/brassbank/sim/actor/StreamHost.java
@@ -2,8 +2,8 @@
 
 import brassbank.sim.event.Event;
 import brassbank.sim.net.Endpoint;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
 import brassbank.sim.time.RandomStreams;
@@ -252,7 +252,7 @@
   }
 
   private final class Acceptor implements Runnable {
-    private Port port;
+    private ListeningSocket port;
 
     @Override
     public void run() {
@@ -287,7 +287,7 @@
     for (Connection connection : List.copyOf(connections)) {
       if (connection.flow != null && !connection.over) {
         connection.tell(
-            new Event.HostEnded(connection.flow, name, connection.up, true, machine.dark()));
+            new Event.HostEnded(connection.flow, name, connection.up, true, machine.hasNoPower()));
       }
       connection.over = true;
     }
@@ -298,7 +298,7 @@
 
   /** Its machine loses its power: nothing is told to anybody. */
   public void losePower() {
-    machine.darken();
+    machine.losePower();
     kill();
   }
 
@@ -375,7 +375,7 @@
         new Report(visible, utilization() * noise, backlog, served / seconds, errors / seconds));
     served = 0;
     errors = 0;
-    program.later(reportPeriod, this::sample);
+    program.schedule(reportPeriod, this::sample);
   }
 
   private String stats() {
@@ -452,7 +452,7 @@
       kill();
       return;
     }
-    program.later(LOOK, this::look);
+    program.schedule(LOOK, this::look);
   }
 
   /** What it is asked for over what it can bear, in the time that counts for its fall. */
@@ -500,12 +500,12 @@
     Connection(Endpoint endpoint) {
       proxy = endpoint.peerMachine().name();
       lines = new Lines(endpoint, this);
-      endpoint.whenPeerEnds(this::proxyEnded);
+      endpoint.onPeerOutputEnd(this::proxyEnded);
       waitForProbe();
     }
 
     private void waitForProbe() {
-      idle = program.later(IDLE, () -> end(false));
+      idle = program.schedule(IDLE, () -> end(false));
     }
 
     private void proxyEnded() {
@@ -548,9 +548,9 @@
     }
 
     private void probe(String line) {
-      long calm = Math.max(pausedUntil, lines.endpoint().calmSince());
+      long calm = Math.max(pausedUntil, lines.endpoint().undisturbedSince());
       world.publish(new Event.ProbeArrived(name, proxy, line, calm));
-      program.later(
+      program.schedule(
           work(stream.micros(PROBE_LEAST, PROBE_MOST)),
           () -> {
             if (!over) {
@@ -584,8 +584,8 @@
               name,
               proxy,
               lines.endpoint().peerFirstWriteAt(),
-              lines.endpoint().peerHasEnded()));
-      left = lines.endpoint().peerHasEnded();
+              lines.endpoint().hasPeerEndedOutput()));
+      left = lines.endpoint().hasPeerEndedOutput();
       if (!left) {
         world.flows().host(flow, lines.endpoint(), StreamHost.this);
       }
@@ -601,7 +601,7 @@
         long deadline = world.now() + Long.parseLong(wait) * MILLI;
         long micros =
             stream.micros(HANDSHAKE_LEAST, HANDSHAKE_MOST) + stream.micros(SETUP_LEAST, SETUP_MOST);
-        program.later(work(micros), () -> serve(deadline, life));
+        program.schedule(work(micros), () -> serve(deadline, life));
       }
     }
 
@@ -673,7 +673,7 @@
       for (int i = 0; i < answer.length(); i++) {
         byte[] one = {(byte) answer.charAt(i)};
         boolean last = i == answer.length() - 1;
-        program.later(
+        program.schedule(
             (i + 1) * DRIP,
             () -> {
               if (!over) {
@@ -688,10 +688,10 @@
     }
 
     private void stand(long life) {
-      program.later(life, this::bye);
-      program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
+      program.schedule(life, this::bye);
+      program.schedule(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
       if (stream.chance(PUSHES)) {
-        program.later(stream.micros(SECOND, 20 * SECOND), this::push);
+        program.schedule(stream.micros(SECOND, 20 * SECOND), this::push);
       }
     }
 
@@ -714,7 +714,7 @@
       if (!over) {
         load = Math.round(load * stream.logNormal(0.4) * 1000) / 1000.0;
         say("LOAD " + load);
-        program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
+        program.schedule(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
       }
     }
 
@@ -723,7 +723,7 @@
       double asked = utilization();
       long delay = (long) (ECHO * slowdown * Math.max(1, asked > 1 ? 20 * asked : 1));
       echoFreeAt = Math.max(echoFreeAt, world.now() + delay);
-      program.later(
+      program.schedule(
           echoFreeAt - world.now(),
           () -> {
             if (!over) {
--- a/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
+++ b/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
@@ -137,7 +137,7 @@
     }
   }
 
-  private final class Ping implements Program.Connected, Lines.Taker {
+  private final class Ping implements Program.ConnectHandler, Lines.Taker {
     private final Entry entry;
     private final int life;
     private final Program program;
@@ -151,8 +151,8 @@
     }
 
     void start() {
-      Program.Connecting connecting = program.connect(entry.address, this);
-      program.later(
+      Program.PendingConnect connecting = program.connect(entry.address, this);
+      program.schedule(
           PATIENCE,
           () -> {
             connecting.cancel();
@@ -161,7 +161,7 @@
     }
 
     @Override
-    public void up(Endpoint endpoint) {
+    public void connected(Endpoint endpoint) {
       lines = new Lines(endpoint, this);
       lines.send("PING");
     }
@@ -192,7 +192,7 @@
         if (lines != null) {
           lines.close();
         }
-        program.later(ASK_AGAIN, () -> ask(entry, life));
+        program.schedule(ASK_AGAIN, () -> ask(entry, life));
       }
     }
   }
--- a/src/main/java/brassbank/sim/actor/World.java
+++ b/src/main/java/brassbank/sim/actor/World.java
@@ -121,7 +121,7 @@
       InetAddress address =
           InetAddress.getByAddress(
               new byte[] {10, (byte) group, (byte) (number >> 8), (byte) number});
-      return fabric.machine(name, zone, address);
+      return fabric.addMachine(name, zone, address);
     } catch (UnknownHostException e) {
       throw new IllegalStateException("four bytes are an address", e);
     }
--- a/src/main/java/brassbank/sim/cli/ExperimentCommand.java
+++ b/src/main/java/brassbank/sim/cli/ExperimentCommand.java
@@ -4,9 +4,9 @@
 import brassbank.cli.UsageException;
 import brassbank.sim.experiment.Experiment;
 import brassbank.sim.experiment.Figure;
-import brassbank.sim.experiment.Paired;
+import brassbank.sim.experiment.PairedDifference;
 import brassbank.sim.experiment.Variant;
-import brassbank.sim.fault.Night;
+import brassbank.sim.fault.FleetScenario;
 import brassbank.sim.fault.Plan;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
@@ -35,10 +35,10 @@
       "  brassbank experiment JOIN --seeds 1-10 --proxies 14,56 --rate 60 --csv"
     })
 public final class ExperimentCommand implements Callable<Integer> {
-  private static final int MOST_SEEDS = 100_000;
+  private static final int MAX_SEEDS = 100_000;
 
   @Parameters(paramLabel = "NIGHT", description = "${COMPLETION-CANDIDATES}.")
-  private Night night;
+  private FleetScenario night;
 
   @Option(
       names = "--seeds",
@@ -59,28 +59,28 @@
       names = "--proxies",
       paramLabel = "N",
       split = ",",
-      defaultValue = "" + Night.PROXIES,
+      defaultValue = "" + FleetScenario.PROXIES,
       description = "How many proxies the same clients are dealt to (default: ${DEFAULT-VALUE}).")
   private List<Integer> proxies;
 
   @Option(
       names = "--hosts",
       paramLabel = "N",
-      defaultValue = "" + Night.HOSTS,
+      defaultValue = "" + FleetScenario.HOSTS,
       description = "Stream hosts (default: ${DEFAULT-VALUE}).")
   private int hosts;
 
   @Option(
       names = "--rate",
       paramLabel = "N",
-      defaultValue = "" + Night.RATE,
+      defaultValue = "" + FleetScenario.CLIENTS_PER_SECOND,
       description = "New clients a second (default: ${DEFAULT-VALUE}).")
   private double rate;
 
   @Option(
       names = "--seconds",
       paramLabel = "N",
-      defaultValue = "" + Plan.SECONDS,
+      defaultValue = "" + Plan.DEFAULT_SECONDS,
       description = "Virtual seconds of each play (default: ${DEFAULT-VALUE}).")
   private int seconds;
 
@@ -100,16 +100,16 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    Seeds.Range range;
+    SeedRunner.Range range;
     try {
-      range = Seeds.range(seeds);
+      range = SeedRunner.range(seeds);
     } catch (IllegalArgumentException e) {
       throw new UsageException("--seeds: " + e.getMessage());
     }
-    require(range.count() <= MOST_SEEDS, "--seeds: at most " + MOST_SEEDS);
+    require(range.count() <= MAX_SEEDS, "--seeds: at most " + MAX_SEEDS);
     require(hosts >= 1 && hosts <= 250, "--hosts must be from 1 to 250");
     require(rate > 0 && rate <= 1_000, "--rate must be above 0 and at most 1000");
-    require(seconds >= Plan.LEAST_SECONDS, "--seconds must be " + Plan.LEAST_SECONDS + " or more");
+    require(seconds >= Plan.MIN_SECONDS, "--seconds must be " + Plan.MIN_SECONDS + " or more");
     require(jobs >= 1 && jobs <= 256, "--jobs must be from 1 to 256");
     require(!json || !csv, "--json and --csv are mutually exclusive");
     List<Variant> variants = new ArrayList<>();
@@ -130,11 +130,11 @@
   private Plan plan(Variant variant, long seed) {
     return night
         .plan(seed, seconds, variant.proxies(), variant.hosts(), variant.rate())
-        .with(variant.view());
+        .with(variant.fleetMode());
   }
 
-  private static Plan.View view(String what) {
-    for (Plan.View view : Plan.View.values()) {
+  private static Plan.FleetMode view(String what) {
+    for (Plan.FleetMode view : Plan.FleetMode.values()) {
       if (view.key().equals(what)) {
         return view;
       }
@@ -156,7 +156,7 @@
     return plays.stream().mapToDouble(play -> play.get(figure)).average().orElse(Double.NaN);
   }
 
-  private String table(Seeds.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
+  private String table(SeedRunner.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
     StringBuilder text = new StringBuilder();
     text.append(
         String.format(
@@ -180,15 +180,16 @@
       for (Map.Entry<Variant, List<Map<Figure, Double>>> one : results.entrySet()) {
         text.append(String.format(Locale.ROOT, "%18.3f", mean(one.getValue(), figure)));
         if (one.getKey() != base) {
-          Paired paired =
-              Paired.of(values(results.get(base), figure), values(one.getValue(), figure));
+          PairedDifference paired =
+              PairedDifference.of(
+                  values(results.get(base), figure), values(one.getValue(), figure));
           text.append(
               String.format(
                   Locale.ROOT,
                   "%11.3f +-%7.3f%s",
                   paired.mean(),
-                  paired.half(),
-                  paired.tells() ? "*" : " "));
+                  paired.halfWidth(),
+                  paired.isSignificant() ? "*" : " "));
         }
       }
       text.append(String.format("%n"));
@@ -196,7 +197,8 @@
     return text.toString();
   }
 
-  private static String csv(Seeds.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
+  private static String csv(
+      SeedRunner.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
     StringBuilder text = new StringBuilder("variant,seed");
     for (Figure figure : Figure.values()) {
       text.append(',').append(figure.key());
@@ -215,7 +217,7 @@
     return text.toString();
   }
 
-  private String json(Seeds.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
+  private String json(SeedRunner.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
     JsonObject all = new JsonObject();
     all.addProperty("night", night.name());
     all.addProperty("first", range.first());
@@ -231,9 +233,10 @@
             told.addProperty("about", figure.about());
             told.addProperty("mean", mean(plays, figure));
             if (variant != base && plays.size() > 1) {
-              Paired paired = Paired.of(values(results.get(base), figure), values(plays, figure));
+              PairedDifference paired =
+                  PairedDifference.of(values(results.get(base), figure), values(plays, figure));
               told.addProperty("difference", paired.mean());
-              told.addProperty("half_of_95_pct", paired.half());
+              told.addProperty("half_of_95_pct", paired.halfWidth());
             }
             JsonArray each = new JsonArray();
             plays.forEach(play -> each.add(play.get(figure)));
--- a/src/main/java/brassbank/sim/cli/Seeds.java
+++ b/src/main/java/brassbank/sim/cli/SeedRunner.java
@@ -16,7 +16,7 @@
 import java.util.function.UnaryOperator;
 
 /** Many seeds, several at once, each on one thread from its beginning to its end. */
-final class Seeds {
+final class SeedRunner {
   private static final long PROGRESS_NANOS = 200_000_000;
 
   /** Seeds from {@code first} to {@code last}, both among them. */
@@ -98,11 +98,11 @@
   private final PrintStream notes;
   private final SystemClock clock = new SystemClock();
   private SimulationRun.Result[] outcomes;
-  private long toldAt;
+  private long progressAtNanos;
   private int done;
   private int broken;
 
-  Seeds(LongFunction<Plan> plans, int jobs, PrintStream notes) {
+  SeedRunner(LongFunction<Plan> plans, int jobs, PrintStream notes) {
     this.plans = plans;
     this.jobs = jobs;
     this.notes = notes;
@@ -140,7 +140,7 @@
       Thread.currentThread().interrupt();
       throw new IllegalStateException("interrupted", e);
     }
-    told(range, true);
+    printProgress(range, true);
     return summary(range, Math.max(1, clock.nanos() - began) / 1e9);
   }
 
@@ -152,17 +152,17 @@
         outcomes[(int) (seed - range.first())] = outcome;
         done++;
         broken += outcome.isSound() ? 0 : 1;
-        told(range, false);
+        printProgress(range, false);
       }
     }
   }
 
   /** On a terminal, how far it is, a few times a second. */
-  private void told(Range range, boolean last) {
-    if (System.console() == null || (!last && clock.nanos() - toldAt < PROGRESS_NANOS)) {
+  private void printProgress(Range range, boolean last) {
+    if (System.console() == null || (!last && clock.nanos() - progressAtNanos < PROGRESS_NANOS)) {
       return;
     }
-    toldAt = clock.nanos();
+    progressAtNanos = clock.nanos();
     notes.printf("\r%d of %d seeds, %d broken ", done, range.count(), broken);
     if (last) {
       notes.println();
--- a/src/main/java/brassbank/sim/cli/SimulateCommand.java
+++ b/src/main/java/brassbank/sim/cli/SimulateCommand.java
@@ -6,7 +6,7 @@
 import brassbank.sim.SimulationRun;
 import brassbank.sim.check.Breach;
 import brassbank.sim.fault.FaultKind;
-import brassbank.sim.fault.Kinds;
+import brassbank.sim.fault.FaultKinds;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.fault.Script;
 import brassbank.sim.fault.ScriptException;
@@ -36,11 +36,11 @@
       "  brassbank simulate --script seed-77.toml --trace"
     })
 public final class SimulateCommand implements Callable<Integer> {
-  private static final int MOST_JOBS = 256;
-  private static final int MOST_PROXIES = 250;
+  private static final int MAX_JOBS = 256;
+  private static final int MAX_PROXIES = 250;
 
   /** What is to be run: exactly one of these. */
-  private static final class What {
+  private static final class RunTarget {
     @Option(
         names = "--seeds",
         paramLabel = "FIRST-LAST",
@@ -64,7 +64,7 @@
   }
 
   @ArgGroup(multiplicity = "1")
-  private What what;
+  private RunTarget target;
 
   @Option(
       names = "--jobs",
@@ -91,26 +91,28 @@
 
   @Override
   public Integer call() throws IOException {
-    site.check(MOST_PROXIES);
-    require(jobs >= 1 && jobs <= MOST_JOBS, "--jobs must be from 1 to " + MOST_JOBS);
-    require(!trace || what.seed != null || what.script != null, "--trace needs --seed or --script");
-    require(out == null || what.shrink != null, "--out needs --shrink");
+    site.validate(MAX_PROXIES);
+    require(jobs >= 1 && jobs <= MAX_JOBS, "--jobs must be from 1 to " + MAX_JOBS);
     require(
-        !site.night() || what.script == null, "--night needs seeds: a script has its own faults");
+        !trace || target.seed != null || target.script != null, "--trace needs --seed or --script");
+    require(out == null || target.shrink != null, "--out needs --shrink");
     require(
-        !site.together() || what.script == null,
+        !site.scenario() || target.script == null,
+        "--night needs seeds: a script has its own faults");
+    require(
+        !site.usesFleetMode() || target.script == null,
         "--membership and --shares need seeds: a script says it itself");
-    require(!json || what.seeds != null, "--json needs --seeds");
-    if (what.kinds) {
+    require(!json || target.seeds != null, "--json needs --seeds");
+    if (target.kinds) {
       return kinds();
     }
-    if (what.script != null) {
+    if (target.script != null) {
       return one(script());
     }
-    if (what.seed != null) {
-      return one(site.plan(what.seed));
+    if (target.seed != null) {
+      return one(site.plan(target.seed));
     }
-    return what.shrink != null ? shrink() : seeds();
+    return target.shrink != null ? shrink() : seeds();
   }
 
   private static void require(boolean holds, String otherwise) {
@@ -121,16 +123,16 @@
 
   private Plan script() throws IOException {
     try {
-      return Script.read(what.script);
+      return Script.read(target.script);
     } catch (ScriptException e) {
       throw new UsageException(e.getMessage());
     }
   }
 
   private int kinds() {
-    for (FaultKind kind : Kinds.ALL) {
+    for (FaultKind kind : FaultKinds.ALL) {
       output.printf(
-          "%-24s %-6s %s%n", kind, kind.on().name().toLowerCase(Locale.ROOT), kind.about());
+          "%-24s %-6s %s%n", kind, kind.targetType().name().toLowerCase(Locale.ROOT), kind.about());
     }
     return ExitStatus.OK;
   }
@@ -157,19 +159,19 @@
   }
 
   private int seeds() {
-    Seeds.Range range;
+    SeedRunner.Range range;
     try {
-      range = Seeds.range(what.seeds);
+      range = SeedRunner.range(target.seeds);
     } catch (IllegalArgumentException e) {
       throw new UsageException("--seeds: " + e.getMessage());
     }
-    Seeds.Summary summary = new Seeds(site::plan, jobs, notes).run(range);
+    SeedRunner.Summary summary = new SeedRunner(site::plan, jobs, notes).run(range);
     output.println(json ? summary.json() : summary.text());
     return summary.failed().isEmpty() ? ExitStatus.OK : ExitStatus.FAILED;
   }
 
   private int shrink() throws IOException {
-    long seed = what.shrink;
+    long seed = target.shrink;
     Plan plan = site.plan(seed);
     Shrinker.Shrunk shrunk =
         Shrinker.shrink(
--- a/src/main/java/brassbank/sim/cli/SiteOptions.java
+++ b/src/main/java/brassbank/sim/cli/SiteOptions.java
@@ -1,37 +1,37 @@
 package brassbank.sim.cli;
 
 import brassbank.cli.UsageException;
-import brassbank.sim.fault.Night;
+import brassbank.sim.fault.FleetScenario;
 import brassbank.sim.fault.Plan;
 import picocli.CommandLine.Option;
 
 /** The site that a seed is played on; the same options in both worlds. */
 public final class SiteOptions {
-  private static final int MOST_MACHINES = 250;
+  private static final int MAX_MACHINES = 250;
 
   @Option(
       names = "--seconds",
       paramLabel = "N",
-      defaultValue = "" + Plan.SECONDS,
+      defaultValue = "" + Plan.DEFAULT_SECONDS,
       description = "Seconds of each run (default: ${DEFAULT-VALUE}).")
   private int seconds;
 
   @Option(
       names = "--proxies",
       paramLabel = "N",
-      description = "Proxies (default: " + Plan.PROXIES + ").")
+      description = "Proxies (default: " + Plan.DEFAULT_PROXIES + ").")
   private Integer proxies;
 
   @Option(
       names = "--hosts",
       paramLabel = "N",
-      description = "Stream hosts (default: " + Plan.HOSTS + ").")
+      description = "Stream hosts (default: " + Plan.DEFAULT_HOSTS + ").")
   private Integer hosts;
 
   @Option(
       names = "--rate",
       paramLabel = "N",
-      description = "New clients a second (default: " + Plan.RATE + ").")
+      description = "New clients a second (default: " + Plan.DEFAULT_CLIENTS_PER_SECOND + ").")
   private Double rate;
 
   @Option(
@@ -40,7 +40,7 @@
       description =
           "In place of drawn faults a night of a large fleet: ${COMPLETION-CANDIDATES}"
               + " (14 proxies, 60 hosts, 28 clients a second if they are not given).")
-  private Night night;
+  private FleetScenario scenario;
 
   @Option(
       names = "--membership",
@@ -56,54 +56,58 @@
   private boolean subsets;
 
   /** Whether a night is asked for. */
-  public boolean night() {
-    return night != null;
+  public boolean scenario() {
+    return scenario != null;
   }
 
   /** Whether it is said how many machines and clients there are. */
-  public boolean sized() {
+  public boolean hasSize() {
     return proxies != null || hosts != null || rate != null;
   }
 
   /** Whether the proxies are to do anything together. */
-  public boolean together() {
-    return view() != Plan.View.NONE;
+  public boolean usesFleetMode() {
+    return fleetMode() != Plan.FleetMode.NONE;
   }
 
   /** Tells what cannot be played, with at most so many proxies. */
-  public void check(int mostProxies) {
-    require(seconds >= Plan.LEAST_SECONDS, "--seconds must be " + Plan.LEAST_SECONDS + " or more");
+  public void validate(int mostProxies) {
+    require(seconds >= Plan.MIN_SECONDS, "--seconds must be " + Plan.MIN_SECONDS + " or more");
     require(
         proxies() >= 1 && proxies() <= mostProxies, "--proxies must be from 1 to " + mostProxies);
-    require(hosts() >= 1 && hosts() <= MOST_MACHINES, "--hosts must be from 1 to " + MOST_MACHINES);
+    require(hosts() >= 1 && hosts() <= MAX_MACHINES, "--hosts must be from 1 to " + MAX_MACHINES);
     require(rate() > 0 && rate() <= 1_000, "--rate must be above 0 and at most 1000");
   }
 
   /** The night of a seed, or the faults that it draws. */
   public Plan plan(long seed) {
     Plan plan =
-        night == null
+        scenario == null
             ? Plan.drawn(seed, seconds, proxies(), hosts(), rate())
-            : night.plan(seed, seconds, proxies(), hosts(), rate());
-    return plan.with(view());
+            : scenario.plan(seed, seconds, proxies(), hosts(), rate());
+    return plan.with(fleetMode());
   }
 
-  private Plan.View view() {
+  private Plan.FleetMode fleetMode() {
     return subsets
-        ? Plan.View.SUBSETS
-        : shares ? Plan.View.SHARES : membership ? Plan.View.MEMBERS : Plan.View.NONE;
+        ? Plan.FleetMode.SUBSETS
+        : shares
+            ? Plan.FleetMode.SHARES
+            : membership ? Plan.FleetMode.MEMBERS : Plan.FleetMode.NONE;
   }
 
   private int proxies() {
-    return proxies != null ? proxies : night() ? Night.PROXIES : Plan.PROXIES;
+    return proxies != null ? proxies : scenario() ? FleetScenario.PROXIES : Plan.DEFAULT_PROXIES;
   }
 
   private int hosts() {
-    return hosts != null ? hosts : night() ? Night.HOSTS : Plan.HOSTS;
+    return hosts != null ? hosts : scenario() ? FleetScenario.HOSTS : Plan.DEFAULT_HOSTS;
   }
 
   private double rate() {
-    return rate != null ? rate : night() ? Night.RATE : Plan.RATE;
+    return rate != null
+        ? rate
+        : scenario() ? FleetScenario.CLIENTS_PER_SECOND : Plan.DEFAULT_CLIENTS_PER_SECOND;
   }
 
   private static void require(boolean holds, String otherwise) {
--- a/src/main/java/brassbank/sim/experiment/Experiment.java
+++ b/src/main/java/brassbank/sim/experiment/Experiment.java
@@ -58,7 +58,7 @@
 
   private static Map<Figure, Double> play(Plan plan) {
     SimulationRun run = new SimulationRun(plan, UnaryOperator.identity());
-    Counted counted = new Counted(run.capacities(), run.zones());
+    FigureCounter counted = new FigureCounter(run.capacities(), run.zones());
     run.trace().addListener(counted);
     SimulationRun.Result outcome = run.execute();
     return counted.figures(outcome.endedAt(), outcome.isSound());
--- a/src/main/java/brassbank/sim/experiment/Counted.java
+++ b/src/main/java/brassbank/sim/experiment/FigureCounter.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 
 /** Counts a play as hosts and clients see it. Nothing that a proxy says of itself goes in. */
-final class Counted implements Trace.Listener {
+final class FigureCounter implements Trace.Listener {
   private static final double SECOND = 1_000_000;
 
   private record Session(String host, String model) {}
@@ -27,13 +27,13 @@
   private final Map<String, String> proxyOf = new HashMap<>();
   private final Map<String, Session> sessions = new HashMap<>();
   private final Map<String, Double> sessionSeconds = new HashMap<>();
-  private final Map<String, Integer> standing = new HashMap<>();
+  private final Map<String, Integer> openSessions = new HashMap<>();
   private double pairSeconds;
   private double modelSeconds;
-  private long lookedAt;
+  private long integratedUntilMicros;
   private int refusals;
-  private int begun;
-  private int crossed;
+  private int sessionsStarted;
+  private int crossZoneSessions;
   private int setups;
   private int listCalls;
 
@@ -41,7 +41,7 @@
    * @param capacities of the hosts, by name, in sessions of mean load
    * @param zones of hosts and proxies, by name
    */
-  Counted(Map<String, Double> capacities, Map<String, String> zones) {
+  FigureCounter(Map<String, Double> capacities, Map<String, String> zones) {
     this.capacities = capacities;
     this.zones = zones;
   }
@@ -66,11 +66,11 @@
       setups++;
       proxyOf.put(arrived.flow(), arrived.proxy());
     } else if (event instanceof Event.AttemptAnswered answer && answer.line().startsWith("UP ")) {
-      began(now, answer.flow(), answer.host());
+      onSessionStart(now, answer.flow(), answer.host());
     } else if (event instanceof Event.ProxyEnded ended) {
-      over(now, ended.flow(), ended.host());
+      onSessionEnd(now, ended.flow(), ended.host());
     } else if (event instanceof Event.HostEnded ended) {
-      over(now, ended.flow(), ended.host());
+      onSessionEnd(now, ended.flow(), ended.host());
     } else if (event instanceof Event.FlowAnswered answer && answer.line().startsWith("BUSY")) {
       refusals++;
     } else if (event instanceof Event.ListCalled) {
@@ -91,44 +91,44 @@
     return null;
   }
 
-  private void began(long now, String flow, String host) {
-    pass(now);
-    begun++;
+  private void onSessionStart(long now, String flow, String host) {
+    integrate(now);
+    sessionsStarted++;
     String proxy = proxyOf.get(flow);
-    crossed += zones.get(host).equals(zones.get(proxy)) ? 0 : 1;
+    crossZoneSessions += zones.get(host).equals(zones.get(proxy)) ? 0 : 1;
     Event.ClientCame who = clients.get(flow.substring(0, flow.indexOf('.')));
     if (who != null) {
       sessions.put(flow, new Session(host, who.model()));
-      standing.merge(host, 1, Integer::sum);
+      openSessions.merge(host, 1, Integer::sum);
     }
   }
 
-  private void over(long now, String flow, String host) {
+  private void onSessionEnd(long now, String flow, String host) {
     Session session = sessions.get(flow);
     if (session != null && session.host().equals(host)) {
-      pass(now);
+      integrate(now);
       sessions.remove(flow);
-      standing.merge(host, -1, Integer::sum);
+      openSessions.merge(host, -1, Integer::sum);
     }
   }
 
   /** What stands now has stood since the last look. */
-  private void pass(long now) {
-    double seconds = (now - lookedAt) / SECOND;
+  private void integrate(long now) {
+    double seconds = (now - integratedUntilMicros) / SECOND;
     if (seconds < 0.05) {
       return;
     }
-    lookedAt = now;
+    integratedUntilMicros = now;
     Set<Session> pairs = new HashSet<>(sessions.values());
     Set<String> models = new HashSet<>();
     pairs.forEach(pair -> models.add(pair.model()));
     pairSeconds += seconds * pairs.size();
     modelSeconds += seconds * models.size();
-    standing.forEach((host, count) -> sessionSeconds.merge(host, seconds * count, Double::sum));
+    openSessions.forEach((host, count) -> sessionSeconds.merge(host, seconds * count, Double::sum));
   }
 
   Map<Figure, Double> figures(long now, boolean sound) {
-    pass(now);
+    integrate(now);
     all.end(now);
     double seconds = now / SECOND;
     int hosts = capacities.size();
@@ -138,15 +138,16 @@
     figures.put(Figure.WORST_PRACTICE, worst(now, byPractice));
     figures.put(Figure.GAVE_UP, (double) all.unservedClients());
     figures.put(Figure.REFUSALS, (double) refusals);
-    figures.put(Figure.CROSSINGS, begun == 0 ? 0 : 100.0 * crossed / begun);
+    figures.put(
+        Figure.CROSSINGS, sessionsStarted == 0 ? 0 : 100.0 * crossZoneSessions / sessionsStarted);
     figures.put(Figure.SETUPS, (double) setups);
     figures.put(Figure.PROBES, sum(probes) / hosts / seconds);
-    figures.put(Figure.PROBES_TOP, top(probes));
+    figures.put(Figure.PROBES_TOP, maxOverMean(probes));
     figures.put(Figure.CONNECTS, sum(connects) / hosts / seconds);
-    figures.put(Figure.CONNECTS_TOP, top(connects));
+    figures.put(Figure.CONNECTS_TOP, maxOverMean(connects));
     Map<String, Double> filled = new HashMap<>();
     sessionSeconds.forEach((host, held) -> filled.put(host, held / capacities.get(host)));
-    figures.put(Figure.SESSIONS_TOP, top(filled));
+    figures.put(Figure.SESSIONS_TOP, maxOverMean(filled));
     figures.put(Figure.MODEL_HOSTS, modelSeconds == 0 ? 0 : pairSeconds / modelSeconds);
     figures.put(Figure.LIST_CALLS, (double) listCalls);
     figures.put(Figure.BROKEN, sound ? 0.0 : 1.0);
@@ -162,7 +163,7 @@
     return counts.values().stream().mapToDouble(Number::doubleValue).sum();
   }
 
-  private double top(Map<String, ? extends Number> counts) {
+  private double maxOverMean(Map<String, ? extends Number> counts) {
     double mean = sum(counts) / capacities.size();
     double most = counts.values().stream().mapToDouble(Number::doubleValue).max().orElse(0);
     return mean == 0 ? 1 : most / mean;
--- a/src/main/java/brassbank/sim/experiment/Paired.java
+++ b/src/main/java/brassbank/sim/experiment/PairedDifference.java
@@ -8,13 +8,13 @@
  * over the pairs.
  *
  * @param mean of the second less the first
- * @param half the interval's half width; infinite for a single pair
+ * @param halfWidth the interval's half width; infinite for a single pair
  */
-public record Paired(double mean, double half) {
+public record PairedDifference(double mean, double halfWidth) {
   private static final double BOTH_TAILS = 0.975;
 
   /** Of as many values, in the same order of seeds. */
-  public static Paired of(double[] first, double[] second) {
+  public static PairedDifference of(double[] first, double[] second) {
     if (first.length != second.length || first.length == 0) {
       throw new IllegalArgumentException(first.length + " values against " + second.length);
     }
@@ -24,15 +24,15 @@
     }
     long pairs = differences.getN();
     if (pairs == 1) {
-      return new Paired(differences.getMean(), Double.POSITIVE_INFINITY);
+      return new PairedDifference(differences.getMean(), Double.POSITIVE_INFINITY);
     }
     double t = new TDistribution(null, pairs - 1.0).inverseCumulativeProbability(BOTH_TAILS);
-    return new Paired(
+    return new PairedDifference(
         differences.getMean(), t * differences.getStandardDeviation() / Math.sqrt(pairs));
   }
 
   /** Whether the interval leaves out no difference at all. */
-  public boolean tells() {
-    return Math.abs(mean) > half;
+  public boolean isSignificant() {
+    return Math.abs(mean) > halfWidth;
   }
 }
--- a/src/main/java/brassbank/sim/experiment/Variant.java
+++ b/src/main/java/brassbank/sim/experiment/Variant.java
@@ -5,11 +5,11 @@
 /**
  * One way in which the seeds are played.
  *
- * @param view what the proxies do together
+ * @param fleetMode what the proxies do together
  */
-public record Variant(Plan.View view, int proxies, int hosts, double rate) {
+public record Variant(Plan.FleetMode fleetMode, int proxies, int hosts, double rate) {
   /** Its name in tables and files. */
   public String text() {
-    return view.key() + " " + proxies + "x" + hosts;
+    return fleetMode.key() + " " + proxies + "x" + hosts;
   }
 }
--- a/src/main/java/brassbank/sim/fault/Stage.java
+++ b/src/main/java/brassbank/sim/fault/FaultContext.java
@@ -12,33 +12,33 @@
 import java.util.Map;
 
 /** What faults may act upon: the world, the proxies, and what a fault has left to take back. */
-public final class Stage {
+public final class FaultContext {
   /** Brings clients: the run does, since it knows their numbers. */
-  public interface Crowd {
+  public interface ClientGenerator {
     /** Extra usual clients for a while, so many a second. */
-    void more(double rate, long millis);
+    void addClients(double rate, long millis);
 
     /** Bad clients for a while, so many a second. */
-    void bad(BadClient.Kind kind, double rate, long millis);
+    void addBadClients(BadClient.Kind kind, double rate, long millis);
   }
 
   private final World world;
   private final Map<String, ProxyInstance> proxies;
-  private final Crowd crowd;
+  private final ClientGenerator clientGenerator;
   private final Map<Fault, Deque<Disturbance>> disturbances = new HashMap<>();
 
-  public Stage(World world, Map<String, ProxyInstance> proxies, Crowd crowd) {
+  public FaultContext(World world, Map<String, ProxyInstance> proxies, ClientGenerator crowd) {
     this.world = world;
     this.proxies = proxies;
-    this.crowd = crowd;
+    this.clientGenerator = crowd;
   }
 
   World world() {
     return world;
   }
 
-  Crowd crowd() {
-    return crowd;
+  ClientGenerator clientGenerator() {
+    return clientGenerator;
   }
 
   StreamHost host(Fault fault) {
@@ -57,12 +57,12 @@
     return proxies.values();
   }
 
-  void begin(Fault fault, Disturbance disturbance) {
+  void beginDisturbance(Fault fault, Disturbance disturbance) {
     disturbances.computeIfAbsent(fault, f -> new ArrayDeque<>()).add(disturbance);
-    world.fabric().begin(disturbance);
+    world.fabric().addDisturbance(disturbance);
   }
 
-  void end(Fault fault) {
-    world.fabric().end(disturbances.get(fault).remove());
+  void endDisturbance(Fault fault) {
+    world.fabric().removeDisturbance(disturbances.get(fault).remove());
   }
 }
--- a/src/main/java/brassbank/sim/fault/Kinds.java
+++ b/src/main/java/brassbank/sim/fault/FaultKinds.java
@@ -13,24 +13,24 @@
 import java.util.function.BiPredicate;
 
 /** Every kind of fault that there is, by what it is aimed at. */
-public final class Kinds {
+public final class FaultKinds {
   private static final long MILLI = 1_000;
 
   /** How late discovery learns of a host's process: that it has ended, gone silent, begun. */
-  private static final long[] NOTICE = {1_800 * MILLI, 4_200 * MILLI};
+  private static final long[] NOTICE_MICROS = {1_800 * MILLI, 4_200 * MILLI};
 
-  private static final long[] SILENT_NOTICE = {4_100 * MILLI, 13_000 * MILLI};
-  private static final long[] ADD = {1_200 * MILLI, 2_400 * MILLI};
+  private static final long[] SILENT_NOTICE_MICROS = {4_100 * MILLI, 13_000 * MILLI};
+  private static final long[] ADD_MICROS = {1_200 * MILLI, 2_400 * MILLI};
 
-  private static final FaultKind.Doing NOTHING = (stage, fault) -> {};
+  private static final FaultKind.Action NOTHING = (stage, fault) -> {};
 
   /** Needs a listening socket that the platform holds, from the start of the run. */
-  public static final String UPGRADE = "proxy-upgrade";
+  public static final String PROXY_UPGRADE = "proxy-upgrade";
 
   /** All kinds, in a fixed order. */
   public static final List<FaultKind> ALL = all();
 
-  private Kinds() {}
+  private FaultKinds() {}
 
   private static List<FaultKind> all() {
     List<FaultKind> all = new ArrayList<>();
@@ -40,12 +40,12 @@
     all.addAll(discovery());
     all.addAll(proxies());
     all.addAll(clients());
-    all.addAll(LinkKinds.all());
+    all.addAll(LinkFaultKinds.all());
     return List.copyOf(all);
   }
 
   /** The kind with this name, or null. */
-  public static FaultKind named(String name) {
+  public static FaultKind byName(String name) {
     return ALL.stream().filter(kind -> kind.name().equals(name)).findFirst().orElse(null);
   }
 
@@ -57,7 +57,7 @@
         new FaultKind(
             "host-crash",
             "a stream host's process dies and starts again, cold",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             500,
             8_000,
             0,
@@ -65,14 +65,14 @@
             3,
             (stage, fault) -> {
               stage.host(fault).kill();
-              learn(stage, fault, "DELETED", NOTICE);
+              notifyDiscovery(stage, fault, "DELETED", NOTICE_MICROS);
             },
-            Kinds::comeBack));
+            FaultKinds::restartHost));
     all.add(
         new FaultKind(
             "host-dark",
             "a stream host's machine loses its power; once it is back, the host starts cold",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             2_000,
             12_000,
             0,
@@ -80,17 +80,17 @@
             2,
             (stage, fault) -> {
               stage.host(fault).losePower();
-              learn(stage, fault, "DELETED", SILENT_NOTICE);
+              notifyDiscovery(stage, fault, "DELETED", SILENT_NOTICE_MICROS);
             },
             (stage, fault) -> {
-              stage.host(fault).machine().lighten();
-              comeBack(stage, fault);
+              stage.host(fault).machine().restorePower();
+              restartHost(stage, fault);
             }));
     all.add(
         new FaultKind(
             "host-release",
             "a stream host drains, sends all away at once, ends, and starts again, cold",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             3_000,
             9_000,
             0,
@@ -99,7 +99,7 @@
             (stage, fault) -> {
               StreamHost host = stage.host(fault);
               host.drain();
-              learn(stage, fault, "DRAINING", NOTICE);
+              notifyDiscovery(stage, fault, "DRAINING", NOTICE_MICROS);
               stage
                   .world()
                   .agenda()
@@ -107,15 +107,15 @@
                       fault.forMillis() * MILLI / 2,
                       () -> {
                         host.kill();
-                        learn(stage, fault, "DELETED", NOTICE);
+                        notifyDiscovery(stage, fault, "DELETED", NOTICE_MICROS);
                       });
             },
-            Kinds::comeBack));
+            FaultKinds::restartHost));
     all.add(
         new FaultKind(
             "host-slow",
             "a stream host is so many times slower",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             3_000,
             14_000,
             1.9,
@@ -127,7 +127,7 @@
         new FaultKind(
             "all-hosts-slow",
             "what all stream hosts depend on makes each so many times slower",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             3_200,
             14_000,
             1.9,
@@ -139,7 +139,7 @@
         new FaultKind(
             "all-hosts-err",
             "what all stream hosts depend on fails: each answers this share of attempts ERR",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             500,
             6_000,
             0.5,
@@ -155,7 +155,7 @@
         new FaultKind(
             "host-pause",
             "nothing of a stream host runs for a while; its kernel goes on",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             300,
             9_000,
             0,
@@ -167,7 +167,7 @@
         new FaultKind(
             "host-breaks",
             "this share of a stream host's connections is reset at once",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             0,
             0,
             0.2,
@@ -179,9 +179,9 @@
       if (manner != StreamHost.Behavior.SERVES) {
         all.add(
             new FaultKind(
-                "host-" + named(manner),
+                "host-" + byName(manner),
                 "this share of attempts at a stream host: it " + manner.about(),
-                FaultKind.On.HOST,
+                FaultKind.TargetType.HOST,
                 1_000,
                 12_000,
                 0.2,
@@ -194,11 +194,12 @@
     return all;
   }
 
-  private static String named(Enum<?> constant) {
+  private static String byName(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  private static void learn(Stage stage, Fault fault, String status, long[] notice) {
+  private static void notifyDiscovery(
+      FaultContext stage, Fault fault, String status, long[] notice) {
     RandomStreams.Stream stream =
         stage.world().draws().of("notice " + fault.target() + status + fault.atMillis());
     stage
@@ -207,9 +208,9 @@
         .receiveStatus(stage.host(fault), status, stream.micros(notice[0], notice[1]));
   }
 
-  private static void comeBack(Stage stage, Fault fault) {
+  private static void restartHost(FaultContext stage, Fault fault) {
     stage.host(fault).start(false);
-    learn(stage, fault, "SERVING", ADD);
+    notifyDiscovery(stage, fault, "SERVING", ADD_MICROS);
   }
 
   private static List<FaultKind> reports() {
@@ -218,7 +219,7 @@
         new FaultKind(
             "reports-late",
             "load reports show up so many seconds later than usual",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             10_000,
             25_000,
             1.2,
@@ -233,9 +234,9 @@
       if (reports != StreamHost.LoadReports.TRUE) {
         all.add(
             new FaultKind(
-                "reports-" + named(reports),
+                "reports-" + byName(reports),
                 "a stream host answers probes " + reports.about(),
-                FaultKind.On.HOST,
+                FaultKind.TargetType.HOST,
                 2_000,
                 15_000,
                 0,
@@ -250,13 +251,13 @@
 
   // ----------------------------------------------------------------- network
 
-  private static FaultKind disturbing(
+  private static FaultKind disturbanceKind(
       String name,
       String about,
-      FaultKind.On on,
+      FaultKind.TargetType on,
       long most,
       double[] size,
-      java.util.function.BiFunction<Stage, Fault, Disturbance> disturbance) {
+      java.util.function.BiFunction<FaultContext, Fault, Disturbance> disturbance) {
     return new FaultKind(
         name,
         about,
@@ -266,12 +267,12 @@
         size[0],
         size[1],
         2,
-        (stage, fault) -> stage.begin(fault, disturbance.apply(stage, fault)),
-        Stage::end);
+        (stage, fault) -> stage.beginDisturbance(fault, disturbance.apply(stage, fault)),
+        FaultContext::endDisturbance);
   }
 
   /** Nothing passes between machines of which one is meant and the other is not. */
-  private static Disturbance cut(BiPredicate<Machine, Machine> meant) {
+  private static Disturbance blocking(BiPredicate<Machine, Machine> meant) {
     return new Disturbance() {
       @Override
       public boolean blocks(Machine from, Machine to) {
@@ -280,25 +281,25 @@
     };
   }
 
-  private static Disturbance late(BiPredicate<Machine, Machine> meant, long micros) {
+  private static Disturbance delaying(BiPredicate<Machine, Machine> meant, long micros) {
     return new Disturbance() {
       @Override
-      public long delay(Machine from, Machine to) {
+      public long delayMicros(Machine from, Machine to) {
         return meant.test(from, to) ? micros : 0;
       }
     };
   }
 
-  private static Disturbance thin(BiPredicate<Machine, Machine> meant, long bytes) {
+  private static Disturbance throttling(BiPredicate<Machine, Machine> meant, long bytes) {
     return new Disturbance() {
       @Override
-      public long bandwidth(Machine from, Machine to) {
+      public long maxBytesPerSecond(Machine from, Machine to) {
         return meant.test(from, to) ? bytes : Long.MAX_VALUE;
       }
     };
   }
 
-  private static Disturbance connects(BiPredicate<Machine, Machine> meant, long micros) {
+  private static Disturbance connectDisturbance(BiPredicate<Machine, Machine> meant, long micros) {
     return new Disturbance() {
       @Override
       public boolean blocksConnects(Machine from, Machine to) {
@@ -306,7 +307,7 @@
       }
 
       @Override
-      public long connectDelay(Machine from, Machine to) {
+      public long connectDelayMicros(Machine from, Machine to) {
         return meant.test(from, to) ? micros : 0;
       }
     };
@@ -320,125 +321,127 @@
     double[] none = {0, 0};
     List<FaultKind> all = new ArrayList<>();
     all.add(
-        disturbing(
+        disturbanceKind(
             "zone-cut",
             "nothing passes between a zone and the others",
-            FaultKind.On.ZONE,
+            FaultKind.TargetType.ZONE,
             17_000,
             none,
             (stage, fault) ->
-                cut((a, b) -> a.zone().equals(fault.target()) != b.zone().equals(fault.target()))));
+                blocking(
+                    (a, b) -> a.zone().equals(fault.target()) != b.zone().equals(fault.target()))));
     all.add(
-        disturbing(
+        disturbanceKind(
             "zone-mute",
             "nothing passes out of a zone, while everything comes in",
-            FaultKind.On.ZONE,
+            FaultKind.TargetType.ZONE,
             9_000,
             none,
             (stage, fault) ->
-                cut(
+                blocking(
                     (a, b) ->
                         a.zone().equals(fault.target()) && !b.zone().equals(fault.target()))));
     all.add(
-        disturbing(
+        disturbanceKind(
             "host-cut",
             "nothing passes to or from a stream host",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             12_000,
             none,
             (stage, fault) ->
-                cut((a, b) -> a.name().equals(fault.target()) || b.name().equals(fault.target()))));
+                blocking(
+                    (a, b) -> a.name().equals(fault.target()) || b.name().equals(fault.target()))));
     all.add(
-        disturbing(
+        disturbanceKind(
             "host-mute",
             "nothing passes from a stream host, while everything arrives",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             9_000,
             none,
-            (stage, fault) -> cut((a, b) -> a.name().equals(fault.target()))));
+            (stage, fault) -> blocking((a, b) -> a.name().equals(fault.target()))));
     all.add(
-        disturbing(
+        disturbanceKind(
             "proxy-cut",
             "nothing passes between a proxy and any stream host",
-            FaultKind.On.PROXY,
+            FaultKind.TargetType.PROXY,
             6_000,
             none,
             (stage, fault) ->
-                cut(
+                blocking(
                     (a, b) ->
                         (a.name().equals(fault.target()) && b.name().startsWith("s-"))
                             || (b.name().equals(fault.target()) && a.name().startsWith("s-")))));
     all.add(
-        disturbing(
+        disturbanceKind(
             "clients-cut",
             "nothing passes between a zone's clients and the proxies",
-            FaultKind.On.ZONE,
+            FaultKind.TargetType.ZONE,
             4_000,
             none,
             (stage, fault) ->
-                cut(
+                blocking(
                     (a, b) ->
                         (clients(a) && a.zone().equals(fault.target()))
                             || (clients(b) && b.zone().equals(fault.target())))));
     all.add(
-        disturbing(
+        disturbanceKind(
             "zones-late",
             "so many milliseconds more between zones, each way",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             15_000,
             new double[] {3, 60},
             (stage, fault) ->
-                late((a, b) -> !a.zone().equals(b.zone()), (long) (fault.size() * MILLI))));
+                delaying((a, b) -> !a.zone().equals(b.zone()), (long) (fault.size() * MILLI))));
     all.add(
-        disturbing(
+        disturbanceKind(
             "host-late",
             "so many milliseconds more to and from a stream host",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             10_000,
             new double[] {5, 150},
             (stage, fault) ->
-                late(
+                delaying(
                     (a, b) -> a.name().equals(fault.target()) || b.name().equals(fault.target()),
                     (long) (fault.size() * MILLI))));
     all.add(
-        disturbing(
+        disturbanceKind(
             "clients-thin",
             "a zone's clients get so many kilobytes a second each",
-            FaultKind.On.ZONE,
+            FaultKind.TargetType.ZONE,
             12_000,
             new double[] {0.5, 20},
             (stage, fault) ->
-                thin(
+                throttling(
                     (a, b) -> clients(b) && b.zone().equals(fault.target()),
                     (long) (fault.size() * 1_000))));
     all.add(
-        disturbing(
+        disturbanceKind(
             "host-thin",
             "connections to and from a stream host carry so many kilobytes a second",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             12_000,
             new double[] {0.5, 20},
             (stage, fault) ->
-                thin(
+                throttling(
                     (a, b) -> a.name().equals(fault.target()) || b.name().equals(fault.target()),
                     (long) (fault.size() * 1_000))));
     all.add(
-        disturbing(
+        disturbanceKind(
             "connects-lost",
             "connects to a stream host never come up",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             10_000,
             none,
-            (stage, fault) -> connects((a, b) -> b.name().equals(fault.target()), 0)));
+            (stage, fault) -> connectDisturbance((a, b) -> b.name().equals(fault.target()), 0)));
     all.add(
-        disturbing(
+        disturbanceKind(
             "connects-late",
             "connects to a stream host come up so many milliseconds late",
-            FaultKind.On.HOST,
+            FaultKind.TargetType.HOST,
             10_000,
             new double[] {20, 400},
             (stage, fault) ->
-                connects(
+                connectDisturbance(
                     (a, b) -> b.name().equals(fault.target()), (long) (fault.size() * MILLI))));
     return all;
   }
@@ -451,7 +454,7 @@
         new FaultKind(
             "discovery-down",
             "discovery's process is gone: calls are refused and watches end",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             500,
             12_000,
             0,
@@ -463,9 +466,9 @@
       if (manner != Discovery.Behavior.SOUND) {
         all.add(
             new FaultKind(
-                "discovery-" + named(manner),
+                "discovery-" + byName(manner),
                 "discovery " + manner.about(),
-                FaultKind.On.ALL,
+                FaultKind.TargetType.ALL,
                 500,
                 8_000,
                 0,
@@ -479,7 +482,7 @@
         new FaultKind(
             "discovery-still",
             "discovery learns nothing new; what it missed it learns afterwards",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             2_000,
             15_000,
             0,
@@ -491,7 +494,7 @@
         new FaultKind(
             "discovery-slow",
             "discovery takes so many times longer for each call",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             3_000,
             15_000,
             2,
@@ -510,7 +513,7 @@
         new FaultKind(
             "proxy-crash",
             "a proxy is killed outright and starts again from nothing",
-            FaultKind.On.PROXY,
+            FaultKind.TargetType.PROXY,
             300,
             5_000,
             0,
@@ -522,7 +525,7 @@
         new FaultKind(
             "proxy-dark",
             "a proxy's machine loses its power; once it is back, the proxy starts from nothing",
-            FaultKind.On.PROXY,
+            FaultKind.TargetType.PROXY,
             1_000,
             8_000,
             0,
@@ -534,7 +537,7 @@
         new FaultKind(
             "proxy-restart",
             "a planned restart: SIGTERM, SIGKILL when its time is over, a new start",
-            FaultKind.On.PROXY,
+            FaultKind.TargetType.PROXY,
             6_000,
             6_000,
             0,
@@ -546,7 +549,7 @@
         new FaultKind(
             "proxy-standby",
             "operators have a proxy's clients sent away, and call it back",
-            FaultKind.On.PROXY,
+            FaultKind.TargetType.PROXY,
             5_000,
             9_000,
             0,
@@ -556,9 +559,9 @@
             NOTHING));
     all.add(
         new FaultKind(
-            UPGRADE,
+            PROXY_UPGRADE,
             "a process is started beside the one that serves, and succeeds it",
-            FaultKind.On.PROXY,
+            FaultKind.TargetType.PROXY,
             6_000,
             6_000,
             0,
@@ -570,7 +573,7 @@
         new FaultKind(
             "rolling-restart",
             "planned restarts of all proxies, so many seconds apart",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             14_000,
             14_000,
             1,
@@ -588,7 +591,7 @@
         new FaultKind(
             "proxies-hang-up",
             "SIGHUP to all proxies; discovery moves to its other address",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             1_500,
             1_500,
             0,
@@ -603,7 +606,7 @@
         new FaultKind(
             "proxy-pause",
             "nothing of a proxy runs for a while, as when its runtime collects garbage",
-            FaultKind.On.PROXY,
+            FaultKind.TargetType.PROXY,
             20,
             400,
             0,
@@ -615,7 +618,7 @@
         new FaultKind(
             "clock-step",
             "a proxy's wall clock is put forward by so many seconds, or back",
-            FaultKind.On.PROXY,
+            FaultKind.TargetType.PROXY,
             0,
             0,
             -60,
@@ -634,7 +637,7 @@
         new FaultKind(
             "burst",
             "so many times the usual clients",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             2_000,
             10_000,
             1.4,
@@ -642,23 +645,25 @@
             2,
             (stage, fault) ->
                 stage
-                    .crowd()
-                    .more((fault.size() - 1) * stage.world().site().rate(), fault.forMillis()),
+                    .clientGenerator()
+                    .addClients(
+                        (fault.size() - 1) * stage.world().site().rate(), fault.forMillis()),
             NOTHING));
     for (BadClient.Kind kind : BadClient.Kind.values()) {
       boolean heavy = kind == BadClient.Kind.HUGE || kind == BadClient.Kind.ENDLESS;
       boolean many = kind == BadClient.Kind.SILENT;
       all.add(
           new FaultKind(
-              "bad-" + named(kind),
+              "bad-" + byName(kind),
               "so many clients a second " + kind.about(),
-              FaultKind.On.ALL,
+              FaultKind.TargetType.ALL,
               500,
               many ? 3_000 : 6_000,
               many ? 20 : 1,
               heavy ? 3 : many ? 200 : 12,
               1,
-              (stage, fault) -> stage.crowd().bad(kind, fault.size(), fault.forMillis()),
+              (stage, fault) ->
+                  stage.clientGenerator().addBadClients(kind, fault.size(), fault.forMillis()),
               NOTHING));
     }
     return all;
--- a/src/main/java/brassbank/sim/fault/Night.java
+++ b/src/main/java/brassbank/sim/fault/FleetScenario.java
@@ -12,22 +12,22 @@
  * The bad nights of a large fleet, each drawn from a seed: what one proxy may do and all of them
  * must not. Unlike {@link Plan#drawn}, the faults belong together.
  */
-public enum Night {
+public enum FleetScenario {
   /** Nothing happens: what a fleet costs by itself. */
   CALM {
     @Override
-    void draw(Site site) {}
+    void draw(FaultSchedule site) {}
   },
 
   /** Ten of fourteen proxies are killed at once during a release, while discovery is overbooked. */
   HERD {
     @Override
-    void draw(Site site) {
+    void draw(FaultSchedule site) {
       site.add("discovery-slow", 8_000, 8_000, "", site.between(3, 8));
       site.proxies().stream()
           .limit(site.proxies().size() * 5L / 7)
           .forEach(name -> site.add("proxy-crash", 10_000, 400 + site.between(0, 200), name, 0));
-      site.replaced(0.3, 7_000, 9_000);
+      site.replaceHosts(0.3, 7_000, 9_000);
     }
   },
 
@@ -36,25 +36,25 @@
    */
   ZONE {
     @Override
-    void draw(Site site) {
+    void draw(FaultSchedule site) {
       int away = site.between(5_000, 8_000);
       int zone = site.between(0, 1);
-      List<String> hosts = site.inZone(FaultKind.On.HOST, zone);
+      List<String> hosts = site.inZone(FaultKind.TargetType.HOST, zone);
       hosts.forEach(name -> site.add("host-dark", 8_000, away, name, 0));
-      List<String> proxies = site.inZone(FaultKind.On.PROXY, zone);
+      List<String> proxies = site.inZone(FaultKind.TargetType.PROXY, zone);
       proxies.stream()
           .limit(proxies.size() / 2)
           .forEach(name -> site.add("proxy-dark", 8_000, away, name, 0));
-      site.bad(site.inZone(FaultKind.On.HOST, 1 - zone));
+      site.addFailingHosts(site.inZone(FaultKind.TargetType.HOST, 1 - zone));
     }
   },
 
   /** Six in ten hosts are replaced within 7 s, and some of the rest are bad. */
   JOIN {
     @Override
-    void draw(Site site) {
-      int count = site.replaced(0.6, 7_000, 7_000);
-      site.bad(site.hosts().subList(count, site.hosts().size()));
+    void draw(FaultSchedule site) {
+      int count = site.replaceHosts(0.6, 7_000, 7_000);
+      site.addFailingHosts(site.hosts().subList(count, site.hosts().size()));
     }
   },
 
@@ -64,12 +64,12 @@
    */
   SHRUNK {
     @Override
-    void draw(Site site) {
+    void draw(FaultSchedule site) {
       int dead = site.proxies().size() * 3 / 7;
       for (int i = 0; i < dead; i++) {
         site.add("proxy-crash", 3_000 + 400L * i, 30_000, site.proxies().get(i), 0);
       }
-      site.replaced(0.85, 9_000, 1_500);
+      site.replaceHosts(0.85, 9_000, 1_500);
     }
   };
 
@@ -77,13 +77,14 @@
   public static final int HOSTS = 60;
 
   /** New clients a second: each proxy meets a host seldom. */
-  public static final double RATE = 28;
+  public static final double CLIENTS_PER_SECOND = 28;
 
-  abstract void draw(Site site);
+  abstract void draw(FaultSchedule site);
 
   /** The night of a seed; the same for the same seed. */
   public Plan plan(long seed, int seconds, int proxies, int hosts, double rate) {
-    Site site = new Site(new RandomStreams(seed).of("night " + name()), proxies, hosts);
+    FaultSchedule site =
+        new FaultSchedule(new RandomStreams(seed).of("night " + name()), proxies, hosts);
     draw(site);
     site.faults.sort(Comparator.comparingLong(Fault::atMillis));
     return new Plan(
@@ -92,14 +93,14 @@
         proxies,
         hosts,
         rate,
-        Plan.USUAL_SOCKETS,
+        Plan.DEFAULT_SOCKETS,
         site.faults,
-        Numbers.ALL,
-        Plan.View.NONE);
+        IndexSet.ALL,
+        Plan.FleetMode.NONE);
   }
 
   /** What a night is drawn on. */
-  static final class Site {
+  static final class FaultSchedule {
     private final RandomStreams.Stream stream;
     private final List<Fault> faults = new ArrayList<>();
     private final int proxyCount;
@@ -107,12 +108,12 @@
     private final List<String> proxies;
     private final List<String> hosts;
 
-    private Site(RandomStreams.Stream stream, int proxies, int hosts) {
+    private FaultSchedule(RandomStreams.Stream stream, int proxies, int hosts) {
       proxyCount = proxies;
       hostCount = hosts;
       this.stream = stream;
-      this.proxies = shuffled(Plan.targets(FaultKind.On.PROXY, proxies, hosts));
-      this.hosts = shuffled(Plan.targets(FaultKind.On.HOST, proxies, hosts));
+      this.proxies = shuffled(Plan.targets(FaultKind.TargetType.PROXY, proxies, hosts));
+      this.hosts = shuffled(Plan.targets(FaultKind.TargetType.HOST, proxies, hosts));
     }
 
     private List<String> shuffled(List<String> names) {
@@ -135,11 +136,11 @@
     }
 
     void add(String kind, long atMillis, long forMillis, String target, double size) {
-      faults.add(new Fault(Kinds.named(kind), atMillis, forMillis, target, size));
+      faults.add(new Fault(FaultKinds.byName(kind), atMillis, forMillis, target, size));
     }
 
     /** The machines of one of the two zones, which a run deals out in turn. */
-    List<String> inZone(FaultKind.On on, int zone) {
+    List<String> inZone(FaultKind.TargetType on, int zone) {
       List<String> all = Plan.targets(on, proxyCount, hostCount);
       return IntStream.range(0, all.size())
           .filter(i -> i % 2 == zone)
@@ -148,7 +149,7 @@
     }
 
     /** The first of the hosts, this share of them, leave and come anew, evenly over a time. */
-    int replaced(double share, int from, int within) {
+    int replaceHosts(double share, int from, int within) {
       int count = (int) (share * hosts.size());
       for (int i = 0; i < count; i++) {
         add(
@@ -162,7 +163,7 @@
     }
 
     /** One in six of these hosts, at least one, answers most attempts ERR. */
-    void bad(List<String> of) {
+    void addFailingHosts(List<String> of) {
       shuffled(of).stream()
           .limit(Math.max(1, of.size() / 6))
           .forEach(name -> add("host-errs", 6_000, 14_000, name, 0.75));
--- a/src/main/java/brassbank/sim/fault/LinkKinds.java
+++ b/src/main/java/brassbank/sim/fault/LinkFaultKinds.java
@@ -11,18 +11,18 @@
  * Faults of single links, and of processes in numbers, that scripts use and seeds do not draw: what
  * is drawn stays what it was.
  */
-final class LinkKinds {
+final class LinkFaultKinds {
   private static final long MILLI = 1_000;
-  private static final FaultKind.Doing NOTHING = (stage, fault) -> {};
+  private static final FaultKind.Action NOTHING = (stage, fault) -> {};
 
   /** A starved process runs and is stopped in turns of this length together. */
-  private static final long TURN = 100 * MILLI;
+  private static final long STARVE_PERIOD_MICROS = 100 * MILLI;
 
-  private LinkKinds() {}
+  private LinkFaultKinds() {}
 
   static List<FaultKind> all() {
     return List.of(
-        link(
+        linkKind(
             "link-cut",
             "nothing passes over these links, and nothing tells of it",
             0,
@@ -30,87 +30,89 @@
                 new Disturbance() {
                   @Override
                   public boolean blocks(Machine from, Machine to) {
-                    return ends.has(from, to);
+                    return ends.matches(from, to);
                   }
                 }),
-        link(
+        linkKind(
             "link-refused",
             "connects over these links are refused; what stands is left alone",
             0,
             (ends, fault) ->
                 new Disturbance() {
                   @Override
-                  public boolean refuses(Machine from, Machine to) {
-                    return ends.has(from, to);
+                  public boolean refusesConnects(Machine from, Machine to) {
+                    return ends.matches(from, to);
                   }
                 }),
-        link(
+        linkKind(
             "link-late",
             "half to one and a half times so many milliseconds more over these links",
             100,
-            (ends, fault) -> late(ends, fault)),
-        link(
+            (ends, fault) -> delaying(ends, fault)),
+        linkKind(
             "link-loses",
             "this share of the datagrams over these links is lost",
             0.3,
             (ends, fault) ->
                 new Disturbance() {
                   @Override
-                  public double losesDatagrams(Machine from, Machine to) {
-                    return ends.has(from, to) ? fault.size() : 0;
+                  public double datagramLossRate(Machine from, Machine to) {
+                    return ends.matches(from, to) ? fault.size() : 0;
                   }
                 }),
-        link(
+        linkKind(
             "link-doubles",
             "this share of the datagrams over these links comes twice",
             0.3,
             (ends, fault) ->
                 new Disturbance() {
                   @Override
-                  public double doublesDatagrams(Machine from, Machine to) {
-                    return ends.has(from, to) ? fault.size() : 0;
+                  public double datagramDuplicationRate(Machine from, Machine to) {
+                    return ends.matches(from, to) ? fault.size() : 0;
                   }
                 }),
-        link(
+        linkKind(
             "link-thin",
             "each connection over these links gets so many kilobytes a second",
             10,
             (ends, fault) ->
                 new Disturbance() {
                   @Override
-                  public long bandwidth(Machine from, Machine to) {
-                    return ends.has(from, to) ? (long) (fault.size() * 1_000) : Long.MAX_VALUE;
+                  public long maxBytesPerSecond(Machine from, Machine to) {
+                    return ends.matches(from, to) ? (long) (fault.size() * 1_000) : Long.MAX_VALUE;
                   }
                 }),
-        link(
+        linkKind(
             "link-chopped",
             "what passes over these links comes in pieces of so many bytes at most",
             3,
             (ends, fault) ->
                 new Disturbance() {
                   @Override
-                  public int segment(Machine from, Machine to) {
-                    return ends.has(from, to) ? Math.max(1, (int) fault.size()) : Integer.MAX_VALUE;
+                  public int maxSegmentBytes(Machine from, Machine to) {
+                    return ends.matches(from, to)
+                        ? Math.max(1, (int) fault.size())
+                        : Integer.MAX_VALUE;
                   }
                 }),
         new FaultKind(
             "link-reset",
             "all that stands over these links is reset at once, at both ends",
-            FaultKind.On.LINK,
+            FaultKind.TargetType.LINK,
             0,
             0,
             0,
             0,
             0,
             (stage, fault) -> {
-              Ends ends = Ends.parse(fault.target());
-              stage.world().fabric().reset(ends::has);
+              LinkSelector ends = LinkSelector.parse(fault.target());
+              stage.world().fabric().resetConnections(ends::matches);
             },
             NOTHING),
         new FaultKind(
             "proxy-starved",
             "a proxy does not run for this share of each 100 ms",
-            FaultKind.On.PROXY,
+            FaultKind.TargetType.PROXY,
             500,
             10_000,
             0.5,
@@ -121,7 +123,7 @@
         new FaultKind(
             "front-favours",
             "a proxy is sent so many times as many clients as each other",
-            FaultKind.On.PROXY,
+            FaultKind.TargetType.PROXY,
             1_000,
             10_000,
             2,
@@ -132,7 +134,7 @@
         new FaultKind(
             "proxies-hang-up-damaged",
             "SIGHUP to all proxies with a file that breaks off in the middle",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             300,
             300,
             0,
@@ -143,7 +145,7 @@
         new FaultKind(
             "proxies-crash",
             "all proxies are killed at once and start again from nothing",
-            FaultKind.On.ALL,
+            FaultKind.TargetType.ALL,
             300,
             5_000,
             0,
@@ -157,40 +159,50 @@
             NOTHING));
   }
 
-  private static FaultKind link(
-      String name, String about, double size, BiFunction<Ends, Fault, Disturbance> disturbance) {
+  private static FaultKind linkKind(
+      String name,
+      String about,
+      double size,
+      BiFunction<LinkSelector, Fault, Disturbance> disturbance) {
     return new FaultKind(
         name,
         about,
-        FaultKind.On.LINK,
+        FaultKind.TargetType.LINK,
         500,
         10_000,
         size,
         size,
         0,
-        (stage, fault) -> stage.begin(fault, disturbance.apply(Ends.parse(fault.target()), fault)),
-        Stage::end);
+        (stage, fault) ->
+            stage.beginDisturbance(
+                fault, disturbance.apply(LinkSelector.parse(fault.target()), fault)),
+        FaultContext::endDisturbance);
   }
 
-  private static Disturbance late(Ends ends, Fault fault) {
+  private static Disturbance delaying(LinkSelector ends, Fault fault) {
     RandomStreams.Stream jitter = new RandomStreams(fault.atMillis()).of("jitter " + fault);
     return new Disturbance() {
       @Override
-      public long delay(Machine from, Machine to) {
-        return ends.has(from, to) ? (long) (fault.size() * MILLI * jitter.between(0.5, 1.5)) : 0;
+      public long delayMicros(Machine from, Machine to) {
+        return ends.matches(from, to)
+            ? (long) (fault.size() * MILLI * jitter.between(0.5, 1.5))
+            : 0;
       }
 
       @Override
-      public long mostDelay(Machine from, Machine to) {
-        return ends.has(from, to) ? (long) (fault.size() * MILLI * 1.5) : 0;
+      public long maxDelayMicros(Machine from, Machine to) {
+        return ends.matches(from, to) ? (long) (fault.size() * MILLI * 1.5) : 0;
       }
     };
   }
 
-  private static void starve(Stage stage, Fault fault, long done) {
+  private static void starve(FaultContext stage, Fault fault, long done) {
     if (done < fault.forMillis() * MILLI) {
-      stage.proxy(fault).pause((long) (fault.size() * TURN));
-      stage.world().agenda().after(TURN, () -> starve(stage, fault, done + TURN));
+      stage.proxy(fault).pause((long) (fault.size() * STARVE_PERIOD_MICROS));
+      stage
+          .world()
+          .agenda()
+          .after(STARVE_PERIOD_MICROS, () -> starve(stage, fault, done + STARVE_PERIOD_MICROS));
     }
   }
 }
--- a/src/main/java/brassbank/sim/fault/Ends.java
+++ b/src/main/java/brassbank/sim/fault/LinkSelector.java
@@ -8,25 +8,25 @@
  * The links that a fault is aimed at, as a script names them: {@code "n0,n1 > s-*"} is what goes
  * from these machines to those, {@code "n0 = discovery-*"} both ways. A name may end in a star.
  */
-record Ends(List<String> from, List<String> to, boolean both) {
+record LinkSelector(List<String> from, List<String> to, boolean both) {
   private static final Pattern FORM =
       Pattern.compile("([\\w-]+\\*?(?:,[\\w-]+\\*?)*) ([>=]) ([\\w-]+\\*?(?:,[\\w-]+\\*?)*)");
 
   /** Throws IllegalArgumentException where the text is no such thing. */
-  static Ends parse(String text) {
+  static LinkSelector parse(String text) {
     var parts = FORM.matcher(text);
     if (!parts.matches()) {
       throw new IllegalArgumentException(
           "no links: '" + text + "'; they are written as \"n0,n1 > s-*\", or with = for both ways");
     }
-    return new Ends(
+    return new LinkSelector(
         List.of(parts.group(1).split(",")),
         List.of(parts.group(3).split(",")),
         parts.group(2).equals("="));
   }
 
   /** Whether what goes from one machine to another goes over one of them. */
-  boolean has(Machine a, Machine b) {
+  boolean matches(Machine a, Machine b) {
     return (named(from, a) && named(to, b)) || (both && named(from, b) && named(to, a));
   }
 
--- a/src/main/java/brassbank/sim/fault/Plan.java
+++ b/src/main/java/brassbank/sim/fault/Plan.java
@@ -12,7 +12,7 @@
  * @param rate new clients a second
  * @param sockets descriptors that each proxy may hold
  * @param clients which of the clients that the seed draws come
- * @param membership whether the proxies keep a view of the fleet
+ * @param usesMembership whether the proxies keep a view of the fleet
  */
 public record Plan(
     long seed,
@@ -22,11 +22,11 @@
     double rate,
     int sockets,
     List<Fault> faults,
-    Numbers clients,
-    View view) {
+    IndexSet clients,
+    FleetMode fleetMode) {
 
   /** What the proxies do together; each does what those before it do. */
-  public enum View {
+  public enum FleetMode {
     /** Nothing. */
     NONE("off"),
     /** They keep a view of the fleet. */
@@ -38,7 +38,7 @@
 
     private final String key;
 
-    View(String key) {
+    FleetMode(String key) {
       this.key = key;
     }
 
@@ -49,40 +49,40 @@
   }
 
   /** The usual day. */
-  public static final int SECONDS = 60;
+  public static final int DEFAULT_SECONDS = 60;
 
-  public static final int PROXIES = 3;
-  public static final int HOSTS = 12;
-  public static final double RATE = 13;
+  public static final int DEFAULT_PROXIES = 3;
+  public static final int DEFAULT_HOSTS = 12;
+  public static final double DEFAULT_CLIENTS_PER_SECOND = 13;
 
   /** Faults begin no earlier than this, and are over so long before the end. */
-  private static final long FIRST_MILLIS = 4_000;
+  private static final long FIRST_FAULT_MILLIS = 4_000;
 
   /** After the last fault everything is to be sound again within this. */
   public static final long RECOVERY_MILLIS = 16_000;
 
   /** For so long at the end of a run everything is to be sound. */
-  public static final long SOUND_MILLIS = 14_000;
+  public static final long STABLE_MILLIS = 14_000;
 
   /** A run that has room for faults, for what follows them, and for the proof that all is well. */
-  public static final int LEAST_SECONDS = 40;
+  public static final int MIN_SECONDS = 40;
 
   /** Share of kinds that a seed switches on, at least and at most. */
-  private static final double LEAST_KINDS = 0.05;
+  private static final double MIN_KIND_SHARE = 0.05;
 
-  private static final double MOST_KINDS = 0.35;
+  private static final double MAX_KIND_SHARE = 0.35;
 
-  private static final double FEW_SOCKETS = 0.15;
-  private static final int[] FEW = {130, 400};
+  private static final double FEW_SOCKETS_PROBABILITY = 0.15;
+  private static final int[] FEW_SOCKETS_RANGE = {130, 400};
 
   /** Descriptors with which no limit binds. */
-  public static final int USUAL_SOCKETS = 1_024;
+  public static final int DEFAULT_SOCKETS = 1_024;
 
   /** The usual number of proxies that ask a host, and what smaller fleets play with. */
-  private static final int ASKERS = 8;
+  private static final int MIN_PROXIES_PER_HOST = 8;
 
-  private static final int FEW_ASKERS = 2;
-  private static final int ASKERS_FROM = 14;
+  private static final int SMALL_FLEET_MIN_PROXIES_PER_HOST = 2;
+  private static final int LARGE_FLEET_PROXIES = 14;
 
   public Plan {
     faults = List.copyOf(faults);
@@ -95,30 +95,34 @@
   public static Plan drawn(long seed, int seconds, int proxies, int hosts, double rate) {
     RandomStreams draws = new RandomStreams(seed);
     RandomStreams.Stream swarm = draws.of("swarm");
-    double share = swarm.between(LEAST_KINDS, MOST_KINDS);
-    int sockets = swarm.chance(FEW_SOCKETS) ? swarm.between(FEW[0], FEW[1]) : USUAL_SOCKETS;
-    long until = seconds * 1_000L - RECOVERY_MILLIS - SOUND_MILLIS;
+    double share = swarm.between(MIN_KIND_SHARE, MAX_KIND_SHARE);
+    int sockets =
+        swarm.chance(FEW_SOCKETS_PROBABILITY)
+            ? swarm.between(FEW_SOCKETS_RANGE[0], FEW_SOCKETS_RANGE[1])
+            : DEFAULT_SOCKETS;
+    long until = seconds * 1_000L - RECOVERY_MILLIS - STABLE_MILLIS;
     List<Fault> faults = new ArrayList<>();
-    for (FaultKind kind : Kinds.ALL) {
+    for (FaultKind kind : FaultKinds.ALL) {
       RandomStreams.Stream stream = draws.of("fault " + kind.name());
-      if (kind.most() == 0 || !stream.chance(share)) {
+      if (kind.maxPerRun() == 0 || !stream.chance(share)) {
         continue;
       }
-      int count = stream.between(1, kind.most());
-      List<String> targets = targets(kind.on(), proxies, hosts);
+      int count = stream.between(1, kind.maxPerRun());
+      List<String> targets = targets(kind.targetType(), proxies, hosts);
       for (int i = 0; i < count; i++) {
-        Fault fault = kind.draw(stream, targets, FIRST_MILLIS, until);
+        Fault fault = kind.draw(stream, targets, FIRST_FAULT_MILLIS, until);
         if (fault.untilMillis() <= until) {
           faults.add(fault);
         }
       }
     }
     faults.sort((a, b) -> Long.compare(a.atMillis(), b.atMillis()));
-    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, Numbers.ALL, View.NONE);
+    return new Plan(
+        seed, seconds, proxies, hosts, rate, sockets, faults, IndexSet.ALL, FleetMode.NONE);
   }
 
   /** The names that a fault of such a kind may be aimed at; empty where it needs none. */
-  static List<String> targets(FaultKind.On on, int proxies, int hosts) {
+  static List<String> targets(FaultKind.TargetType on, int proxies, int hosts) {
     List<String> targets = new ArrayList<>();
     switch (on) {
       case HOST -> {
@@ -140,56 +144,56 @@
   }
 
   /** When the last fault is over, in milliseconds. */
-  public long faultsOverMillis() {
+  public long lastFaultEndMillis() {
     return faults.stream().mapToLong(Fault::untilMillis).max().orElse(0);
   }
 
   /** The same without what only virtual time can show: a clock of its own for each machine. */
-  public Plan playable() {
+  public Plan withoutClockSteps() {
     return with(
         faults.stream().filter(fault -> !fault.kind().name().equals("clock-step")).toList());
   }
 
   public Plan with(List<Fault> left) {
-    return new Plan(seed, seconds, proxies, hosts, rate, sockets, left, clients, view);
+    return new Plan(seed, seconds, proxies, hosts, rate, sockets, left, clients, fleetMode);
   }
 
   /** The same with no more than so many seconds, which ends it early. */
-  public Plan until(int shorter) {
-    return new Plan(seed, shorter, proxies, hosts, rate, sockets, faults, clients, view);
+  public Plan withSeconds(int shorter) {
+    return new Plan(seed, shorter, proxies, hosts, rate, sockets, faults, clients, fleetMode);
   }
 
-  public Plan with(Numbers left) {
-    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, left, view);
+  public Plan with(IndexSet left) {
+    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, left, fleetMode);
   }
 
   /** Whether the proxies keep a view of the fleet. */
-  public boolean membership() {
-    return view != View.NONE;
+  public boolean usesMembership() {
+    return fleetMode != FleetMode.NONE;
   }
 
   /** Whether they share the fleet's budgets by who is there. */
-  public boolean shares() {
-    return view.compareTo(View.SHARES) >= 0;
+  public boolean sharesBudgets() {
+    return fleetMode.compareTo(FleetMode.SHARES) >= 0;
   }
 
   /** Whether each asks a subset of the hosts. */
-  public boolean subsets() {
-    return view == View.SUBSETS;
+  public boolean usesSubsets() {
+    return fleetMode == FleetMode.SUBSETS;
   }
 
   /** By how many proxies a host is asked at least; in small fleets less than usual. */
-  public int askers() {
-    return proxies < ASKERS_FROM ? FEW_ASKERS : ASKERS;
+  public int minProxiesPerHost() {
+    return proxies < LARGE_FLEET_PROXIES ? SMALL_FLEET_MIN_PROXIES_PER_HOST : MIN_PROXIES_PER_HOST;
   }
 
   /** The same on another number of hosts, no fewer than faults are aimed at. */
-  public Plan onHosts(int count) {
-    return new Plan(seed, seconds, proxies, count, rate, sockets, faults, clients, view);
+  public Plan withHosts(int count) {
+    return new Plan(seed, seconds, proxies, count, rate, sockets, faults, clients, fleetMode);
   }
 
   /** The same with proxies that do this together. */
-  public Plan with(View together) {
+  public Plan with(FleetMode together) {
     return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, clients, together);
   }
 }
--- a/src/main/java/brassbank/sim/fault/Script.java
+++ b/src/main/java/brassbank/sim/fault/Script.java
@@ -16,13 +16,13 @@
 
 /** A plan as a TOML file: docs/simulation.md has the keys. What a script leaves out is as usual. */
 public final class Script {
-  private static final int LEAST_SECONDS = 1;
-  private static final int MOST_SECONDS = 3_600;
-  private static final int MOST_MACHINES = 250;
-  private static final double MOST_RATE = 1_000;
-  private static final int LEAST_SOCKETS = 80;
-  private static final int MOST_SOCKETS = 1 << 20;
-  private static final double MOST_SIZE = 1e6;
+  private static final int MIN_SECONDS = 1;
+  private static final int MAX_SECONDS = 3_600;
+  private static final int MAX_MACHINES = 250;
+  private static final double MAX_CLIENTS_PER_SECOND = 1_000;
+  private static final int MIN_SOCKETS = 80;
+  private static final int MAX_SOCKETS = 1 << 20;
+  private static final double MAX_SIZE = 1e6;
 
   private final String file;
 
@@ -40,23 +40,23 @@
     TomlParseResult toml = Toml.parse(text);
     if (toml.hasErrors()) {
       TomlParseError first = toml.errors().get(0);
-      throw new ScriptException(place(file, first.position()) + first.getMessage());
+      throw new ScriptException(position(file, first.position()) + first.getMessage());
     }
     return new Script(file).plan(toml);
   }
 
-  private static String place(String file, TomlPosition position) {
+  private static String position(String file, TomlPosition position) {
     return position == null
         ? file + ": "
         : file + ":" + position.line() + ":" + position.column() + ": ";
   }
 
-  private ScriptException wrong(TomlTable table, String key, String what) {
-    return new ScriptException(place(file, table.inputPositionOf(key)) + what);
+  private ScriptException error(TomlTable table, String key, String what) {
+    return new ScriptException(position(file, table.inputPositionOf(key)) + what);
   }
 
   private Plan plan(TomlTable toml) throws ScriptException {
-    known(
+    requireKnownKeys(
         toml,
         List.of(
             "seed",
@@ -70,47 +70,47 @@
             "shares",
             "subsets",
             "fault"));
-    int proxies = (int) whole(toml, "proxies", Plan.PROXIES, 1, MOST_MACHINES);
-    int hosts = (int) whole(toml, "hosts", Plan.HOSTS, 1, MOST_MACHINES);
+    int proxies = (int) integer(toml, "proxies", Plan.DEFAULT_PROXIES, 1, MAX_MACHINES);
+    int hosts = (int) integer(toml, "hosts", Plan.DEFAULT_HOSTS, 1, MAX_MACHINES);
     Plan plan =
         new Plan(
-            whole(toml, "seed", 1, Long.MIN_VALUE, Long.MAX_VALUE),
-            (int) whole(toml, "seconds", Plan.SECONDS, LEAST_SECONDS, MOST_SECONDS),
+            integer(toml, "seed", 1, Long.MIN_VALUE, Long.MAX_VALUE),
+            (int) integer(toml, "seconds", Plan.DEFAULT_SECONDS, MIN_SECONDS, MAX_SECONDS),
             proxies,
             hosts,
-            number(toml, "rate", Plan.RATE, 0.01, MOST_RATE),
-            (int) whole(toml, "sockets", Plan.USUAL_SOCKETS, LEAST_SOCKETS, MOST_SOCKETS),
+            number(toml, "rate", Plan.DEFAULT_CLIENTS_PER_SECOND, 0.01, MAX_CLIENTS_PER_SECOND),
+            (int) integer(toml, "sockets", Plan.DEFAULT_SOCKETS, MIN_SOCKETS, MAX_SOCKETS),
             List.of(),
             clients(toml),
             view(toml));
     return plan.with(faults(toml, plan));
   }
 
-  private void known(TomlTable table, List<String> keys) throws ScriptException {
+  private void requireKnownKeys(TomlTable table, List<String> keys) throws ScriptException {
     for (String key : table.keySet()) {
       if (!keys.contains(key)) {
-        throw wrong(table, key, "no such key: '" + key + "'; known are " + new TreeSet<>(keys));
+        throw error(table, key, "no such key: '" + key + "'; known are " + new TreeSet<>(keys));
       }
     }
   }
 
   /** The most that any of the flags asks for. */
-  private Plan.View view(TomlTable toml) throws ScriptException {
-    Plan.View most = Plan.View.NONE;
-    for (Plan.View view : Plan.View.values()) {
-      most = view != Plan.View.NONE && flag(toml, view.key()) ? view : most;
+  private Plan.FleetMode view(TomlTable toml) throws ScriptException {
+    Plan.FleetMode most = Plan.FleetMode.NONE;
+    for (Plan.FleetMode view : Plan.FleetMode.values()) {
+      most = view != Plan.FleetMode.NONE && flag(toml, view.key()) ? view : most;
     }
     return most;
   }
 
-  private long whole(TomlTable table, String key, long absent, long least, long most)
+  private long integer(TomlTable table, String key, long absent, long least, long most)
       throws ScriptException {
     Object value = table.get(List.of(key));
     if (value == null) {
       return absent;
     }
     if (!(value instanceof Long number) || number < least || number > most) {
-      throw wrong(table, key, "'" + key + "' must be a whole number from " + least + " to " + most);
+      throw error(table, key, "'" + key + "' must be a whole number from " + least + " to " + most);
     }
     return number;
   }
@@ -124,7 +124,7 @@
     double number =
         value instanceof Double real ? real : value instanceof Long whole ? whole : Double.NaN;
     if (!(number >= least && number <= most)) {
-      throw wrong(table, key, "'" + key + "' must be a number from " + least + " to " + most);
+      throw error(table, key, "'" + key + "' must be a number from " + least + " to " + most);
     }
     return number;
   }
@@ -132,27 +132,27 @@
   private String text(TomlTable table, String key) throws ScriptException {
     Object value = table.get(List.of(key));
     if (value != null && !(value instanceof String)) {
-      throw wrong(table, key, "'" + key + "' must be a string");
+      throw error(table, key, "'" + key + "' must be a string");
     }
     return (String) value;
   }
 
-  private Numbers clients(TomlTable toml) throws ScriptException {
+  private IndexSet clients(TomlTable toml) throws ScriptException {
     String text = text(toml, "clients");
     if (text == null || text.equals("all")) {
-      return Numbers.ALL;
+      return IndexSet.ALL;
     }
     try {
-      return Numbers.parse(text);
+      return IndexSet.parse(text);
     } catch (IllegalArgumentException e) {
-      throw wrong(toml, "clients", "'clients' is neither \"all\" nor a list: " + e.getMessage());
+      throw error(toml, "clients", "'clients' is neither \"all\" nor a list: " + e.getMessage());
     }
   }
 
   private boolean flag(TomlTable toml, String key) throws ScriptException {
     Object value = toml.get(List.of(key));
     if (value != null && !(value instanceof Boolean)) {
-      throw wrong(toml, key, "'" + key + "' must be true or false");
+      throw error(toml, key, "'" + key + "' must be true or false");
     }
     return Boolean.TRUE.equals(value);
   }
@@ -164,11 +164,11 @@
       return faults;
     }
     if (!(value instanceof TomlArray array)) {
-      throw wrong(toml, "fault", "'fault' must be written as [[fault]]");
+      throw error(toml, "fault", "'fault' must be written as [[fault]]");
     }
     for (int i = 0; i < array.size(); i++) {
       if (!(array.get(i) instanceof TomlTable table)) {
-        throw wrong(toml, "fault", "'fault' must be written as [[fault]]");
+        throw error(toml, "fault", "'fault' must be written as [[fault]]");
       }
       faults.add(fault(table, array.inputPositionOf(i), plan));
     }
@@ -176,49 +176,49 @@
   }
 
   private Fault fault(TomlTable table, TomlPosition at, Plan plan) throws ScriptException {
-    known(table, List.of("kind", "at_ms", "for_ms", "target", "size"));
+    requireKnownKeys(table, List.of("kind", "at_ms", "for_ms", "target", "size"));
     String name = text(table, "kind");
     if (name == null) {
-      throw new ScriptException(place(file, at) + "a fault needs a 'kind'");
+      throw new ScriptException(position(file, at) + "a fault needs a 'kind'");
     }
-    FaultKind kind = Kinds.named(name);
+    FaultKind kind = FaultKinds.byName(name);
     if (kind == null) {
-      throw wrong(
+      throw error(
           table, "kind", "no such kind of fault: '" + name + "'; 'simulate --kinds' lists them");
     }
     long most = plan.seconds() * 1_000L;
-    long from = whole(table, "at_ms", 0, 0, most);
-    long length = whole(table, "for_ms", kind.leastMillis(), 0, most);
-    List<String> targets = Plan.targets(kind.on(), plan.proxies(), plan.hosts());
+    long from = integer(table, "at_ms", 0, 0, most);
+    long length = integer(table, "for_ms", kind.minMillis(), 0, most);
+    List<String> targets = Plan.targets(kind.targetType(), plan.proxies(), plan.hosts());
     String target = text(table, "target");
-    if (kind.on() == FaultKind.On.LINK) {
-      links(table, at, name, target);
+    if (kind.targetType() == FaultKind.TargetType.LINK) {
+      validateLinks(table, at, name, target);
     } else if (target == null) {
       if (!targets.isEmpty()) {
-        throw new ScriptException(place(file, at) + name + " needs a 'target'");
+        throw new ScriptException(position(file, at) + name + " needs a 'target'");
       }
       target = "";
     } else if (!targets.contains(target)) {
-      throw wrong(
+      throw error(
           table,
           "target",
           targets.isEmpty()
               ? name + " takes no target"
               : "no such target: '" + target + "'; there are " + targets);
     }
-    double size = number(table, "size", kind.leastSize(), -MOST_SIZE, MOST_SIZE);
+    double size = number(table, "size", kind.minSize(), -MAX_SIZE, MAX_SIZE);
     return new Fault(kind, from, length, target, size);
   }
 
-  private void links(TomlTable table, TomlPosition at, String name, String target)
+  private void validateLinks(TomlTable table, TomlPosition at, String name, String target)
       throws ScriptException {
     if (target == null) {
-      throw new ScriptException(place(file, at) + name + " needs a 'target'");
+      throw new ScriptException(position(file, at) + name + " needs a 'target'");
     }
     try {
-      Ends.parse(target);
+      LinkSelector.parse(target);
     } catch (IllegalArgumentException e) {
-      throw wrong(table, "target", e.getMessage());
+      throw error(table, "target", e.getMessage());
     }
   }
 
@@ -233,8 +233,8 @@
     text.append("rate = ").append(plan.rate()).append('\n');
     text.append("sockets = ").append(plan.sockets()).append('\n');
     text.append("clients = \"").append(plan.clients()).append("\"\n");
-    if (plan.membership()) {
-      text.append(plan.view().key()).append(" = true\n");
+    if (plan.usesMembership()) {
+      text.append(plan.fleetMode().key()).append(" = true\n");
     }
     for (Fault fault : plan.faults()) {
       text.append("\n[[fault]]\n");
--- a/src/main/java/brassbank/sim/members/MembersDrillCommand.java
+++ b/src/main/java/brassbank/sim/members/SimulateMembersCommand.java
@@ -30,8 +30,8 @@
       "Status 1: a view broke a rule, somebody was falsely declared dead, or a view was not right"
           + " within 40 s."
     })
-public final class MembersDrillCommand implements Callable<Integer> {
-  private static final int MOST_MEMBERS = 1_500;
+public final class SimulateMembersCommand implements Callable<Integer> {
+  private static final int MAX_MEMBERS = 1_500;
   private static final Pattern RANGE = Pattern.compile("(\\d{1,9})-(\\d{1,9})");
 
   @Option(
@@ -53,7 +53,7 @@
       paramLabel = "NAME",
       split = ",",
       description = "What is done to it, all of them if not given: ${COMPLETION-CANDIDATES}.")
-  private List<Scene> scenes = new ArrayList<>();
+  private List<MembershipScenario> scenes = new ArrayList<>();
 
   @Option(
       names = "--suspicion-ms",
@@ -65,8 +65,8 @@
   @Override
   public Integer call() {
     Matcher range = RANGE.matcher(seeds);
-    if (members < 2 || members > MOST_MEMBERS) {
-      throw new UsageException("--members must be from 2 to " + MOST_MEMBERS);
+    if (members < 2 || members > MAX_MEMBERS) {
+      throw new UsageException("--members must be from 2 to " + MAX_MEMBERS);
     }
     if (suspicionMillis < 100 || suspicionMillis > 60_000) {
       throw new UsageException("--suspicion-ms must be from 100 to 60000");
@@ -79,60 +79,63 @@
     System.out.printf(
         "%-12s %8s %8s %8s %8s %8s %8s %8s %8s%n",
         "scene", "times", "median", "99%", "most", "never", "false", "broken", "stopped");
-    for (Scene scene : scenes.isEmpty() ? Arrays.asList(Scene.values()) : scenes) {
-      List<Scene.Result> results =
+    for (MembershipScenario scene :
+        scenes.isEmpty() ? Arrays.asList(MembershipScenario.values()) : scenes) {
+      List<MembershipScenario.Result> results =
           LongStream.rangeClosed(Long.parseLong(range.group(1)), Long.parseLong(range.group(2)))
               .parallel()
-              .mapToObj(seed -> quietly(scene, seed, settings))
+              .mapToObj(seed -> playWithoutLog(scene, seed, settings))
               .toList();
-      sound &= told(scene, results);
+      sound &= printResults(scene, results);
     }
     return sound ? ExitStatus.OK : ExitStatus.FAILED;
   }
 
-  private Scene.Result quietly(Scene scene, long seed, Settings settings) {
+  private MembershipScenario.Result playWithoutLog(
+      MembershipScenario scene, long seed, Settings settings) {
     Log.setThreadSink(event -> {});
     try {
-      return scene.play(seed, members, scene.fitting(settings), UnaryOperator.identity());
+      return scene.play(seed, members, scene.adjust(settings), UnaryOperator.identity());
     } finally {
       Log.setThreadSink(null);
     }
   }
 
-  private static boolean told(Scene scene, List<Scene.Result> results) {
+  private static boolean printResults(
+      MembershipScenario scene, List<MembershipScenario.Result> results) {
     List<Double> seconds = new ArrayList<>();
-    results.forEach(result -> seconds.addAll(result.seconds));
+    results.forEach(result -> seconds.addAll(result.convergenceSeconds));
     Collections.sort(seconds);
-    int never = results.stream().mapToInt(result -> result.never).sum();
+    int never = results.stream().mapToInt(result -> result.unconverged).sum();
     int falseDeaths = results.stream().mapToInt(result -> result.falseDeaths).sum();
-    List<String> broken = results.stream().flatMap(result -> result.broken.stream()).toList();
+    List<String> broken = results.stream().flatMap(result -> result.violations.stream()).toList();
     System.out.printf(
         Locale.ROOT,
         "%-12s %8d %8s %8s %8s %8d %8d %8d %8d%n",
         scene,
         seconds.size(),
-        at(seconds, 0.5),
-        at(seconds, 0.99),
-        at(seconds, 1),
+        percentile(seconds, 0.5),
+        percentile(seconds, 0.99),
+        percentile(seconds, 1),
         never,
         falseDeaths,
         broken.size(),
-        results.stream().mapToInt(result -> result.stoppedDeaths).sum());
+        results.stream().mapToInt(result -> result.pausedDeaths).sum());
     results.stream()
         .filter(result -> result.falseDeaths > 0)
         .limit(2)
-        .forEach(result -> System.out.println("  false death at " + result.firstFalse));
+        .forEach(result -> System.out.println("  false death at " + result.firstFalseDeath));
     broken.stream().limit(2).forEach(what -> System.out.println("  " + what));
     double bytes =
         results.stream()
-            .flatMap(result -> result.bytes.stream())
+            .flatMap(result -> result.bytesPerMemberSecond.stream())
             .mapToDouble(d -> d)
             .average()
             .orElse(0);
     if (bytes > 0) {
       double messages =
           results.stream()
-              .flatMap(result -> result.messages.stream())
+              .flatMap(result -> result.datagramsPerMemberSecond.stream())
               .mapToDouble(d -> d)
               .average()
               .orElse(0);
@@ -142,7 +145,7 @@
     return never == 0 && falseDeaths == 0 && broken.isEmpty();
   }
 
-  private static String at(List<Double> sorted, double share) {
+  private static String percentile(List<Double> sorted, double share) {
     if (sorted.isEmpty()) {
       return "-";
     }
--- a/src/main/java/brassbank/sim/members/Flock.java
+++ b/src/main/java/brassbank/sim/members/SimulatedCluster.java
@@ -30,13 +30,13 @@
 import java.util.function.UnaryOperator;
 
 /** Members on a simulated network, the truth about them, and what each believes of each. */
-final class Flock {
+final class SimulatedCluster {
   static final int PORT = 7_075;
   private static final long SECOND = Agenda.SECOND;
   private static final long EPOCH_MILLIS = 1_767_225_600_000L;
-  private static final int THIRDS = 50;
-  private static final int RUNTIME = 20;
-  private static final int DESCRIPTORS = 64;
+  private static final int MAX_INTERMEDIARIES = 50;
+  private static final int RUNTIME_DESCRIPTORS = 20;
+  private static final int DESCRIPTOR_LIMIT = 64;
 
   /** Ways within a zone and between zones, in microseconds, as in {@code brassbank simulate}. */
   private static final Fabric.Latency LATENCY = new Fabric.Latency(110, 320, 700, 1_300, 0.2);
@@ -45,54 +45,54 @@
   private static final List<String> ZONES = List.of("leith", "dalkeith");
 
   /** Who is told when somebody believes something false of somebody who could be reached. */
-  interface Alarm {
+  interface FalseDeathHandler {
     void falseDeath(long now, String by, String of);
   }
 
   /** One member, through the lives of its process. */
-  final class One {
+  final class SimulatedMember {
     final int number;
     final String name;
     final Machine machine;
-    private final boolean[] believes;
+    private final boolean[] believesLive;
     private Program program;
     private Fleet fleet;
-    private long clockStep;
-    private long life;
+    private long clockOffsetMillis;
+    private long processNumber;
 
     /** The highest incarnation that it has had; null before its first start. */
-    private Incarnation highest;
+    private Incarnation highestIncarnation;
 
-    private boolean goodbye;
+    private boolean hasLeft;
 
     /** It has run, and has not been stopped, since then. */
-    long soundSince;
+    long runningSinceMicros;
 
-    One(int number, int most) {
+    SimulatedMember(int number, int most) {
       this(number, most, "n" + number);
     }
 
     /** With another's name. */
-    private One(int number, int most, String name) {
+    private SimulatedMember(int number, int most, String name) {
       this.number = number;
       this.name = name;
-      machine = fabric.machine("n" + number, ZONES.get(number % ZONES.size()), address(number));
-      believes = new boolean[most];
+      machine = fabric.addMachine("n" + number, ZONES.get(number % ZONES.size()), address(number));
+      believesLive = new boolean[most];
     }
 
-    boolean running() {
-      return program != null && program.alive();
+    boolean isRunning() {
+      return program != null && program.isAlive();
     }
 
     void start() {
-      program = new Program(machine, name, RUNTIME, DESCRIPTORS);
-      SimClock clock = new SimClock(agenda, stream.bits() >>> 8, EPOCH_MILLIS + clockStep);
-      Network network = wrapping.apply(new SimNetwork(program, clock, held -> {}));
-      Net net = new Net(DESCRIPTORS, network);
-      goodbye = false;
-      java.util.Arrays.fill(believes, false);
-      believes[number] = true;
-      soundSince = agenda.now();
+      program = new Program(machine, name, RUNTIME_DESCRIPTORS, DESCRIPTOR_LIMIT);
+      SimClock clock = new SimClock(agenda, stream.bits() >>> 8, EPOCH_MILLIS + clockOffsetMillis);
+      Network network = networkDecorator.apply(new SimNetwork(program, clock, held -> {}));
+      Net net = new Net(DESCRIPTOR_LIMIT, network);
+      hasLeft = false;
+      java.util.Arrays.fill(believesLive, false);
+      believesLive[number] = true;
+      runningSinceMicros = agenda.now();
       InetSocketAddress here = new InetSocketAddress(machine.address(), PORT);
       fleet =
           new Fleet(
@@ -104,11 +104,11 @@
               () -> Activity.ACTIVE,
               null);
       Fleet mine = fleet;
-      long thisLife = ++life;
+      long thisLife = ++processNumber;
       fleet.addListener(
           change -> {
-            if (life == thisLife) {
-              changed(change);
+            if (processNumber == thisLife) {
+              onViewChange(change);
             }
           });
       try {
@@ -121,151 +121,155 @@
 
     /** Its wall clock goes by so many milliseconds more, from its next start on. */
     void stepClock(long millis) {
-      clockStep += millis;
+      clockOffsetMillis += millis;
     }
 
     void kill() {
-      remember();
-      life++;
+      recordIncarnation();
+      processNumber++;
       program.kill();
     }
 
     void leave() {
-      life++;
+      processNumber++;
       Fleet mine = fleet;
       Program mineToo = program;
-      program.later(
+      program.schedule(
           0,
           () -> {
             Incarnation last = mine.membership().incarnation();
-            highest = new Incarnation(last.startTime(), last.revision() + 1);
-            goodbye = true;
+            highestIncarnation = new Incarnation(last.startTime(), last.revision() + 1);
+            hasLeft = true;
             mine.close(true);
             mineToo.exit();
           });
     }
 
-    void stop(long micros) {
+    void pause(long micros) {
       program.pause(agenda.now() + micros);
-      soundSince = agenda.now() + micros;
+      runningSinceMicros = agenda.now() + micros;
     }
 
     Fleet fleet() {
       return fleet;
     }
 
-    private void remember() {
+    private void recordIncarnation() {
       if (fleet != null && fleet.membership() != null) {
         Incarnation now = fleet.membership().incarnation();
-        highest = highest == null || now.compareTo(highest) > 0 ? now : highest;
+        highestIncarnation =
+            highestIncarnation == null || now.compareTo(highestIncarnation) > 0
+                ? now
+                : highestIncarnation;
       }
     }
 
-    private void changed(ViewChange change) {
+    private void onViewChange(ViewChange change) {
       Member after = change.after();
       Member before = change.before();
       if (after == null && before == null) {
         return;
       }
-      One other = byName.get(after == null ? before.name() : after.name());
+      SimulatedMember other = byName.get(after == null ? before.name() : after.name());
       if (other == null || other == this) {
         return;
       }
       boolean there = after != null && after.state().isLive();
-      believes[other.number] = there;
+      believesLive[other.number] = there;
       if (before != null
           && after != null
           && !before.state().isLive()
           && there
           && after.incarnation().compareTo(before.incarnation()) <= 0) {
-        broken.add(name + " took " + other.name + " back at " + after.incarnation());
+        violations.add(name + " took " + other.name + " back at " + after.incarnation());
       }
-      other.remember();
-      if (after != null && other.highest != null && twins == 0) {
-        if (after.incarnation().compareTo(other.highest) > 0) {
-          broken.add(name + " has " + other.name + " at " + after.incarnation() + ", never had");
+      other.recordIncarnation();
+      if (after != null && other.highestIncarnation != null && duplicateNames == 0) {
+        if (after.incarnation().compareTo(other.highestIncarnation) > 0) {
+          violations.add(
+              name + " has " + other.name + " at " + after.incarnation() + ", never had");
         }
         if (after.state() == State.DEAD
-            && other.goodbye
-            && after.incarnation().equals(other.highest)) {
-          broken.add(name + " takes the goodbye of " + other.name + " for a death");
+            && other.hasLeft
+            && after.incarnation().equals(other.highestIncarnation)) {
+          violations.add(name + " takes the goodbye of " + other.name + " for a death");
         }
       }
       // One of whom a newcomer first hears as of a dead one was not declared so by it.
       boolean declared = before != null && before.state().isLive();
-      if (declared && after != null && after.state() == State.DEAD && other.running()) {
-        if (reachable(other)) {
-          alarm.falseDeath(agenda.now(), name, other.name);
-        } else if (other.soundSince > agenda.now() - REACHED_FOR) {
-          stoppedDeaths++;
+      if (declared && after != null && after.state() == State.DEAD && other.isRunning()) {
+        if (isReachable(other)) {
+          falseDeathHandler.falseDeath(agenda.now(), name, other.name);
+        } else if (other.runningSinceMicros > agenda.now() - MIN_REACHABLE_MICROS) {
+          pausedDeaths++;
         }
       }
     }
 
     /** Whether the two could hear each other, straight or by a third, for as long as counts. */
-    private boolean reachable(One other) {
-      long since = agenda.now() - REACHED_FOR;
-      if (!other.running() || other.soundSince > since) {
+    private boolean isReachable(SimulatedMember other) {
+      long since = agenda.now() - MIN_REACHABLE_MICROS;
+      if (!other.isRunning() || other.runningSinceMicros > since) {
         return false;
       }
-      if (lastCut == null || (healedAt <= since && !cut) || joined(this, other)) {
+      if (lastCut == null || (healedAtMicros <= since && !cut) || isConnected(this, other)) {
         return true;
       }
       // Of a large flock a few thirds are tried: each death asks.
-      for (int i = 0; i < all.size(); i += 1 + all.size() / THIRDS) {
-        One third = all.get(i);
+      for (int i = 0; i < members.size(); i += 1 + members.size() / MAX_INTERMEDIARIES) {
+        SimulatedMember third = members.get(i);
         if (third != this
             && third != other
-            && third.running()
-            && third.soundSince <= since
-            && joined(this, third)
-            && joined(third, other)) {
+            && third.isRunning()
+            && third.runningSinceMicros <= since
+            && isConnected(this, third)
+            && isConnected(third, other)) {
           return true;
         }
       }
       return false;
     }
 
-    boolean believes(One other) {
-      return believes[other.number];
+    boolean believesLive(SimulatedMember other) {
+      return believesLive[other.number];
     }
   }
 
   /** One that is declared dead within this after it could be heard again is no false death. */
-  static final long REACHED_FOR = 3 * SECOND;
+  static final long MIN_REACHABLE_MICROS = 3 * SECOND;
 
   private final Agenda agenda = new Agenda();
   private final Fabric fabric;
   private final RandomStreams.Stream stream;
   private final Settings settings;
-  private final UnaryOperator<Network> wrapping;
+  private final UnaryOperator<Network> networkDecorator;
   private final List<InetSocketAddress> seeds = new ArrayList<>();
-  private final List<One> all = new ArrayList<>();
-  private final Map<String, One> byName = new HashMap<>();
-  private final List<String> broken = new ArrayList<>();
-  private final int most;
-  private int stoppedDeaths;
-  private int twins;
-  private Alarm alarm = (now, by, of) -> {};
+  private final List<SimulatedMember> members = new ArrayList<>();
+  private final Map<String, SimulatedMember> byName = new HashMap<>();
+  private final List<String> violations = new ArrayList<>();
+  private final int maxMembers;
+  private int pausedDeaths;
+  private int duplicateNames;
+  private FalseDeathHandler falseDeathHandler = (now, by, of) -> {};
   private BiPredicate<Machine, Machine> lastCut;
   private Disturbance cutting;
   private boolean cut;
-  private long healedAt;
+  private long healedAtMicros;
 
   /**
    * @param most members that there will be, at most
    * @param wrapping put round the network of each; the identity but where a test plants a bug
    */
-  Flock(long seed, int most, Settings settings, UnaryOperator<Network> wrapping) {
+  SimulatedCluster(long seed, int most, Settings settings, UnaryOperator<Network> wrapping) {
     RandomStreams draws = new RandomStreams(seed);
     fabric = new Fabric(agenda, draws, LATENCY, BUFFERS);
     stream = draws.of("flock");
     this.settings = settings;
-    this.wrapping = wrapping;
-    this.most = most;
+    this.networkDecorator = wrapping;
+    this.maxMembers = most;
   }
 
-  private boolean joined(One a, One b) {
+  private boolean isConnected(SimulatedMember a, SimulatedMember b) {
     return !lastCut.test(a.machine, b.machine) && !lastCut.test(b.machine, a.machine);
   }
 
@@ -278,45 +282,45 @@
   }
 
   /** One more, which is not started yet. */
-  One add() {
-    One one = new One(all.size(), most);
-    all.add(one);
+  SimulatedMember add() {
+    SimulatedMember one = new SimulatedMember(members.size(), maxMembers);
+    members.add(one);
     byName.put(one.name, one);
     return one;
   }
 
   /** One more process with the name of another, at a machine of its own. */
-  One twin(One of) {
-    twins++;
-    One one = new One(all.size(), most, of.name);
-    all.add(one);
+  SimulatedMember addDuplicate(SimulatedMember of) {
+    duplicateNames++;
+    SimulatedMember one = new SimulatedMember(members.size(), maxMembers, of.name);
+    members.add(one);
     return one;
   }
 
   /** Where all look for others, from their next start on. */
-  void seeds(One... ones) {
+  void seeds(SimulatedMember... ones) {
     seeds.clear();
-    for (One one : ones) {
+    for (SimulatedMember one : ones) {
       seeds.add(new InetSocketAddress(one.machine.address(), PORT));
     }
   }
 
-  void alarm(Alarm told) {
-    alarm = told;
+  void falseDeathHandler(FalseDeathHandler told) {
+    falseDeathHandler = told;
   }
 
-  List<One> all() {
-    return all;
+  List<SimulatedMember> members() {
+    return members;
   }
 
   /** What broke a rule of every step, so far. */
-  List<String> broken() {
-    return broken;
+  List<String> violations() {
+    return violations;
   }
 
   /** How often somebody was declared dead that was only stopped, or had just begun. */
-  int stoppedDeaths() {
-    return stoppedDeaths;
+  int pausedDeaths() {
+    return pausedDeaths;
   }
 
   RandomStreams.Stream stream() {
@@ -342,13 +346,13 @@
             return between.test(from, to);
           }
         };
-    fabric.begin(cutting);
+    fabric.addDisturbance(cutting);
   }
 
   void heal() {
-    fabric.end(cutting);
+    fabric.removeDisturbance(cutting);
     cut = false;
-    healedAt = agenda.now();
+    healedAtMicros = agenda.now();
   }
 
   /** Lets time go by. */
@@ -360,7 +364,7 @@
   }
 
   /** Lets time go by until it is so; how long that took, or -1 if it did not come in time. */
-  long until(long within, java.util.function.BooleanSupplier so) {
+  long runUntil(long within, java.util.function.BooleanSupplier so) {
     long begun = agenda.now();
     while (!so.getAsBoolean()) {
       if (agenda.now() - begun >= within) {
@@ -372,9 +376,9 @@
   }
 
   /** Whether all that run believe exactly this of one. */
-  boolean allBelieve(One of, boolean there) {
-    for (One one : all) {
-      if (one != of && one.running() && one.believes[of.number] != there) {
+  boolean allAgreeOn(SimulatedMember of, boolean there) {
+    for (SimulatedMember one : members) {
+      if (one != of && one.isRunning() && one.believesLive[of.number] != there) {
         return false;
       }
     }
@@ -382,11 +386,11 @@
   }
 
   /** Whether all views are equal, and equal to the truth. */
-  boolean allTrue() {
-    for (One one : all) {
-      if (one.running()) {
-        for (One other : all) {
-          if (one.believes[other.number] != other.running()) {
+  boolean allViewsCorrect() {
+    for (SimulatedMember one : members) {
+      if (one.isRunning()) {
+        for (SimulatedMember other : members) {
+          if (one.believesLive[other.number] != other.isRunning()) {
             return false;
           }
         }
@@ -396,16 +400,16 @@
   }
 
   /** Bytes that all have sent so far. */
-  long bytes() {
-    return all.stream()
-        .filter(One::running)
+  long sentBytes() {
+    return members.stream()
+        .filter(SimulatedMember::isRunning)
         .mapToLong(one -> one.fleet.datagramCounters().sentBytes())
         .sum();
   }
 
-  long messages() {
-    return all.stream()
-        .filter(One::running)
+  long sentDatagrams() {
+    return members.stream()
+        .filter(SimulatedMember::isRunning)
         .mapToLong(one -> one.fleet.datagramCounters().sent())
         .sum();
   }
--- a/src/main/java/brassbank/sim/net/ByteQueue.java
+++ b/src/main/java/brassbank/sim/net/ByteQueue.java
@@ -27,7 +27,7 @@
     end += count;
   }
 
-  int take(byte[] into, int offset, int most) {
+  int remove(byte[] into, int offset, int most) {
     int count = Math.min(most, size());
     System.arraycopy(data, start, into, offset, count);
     start += count;
@@ -38,9 +38,9 @@
     return count;
   }
 
-  byte[] take(int count) {
+  byte[] remove(int count) {
     byte[] taken = new byte[count];
-    take(taken, 0, count);
+    remove(taken, 0, count);
     return taken;
   }
 
--- a/src/main/java/brassbank/sim/net/Datagrams.java
+++ b/src/main/java/brassbank/sim/net/DatagramSocket.java
@@ -10,13 +10,13 @@
  * after one that was sent later, the last only where something is wrong with the way; nobody is
  * told of it. One that meets no socket is lost.
  */
-public final class Datagrams {
+public final class DatagramSocket {
   /** What one carries at most; more is turned down, as a way without fragments does. */
-  public static final int MOST_BYTES = 1_472;
+  public static final int MAX_BYTES = 1_472;
 
   /** Who is told of what comes, on a turn of its program. */
   public interface Handler {
-    void came(Machine from, int port, byte[] bytes);
+    void received(Machine from, int port, byte[] bytes);
   }
 
   private final Program program;
@@ -26,51 +26,51 @@
   private final Map<Machine, Long> lastArrival = new HashMap<>();
   private boolean open = true;
 
-  Datagrams(Program program, int port, Handler handler) {
+  DatagramSocket(Program program, int port, Handler handler) {
     this.program = program;
     this.port = port;
     this.handler = handler;
-    stream = program.machine().fabric().datagrams(program.machine());
+    stream = program.machine().fabric().datagramStream(program.machine());
   }
 
   /** Sends to a socket by its address; one that nobody has loses it. */
   public void send(InetSocketAddress to, byte[] bytes) {
-    send(program.machine().fabric().at(to.getAddress()), to.getPort(), bytes);
+    send(program.machine().fabric().machineAt(to.getAddress()), to.getPort(), bytes);
   }
 
   /**
    * Sends to the socket at a port of another machine.
    *
-   * @throws IllegalArgumentException where it is longer than {@link #MOST_BYTES}
+   * @throws IllegalArgumentException where it is longer than {@link #MAX_BYTES}
    */
   public void send(Machine to, int toPort, byte[] bytes) {
-    if (bytes.length > MOST_BYTES) {
+    if (bytes.length > MAX_BYTES) {
       throw new IllegalArgumentException("a datagram of " + bytes.length + " bytes");
     }
     Machine from = program.machine();
     Fabric fabric = from.fabric();
-    from.sent(bytes.length);
-    if (!open || to == null || fabric.blocked(from, to) || fabric.loses(from, to, stream)) {
+    from.countSent(bytes.length);
+    if (!open || to == null || fabric.isBlocked(from, to) || fabric.drawLoss(from, to, stream)) {
       return;
     }
     byte[] own = bytes.clone();
-    int copies = fabric.doubles(from, to, stream) ? 2 : 1;
+    int copies = fabric.drawDuplication(from, to, stream) ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      long arrival = fabric.agenda().now() + fabric.latency(from, to, stream);
-      if (!fabric.touched(from, to)) {
+      long arrival = fabric.agenda().now() + fabric.drawLatency(from, to, stream);
+      if (!fabric.isPathDisturbed(from, to)) {
         arrival = Math.max(arrival, lastArrival.getOrDefault(to, 0L));
         lastArrival.put(to, arrival);
       }
-      fabric.agenda().at(arrival, () -> to.arrives(from, port, toPort, own));
+      fabric.agenda().at(arrival, () -> to.deliverDatagram(from, port, toPort, own));
     }
   }
 
-  void arrives(Machine from, int fromPort, byte[] bytes) {
-    program.later(
+  void deliver(Machine from, int fromPort, byte[] bytes) {
+    program.schedule(
         0,
         () -> {
           if (open) {
-            handler.came(from, fromPort, bytes.clone());
+            handler.received(from, fromPort, bytes.clone());
           }
         });
   }
@@ -79,7 +79,7 @@
   public void close() {
     if (open) {
       open = false;
-      program.machine().hearsNoLonger(port);
+      program.machine().unbindDatagramSocket(port);
     }
   }
 }
--- a/src/main/java/brassbank/sim/net/Disturbance.java
+++ b/src/main/java/brassbank/sim/net/Disturbance.java
@@ -16,52 +16,54 @@
   }
 
   /** Connects are refused. */
-  default boolean refuses(Machine from, Machine to) {
+  default boolean refusesConnects(Machine from, Machine to) {
     return false;
   }
 
   /** Bytes that come in one piece, at most. */
-  default int segment(Machine from, Machine to) {
+  default int maxSegmentBytes(Machine from, Machine to) {
     return Integer.MAX_VALUE;
   }
 
   /** Share of the datagrams that are lost. */
-  default double losesDatagrams(Machine from, Machine to) {
+  default double datagramLossRate(Machine from, Machine to) {
     return 0;
   }
 
   /** Share of the datagrams that come twice. */
-  default double doublesDatagrams(Machine from, Machine to) {
+  default double datagramDuplicationRate(Machine from, Machine to) {
     return 0;
   }
 
   /** Added to the time that a connect takes, in microseconds. */
-  default long connectDelay(Machine from, Machine to) {
+  default long connectDelayMicros(Machine from, Machine to) {
     return 0;
   }
 
   /** Added to the way's latency, in microseconds. */
-  default long delay(Machine from, Machine to) {
+  default long delayMicros(Machine from, Machine to) {
     return 0;
   }
 
-  /** The most that {@link #delay} says on this way, for whoever must not draw from its chance. */
-  default long mostDelay(Machine from, Machine to) {
+  /**
+   * The most that {@link #delayMicros} says on this way, for whoever must not draw from its chance.
+   */
+  default long maxDelayMicros(Machine from, Machine to) {
     return 0;
   }
 
   /** Bytes a second that one connection gets on this way, at most. */
-  default long bandwidth(Machine from, Machine to) {
+  default long maxBytesPerSecond(Machine from, Machine to) {
     return Long.MAX_VALUE;
   }
 
   /** Whether this way is touched at all, so that what is late on it is no one's fault. */
-  default boolean touches(Machine from, Machine to) {
+  default boolean affects(Machine from, Machine to) {
     return blocks(from, to)
-        || delay(from, to) > 0
-        || bandwidth(from, to) < Long.MAX_VALUE
+        || delayMicros(from, to) > 0
+        || maxBytesPerSecond(from, to) < Long.MAX_VALUE
         || blocksConnects(from, to)
-        || refuses(from, to)
-        || connectDelay(from, to) > 0;
+        || refusesConnects(from, to)
+        || connectDelayMicros(from, to) > 0;
   }
 }
--- a/src/main/java/brassbank/sim/net/Endpoint.java
+++ b/src/main/java/brassbank/sim/net/Endpoint.java
@@ -12,18 +12,18 @@
  */
 public final class Endpoint {
   /** As a kernel hands it to its network card, which cuts it to packets. */
-  private static final int SEGMENT = 16 * 1024;
+  private static final int MAX_SEGMENT_BYTES = 16 * 1024;
 
   /** First wait before something lost is sent again, doubled each time: Linux's least and most. */
-  private static final long REPEAT_FIRST = 200 * Agenda.MILLI;
+  private static final long MIN_RETRANSMIT_MICROS = 200 * Agenda.MILLI;
 
-  private static final long REPEAT_MOST = 120 * Agenda.SECOND;
+  private static final long MAX_RETRANSMIT_MICROS = 120 * Agenda.SECOND;
 
   /** How far ahead of a slow way's capacity segments are handed to it. */
-  private static final long AHEAD = 5 * Agenda.MILLI;
+  private static final long MAX_QUEUE_AHEAD_MICROS = 5 * Agenda.MILLI;
 
   /** Share of segments that are cut short at a random byte. */
-  private static final double CUT = 0.05;
+  private static final double SHORT_SEGMENT_PROBABILITY = 0.05;
 
   /** Who is told what can be done, on a turn of its program each. */
   public interface Handler {
@@ -35,7 +35,7 @@
   }
 
   /** Someone who waits until so many bytes have arrived at the peer's machine. */
-  private record Awaited(long bytes, Runnable then) {}
+  private record ArrivalWaiter(long bytes, Runnable then) {}
 
   private final Fabric fabric;
   private final Machine machine;
@@ -46,75 +46,75 @@
 
   private final ByteQueue unsent = new ByteQueue();
   private int inFlight;
-  private long freeAt;
-  private long lastArrival;
-  private long repeatWait;
-  private Agenda.Entry repeat;
-  private boolean pumpDue;
-  private boolean lost;
+  private long linkFreeAtMicros;
+  private long lastArrivalMicros;
+  private long retransmitTimeoutMicros;
+  private Agenda.Entry retransmitTimer;
+  private boolean sendScheduled;
+  private boolean lostAtPeer;
   private long arrivedBytes;
   private long writtenBytes;
 
   /** Its program passes on what it reads, and says itself what of that has arrived. */
-  private boolean passesOn;
+  private boolean isRelay;
 
-  private long stalledUntil;
+  private long delayedUntilMicros;
 
   private final ByteQueue received = new ByteQueue();
 
   private boolean reading = true;
   private boolean writing;
-  private int sendBuffer = Integer.MAX_VALUE;
-  private boolean readTurn;
-  private boolean writeTurn;
+  private int sendBufferBytes = Integer.MAX_VALUE;
+  private boolean readScheduled;
+  private boolean writeScheduled;
 
   /** Our sending has ended; its mark goes out after the last byte. */
-  private boolean shut;
+  private boolean outputShutDown;
 
-  private boolean endSent;
+  private boolean finSent;
 
   /** The peer's sending has ended, and all its bytes are here. */
-  private boolean ended;
+  private boolean peerFinReceived;
 
   /** A reset has come. */
-  private boolean broken;
+  private boolean resetReceived;
 
   /** The program has given it back. */
   private boolean closed;
 
   /** The kernel knows it no longer: whatever comes for it is answered by a reset. */
-  private boolean forgotten;
+  private boolean removedFromKernel;
 
   /** Our reset met a cut way: the peer takes the connection for a silent one. */
   private boolean resetLost;
 
-  private final Deque<Awaited> awaited = new ArrayDeque<>();
-  private Runnable onLocalEnd;
-  private long firstWriteAt = -1;
+  private final Deque<ArrivalWaiter> arrivalWaiters = new ArrayDeque<>();
+  private Runnable onOutputEnd;
+  private long firstWriteAtMicros = -1;
 
   Endpoint(Fabric fabric, Machine machine, RandomStreams.Stream stream) {
     this.fabric = fabric;
     this.machine = machine;
     this.stream = stream;
-    machine.holds(this);
+    machine.addEndpoint(this);
   }
 
   /** Ties this end, which has opened the connection, to the other. */
   void connect(Endpoint other, long oneWay) {
     peer = other;
     other.peer = this;
-    lastArrival = now() + oneWay;
+    lastArrivalMicros = now() + oneWay;
   }
 
   void ownedBy(Program owner) {
     program = owner;
-    passesOn = owner.passesOn();
-    wakeReader();
+    isRelay = owner.isRelay();
+    scheduleRead();
   }
 
   /** It waits in this program's backlog. */
-  void heldFor(Program listener) {
-    passesOn = listener.passesOn();
+  void queuedFor(Program listener) {
+    isRelay = listener.isRelay();
   }
 
   private long now() {
@@ -133,7 +133,7 @@
   /** Sets who is told; what has come before is told on a later turn. */
   public void handler(Handler told) {
     handler = told;
-    wakeReader();
+    scheduleRead();
   }
 
   // ---------------------------------------------------------------- reading
@@ -147,17 +147,17 @@
       throw new ResetException("closed");
     }
     if (received.size() > 0) {
-      int count = received.take(into, offset, most);
+      int count = received.remove(into, offset, most);
       if (peer.unsent.size() > 0) {
         // The room is told to the peer's kernel.
-        fabric.agenda().after(fabric.latency(machine, peer.machine, stream), peer::pump);
+        fabric.agenda().after(fabric.drawLatency(machine, peer.machine, stream), peer::sendPending);
       }
       return count;
     }
-    if (broken) {
+    if (resetReceived) {
       throw new ResetException("connection reset by peer");
     }
-    return ended ? -1 : 0;
+    return peerFinReceived ? -1 : 0;
   }
 
   /**
@@ -176,99 +176,110 @@
   /** Whether {@link Handler#readable} is told; it is so from the start. */
   public void reading(boolean on) {
     reading = on;
-    wakeReader();
+    scheduleRead();
   }
 
-  private boolean readable() {
-    return received.size() > 0 || ended || broken;
+  private boolean isReadable() {
+    return received.size() > 0 || peerFinReceived || resetReceived;
   }
 
-  private void wakeReader() {
-    if (reading && !readTurn && !closed && program != null && handler != null && readable()) {
-      readTurn = true;
-      program.later(0, this::readTurn);
+  private void scheduleRead() {
+    if (reading
+        && !readScheduled
+        && !closed
+        && program != null
+        && handler != null
+        && isReadable()) {
+      readScheduled = true;
+      program.schedule(0, this::readScheduled);
     }
   }
 
-  private void readTurn() {
-    readTurn = false;
+  private void readScheduled() {
+    readScheduled = false;
     if (reading && !closed) {
       handler.readable();
-      wakeReader();
+      scheduleRead();
     }
   }
 
-  private int receiveRoom() {
-    return fabric.buffers().receive() - received.size();
+  private int freeReceiveBytes() {
+    return fabric.buffers().receiveBytes() - received.size();
   }
 
   // ---------------------------------------------------------------- writing
 
   /** Writes as much as the send buffer takes; how many bytes that was. */
   public int write(byte[] from, int offset, int count) throws ResetException {
-    if (closed || broken || shut) {
-      throw new ResetException(closed || shut ? "closed" : "connection reset by peer");
+    if (closed || resetReceived || outputShutDown) {
+      throw new ResetException(closed || outputShutDown ? "closed" : "connection reset by peer");
     }
-    int taken = Math.min(count, room());
+    int taken = Math.min(count, freeSendBytes());
     if (taken > 0) {
-      if (firstWriteAt < 0) {
-        firstWriteAt = now();
+      if (firstWriteAtMicros < 0) {
+        firstWriteAtMicros = now();
       }
       unsent.add(from, offset, taken);
       writtenBytes += taken;
-      pump();
+      sendPending();
     }
     return taken;
   }
 
   /** Bounds what this end's kernel keeps for its peer, in bytes; never above its own bound. */
-  public void sendBuffer(int bytes) {
-    sendBuffer = bytes;
+  public void sendBufferBytes(int bytes) {
+    sendBufferBytes = bytes;
   }
 
-  private int room() {
-    return Math.max(0, Math.min(sendBuffer, fabric.buffers().send()) - unsent.size() - inFlight);
+  private int freeSendBytes() {
+    return Math.max(
+        0, Math.min(sendBufferBytes, fabric.buffers().sendBytes()) - unsent.size() - inFlight);
   }
 
   /** Bytes that were written and have not arrived at the peer's machine. */
-  public int unarrived() {
+  public int undeliveredBytes() {
     return unsent.size() + inFlight;
   }
 
   /** Whether {@link Handler#writable} is told; it is not so from the start. */
   public void writing(boolean on) {
     writing = on;
-    wakeWriter();
+    scheduleWrite();
   }
 
   /** Linux tells of room once a third of the buffer is free. */
-  private boolean writable() {
-    return broken || room() >= fabric.buffers().send() / 3;
+  private boolean isWritable() {
+    return resetReceived || freeSendBytes() >= fabric.buffers().sendBytes() / 3;
   }
 
-  private void wakeWriter() {
-    if (writing && !writeTurn && !closed && program != null && handler != null && writable()) {
-      writeTurn = true;
-      program.later(0, this::writeTurn);
+  private void scheduleWrite() {
+    if (writing
+        && !writeScheduled
+        && !closed
+        && program != null
+        && handler != null
+        && isWritable()) {
+      writeScheduled = true;
+      program.schedule(0, this::writeScheduled);
     }
   }
 
-  private void writeTurn() {
-    writeTurn = false;
-    if (writing && !closed && writable()) {
+  private void writeScheduled() {
+    writeScheduled = false;
+    if (writing && !closed && isWritable()) {
       handler.writable();
-      wakeWriter();
+      scheduleWrite();
     }
   }
 
   /** Ends our sending after all that was written. */
   public void shutdownOutput() throws ResetException {
-    if (closed || broken) {
+    if (closed || resetReceived) {
       throw new ResetException("not connected");
     }
-    endsHere();
-    shut = true;
-    pump();
+    notifyOutputEnd();
+    outputShutDown = true;
+    sendPending();
   }
 
   /**
@@ -284,13 +295,13 @@
       return;
     }
     closed = true;
-    endsHere();
-    giveBack();
-    if (broken) {
-      forget();
+    notifyOutputEnd();
+    releaseDescriptor();
+    if (resetReceived) {
+      removeFromKernel();
     } else {
-      shut = true;
-      pump();
+      outputShutDown = true;
+      sendPending();
     }
   }
 
@@ -300,40 +311,40 @@
       return;
     }
     closed = true;
-    endsHere();
-    giveBack();
+    notifyOutputEnd();
+    releaseDescriptor();
     sendReset();
   }
 
-  private void giveBack() {
+  private void releaseDescriptor() {
     if (program != null) {
-      program.released(this);
+      program.release(this);
     }
   }
 
   /** The machine has lost its power: its kernel knows nothing of this connection any longer. */
-  void vanish() {
+  void dropSilently() {
     closed = true;
-    endsHere();
+    notifyOutputEnd();
     if (program != null) {
-      program.released(this);
+      program.release(this);
     }
-    forget();
+    removeFromKernel();
   }
 
-  private void forget() {
-    forgotten = true;
+  private void removeFromKernel() {
+    removedFromKernel = true;
     unsent.clear();
     received.clear();
-    cancelRepeat();
-    machine.forgets(this);
+    cancelRetransmit();
+    machine.removeEndpoint(this);
   }
 
-  private void cancelRepeat() {
-    if (repeat != null) {
-      repeat.cancel();
-      repeat = null;
-      stalledUntil = Math.max(stalledUntil, now());
+  private void cancelRetransmit() {
+    if (retransmitTimer != null) {
+      retransmitTimer.cancel();
+      retransmitTimer = null;
+      delayedUntilMicros = Math.max(delayedUntilMicros, now());
     }
   }
 
@@ -341,124 +352,127 @@
 
   /** A reset is sent once and not repeated: on a way that is cut it is lost. */
   private void sendReset() {
-    forget();
-    if (!fabric.blocked(machine, peer.machine)) {
-      long arrival = Math.max(lastArrival, now() + latency());
-      fabric.agenda().at(arrival, peer::resetArrives);
+    removeFromKernel();
+    if (!fabric.isBlocked(machine, peer.machine)) {
+      long arrival = Math.max(lastArrivalMicros, now() + drawLatency());
+      fabric.agenda().at(arrival, peer::onReset);
     } else {
       resetLost = true;
     }
   }
 
-  private long latency() {
-    return fabric.latency(machine, peer.machine, stream);
+  private long drawLatency() {
+    return fabric.drawLatency(machine, peer.machine, stream);
   }
 
-  private boolean toSend() {
-    return lost || unsent.size() > 0 || (shut && !endSent);
+  private boolean hasPendingOutput() {
+    return lostAtPeer || unsent.size() > 0 || (outputShutDown && !finSent);
   }
 
   /** Sends what the peer's window and the way's capacity allow. */
-  private void pump() {
-    while (!forgotten && repeat == null && toSend()) {
-      if (fabric.blocked(machine, peer.machine)) {
-        stall();
+  private void sendPending() {
+    while (!removedFromKernel && retransmitTimer == null && hasPendingOutput()) {
+      if (fabric.isBlocked(machine, peer.machine)) {
+        scheduleRetransmit();
         return;
       }
-      if (lost) {
+      if (lostAtPeer) {
         // What is repeated meets a kernel that knows nothing of the connection.
-        lost = false;
-        fabric.agenda().after(2 * latency(), this::resetArrives);
+        lostAtPeer = false;
+        fabric.agenda().after(2 * drawLatency(), this::onReset);
         return;
       }
-      repeatWait = 0;
+      retransmitTimeoutMicros = 0;
       if (unsent.size() == 0) {
-        endSent = true;
-        long arrival = arrival(0);
-        fabric.agenda().at(arrival, peer::endArrives);
+        finSent = true;
+        long arrival = nextArrival(0);
+        fabric.agenda().at(arrival, peer::onFin);
         return;
       }
-      if (freeAt > now() + AHEAD) {
-        pumpAt(freeAt);
+      if (linkFreeAtMicros > now() + MAX_QUEUE_AHEAD_MICROS) {
+        sendPendingAt(linkFreeAtMicros);
         return;
       }
-      int window = peer.receiveRoom() - inFlight;
+      int window = peer.freeReceiveBytes() - inFlight;
       if (window <= 0) {
         return;
       }
-      int most = fabric.segment(machine, peer.machine, SEGMENT);
+      int most = fabric.maxSegmentBytes(machine, peer.machine, MAX_SEGMENT_BYTES);
       send(Math.min(Math.min(window, most), unsent.size()));
     }
   }
 
   private void send(int most) {
-    int size = most > 1 && stream.chance(CUT) ? 1 + stream.below(most) : most;
-    byte[] segment = unsent.take(size);
+    int size = most > 1 && stream.chance(SHORT_SEGMENT_PROBABILITY) ? 1 + stream.below(most) : most;
+    byte[] segment = unsent.remove(size);
     inFlight += size;
-    fabric.agenda().at(arrival(size), () -> peer.arrives(segment));
+    fabric.agenda().at(nextArrival(size), () -> peer.onSegment(segment));
   }
 
-  private long arrival(int size) {
-    freeAt =
-        Math.max(freeAt, now())
-            + size * Agenda.SECOND / Math.max(1, fabric.bandwidth(machine, peer.machine));
-    lastArrival = Math.max(lastArrival, freeAt + latency());
-    if (fabric.disturbed(machine, peer.machine)) {
+  private long nextArrival(int size) {
+    linkFreeAtMicros =
+        Math.max(linkFreeAtMicros, now())
+            + size * Agenda.SECOND / Math.max(1, fabric.bytesPerSecond(machine, peer.machine));
+    lastArrivalMicros = Math.max(lastArrivalMicros, linkFreeAtMicros + drawLatency());
+    if (fabric.isDisturbed(machine, peer.machine)) {
       // What is on its way stays late, even where the cause ends before it arrives.
-      stalledUntil = Math.max(stalledUntil, lastArrival);
+      delayedUntilMicros = Math.max(delayedUntilMicros, lastArrivalMicros);
     }
-    return lastArrival;
+    return lastArrivalMicros;
   }
 
-  private void pumpAt(long time) {
-    if (!pumpDue) {
-      pumpDue = true;
+  private void sendPendingAt(long time) {
+    if (!sendScheduled) {
+      sendScheduled = true;
       fabric
           .agenda()
           .at(
               time,
               () -> {
-                pumpDue = false;
-                pump();
+                sendScheduled = false;
+                sendPending();
               });
     }
   }
 
-  private void stall() {
-    repeatWait = repeatWait == 0 ? REPEAT_FIRST : Math.min(REPEAT_MOST, 2 * repeatWait);
-    repeat =
+  private void scheduleRetransmit() {
+    retransmitTimeoutMicros =
+        retransmitTimeoutMicros == 0
+            ? MIN_RETRANSMIT_MICROS
+            : Math.min(MAX_RETRANSMIT_MICROS, 2 * retransmitTimeoutMicros);
+    retransmitTimer =
         fabric
             .agenda()
             .after(
-                repeatWait,
+                retransmitTimeoutMicros,
                 () -> {
-                  repeat = null;
-                  stalledUntil = Math.max(stalledUntil, now());
-                  pump();
+                  retransmitTimer = null;
+                  delayedUntilMicros = Math.max(delayedUntilMicros, now());
+                  sendPending();
                 });
   }
 
   // --------------------------------------------------------------- arrivals
 
-  private void arrives(byte[] segment) {
+  private void onSegment(byte[] segment) {
     peer.inFlight -= segment.length;
-    if (forgotten || closed) {
-      refuse();
+    if (removedFromKernel || closed) {
+      answerWithReset();
       return;
     }
-    if (broken) {
+    if (resetReceived) {
       return;
     }
-    mix(segment);
+    mixIntoFingerprint(segment);
     received.add(segment, 0, segment.length);
-    if (!passesOn) {
-      peer.arrived(segment.length);
+    if (!isRelay) {
+      peer.countArrived(segment.length);
     }
-    peer.wakeWriter();
-    wakeReader();
+    peer.scheduleWrite();
+    scheduleRead();
   }
 
-  private void mix(byte[] segment) {
+  private void mixIntoFingerprint(byte[] segment) {
     long value = segment.length;
     for (byte b : segment) {
       value = value * 31 + b;
@@ -466,103 +480,105 @@
     fabric.agenda().mix(value);
   }
 
-  private void arrived(int bytes) {
+  private void countArrived(int bytes) {
     arrivedBytes += bytes;
-    while (!awaited.isEmpty() && awaited.peek().bytes() <= arrivedBytes) {
-      awaited.poll().then().run();
+    while (!arrivalWaiters.isEmpty() && arrivalWaiters.peek().bytes() <= arrivedBytes) {
+      arrivalWaiters.poll().then().run();
     }
   }
 
   /** So many of the bytes that were read here have reached where the program passes them on to. */
-  public void passedOn(int bytes) {
-    peer.arrived(bytes);
+  public void confirmRelayed(int bytes) {
+    peer.countArrived(bytes);
   }
 
   /** Bytes for a connection that is closed here, or that this kernel does not know. */
-  private void refuse() {
-    if (machine.dark()) {
-      peer.lost = true;
-      peer.pump();
-    } else if (!peer.forgotten) {
-      if (!forgotten) {
+  private void answerWithReset() {
+    if (machine.hasNoPower()) {
+      peer.lostAtPeer = true;
+      peer.sendPending();
+    } else if (!peer.removedFromKernel) {
+      if (!removedFromKernel) {
         sendReset();
-      } else if (!fabric.blocked(machine, peer.machine)) {
-        fabric.agenda().after(latency(), peer::resetArrives);
+      } else if (!fabric.isBlocked(machine, peer.machine)) {
+        fabric.agenda().after(drawLatency(), peer::onReset);
       }
     }
   }
 
-  private void endArrives() {
-    if (forgotten) {
-      refuse();
+  private void onFin() {
+    if (removedFromKernel) {
+      answerWithReset();
       return;
     }
-    ended = true;
-    if (closed && endSent) {
-      forget();
+    peerFinReceived = true;
+    if (closed && finSent) {
+      removeFromKernel();
     }
-    wakeReader();
+    scheduleRead();
   }
 
   /** A box on the way resets it. */
-  void cutOff() {
-    stalledUntil = Math.max(stalledUntil, now());
-    resetArrives();
+  void resetByMiddlebox() {
+    delayedUntilMicros = Math.max(delayedUntilMicros, now());
+    onReset();
   }
 
-  private void resetArrives() {
-    if (forgotten || broken) {
+  private void onReset() {
+    if (removedFromKernel || resetReceived) {
       return;
     }
-    broken = true;
+    resetReceived = true;
     unsent.clear();
-    cancelRepeat();
+    cancelRetransmit();
     if (closed) {
-      forget();
+      removeFromKernel();
     }
-    wakeReader();
-    wakeWriter();
+    scheduleRead();
+    scheduleWrite();
   }
 
   // ------------------------------------------------- what only checks may ask
 
-  private void endsHere() {
-    if (onLocalEnd != null) {
-      Runnable told = onLocalEnd;
-      onLocalEnd = null;
+  private void notifyOutputEnd() {
+    if (onOutputEnd != null) {
+      Runnable told = onOutputEnd;
+      onOutputEnd = null;
       told.run();
     }
   }
 
   /** Runs at the very moment when the peer's program ends its sending; for the checks' sake. */
-  public void whenPeerEnds(Runnable then) {
-    peer.onLocalEnd = then;
+  public void onPeerOutputEnd(Runnable then) {
+    peer.onOutputEnd = then;
   }
 
   /** Whether the peer's program has ended its sending, told or not. */
-  public boolean peerHasEnded() {
-    return peer.shut || peer.closed;
+  public boolean hasPeerEndedOutput() {
+    return peer.outputShutDown || peer.closed;
   }
 
   /** When the peer's program wrote its first byte, or -1. */
   public long peerFirstWriteAt() {
-    return peer.firstWriteAt;
+    return peer.firstWriteAtMicros;
   }
 
   /** Runs once all that was written so far has arrived at the peer's machine. */
-  public void whenArrived(Runnable then) {
-    awaited.add(new Awaited(writtenBytes, then));
+  public void onDelivered(Runnable then) {
+    arrivalWaiters.add(new ArrivalWaiter(writtenBytes, then));
   }
 
   /** Since when nothing has been late on this connection through the network's fault. */
-  public long calmSince() {
+  public long undisturbedSince() {
     if (resetLost || peer.resetLost) {
       return now();
     }
-    if (repeat != null || peer.repeat != null || fabric.disturbed(machine, peer.machine)) {
+    if (retransmitTimer != null
+        || peer.retransmitTimer != null
+        || fabric.isDisturbed(machine, peer.machine)) {
       return now();
     }
-    long ways = fabric.calmSince(machine, peer.machine);
-    return Math.max(ways, Math.max(stalledUntil, peer.stalledUntil));
+    long ways = fabric.undisturbedSince(machine, peer.machine);
+    return Math.max(ways, Math.max(delayedUntilMicros, peer.delayedUntilMicros));
   }
 }
--- a/src/main/java/brassbank/sim/net/Fabric.java
+++ b/src/main/java/brassbank/sim/net/Fabric.java
@@ -15,29 +15,33 @@
  * each segment adds its jitter. What is wrong at the moment stands in a list of disturbances.
  */
 public final class Fabric {
-  private static final int MOST_READ = 16 * 1024;
+  private static final int MAX_READ_BYTES = 16 * 1024;
 
   /** One way, in microseconds, and the jitter as a share of it. */
   public record Latency(
-      long sameLeast, long sameMost, long crossLeast, long crossMost, double jitter) {}
+      long minSameZoneMicros,
+      long maxSameZoneMicros,
+      long minCrossZoneMicros,
+      long maxCrossZoneMicros,
+      double jitterShare) {}
 
   /** Sizes of a kernel's buffers, in bytes, and what a connection carries in a second. */
-  public record Buffers(int send, int receive, long bandwidth) {}
+  public record Buffers(int sendBytes, int receiveBytes, long bytesPerSecond) {}
 
   private final Agenda agenda;
   private final RandomStreams draws;
-  private final Latency latency;
+  private final Latency drawLatency;
   private final Buffers buffers;
   private final Map<InetAddress, Machine> machines = new LinkedHashMap<>();
-  private final byte[] scratch = new byte[MOST_READ];
-  private Program running;
+  private final byte[] scratch = new byte[MAX_READ_BYTES];
+  private Program runningProgram;
   private final List<Disturbance> disturbances = new ArrayList<>();
   private final Map<Disturbance, Long> ended = new LinkedHashMap<>();
 
   public Fabric(Agenda agenda, RandomStreams draws, Latency latency, Buffers buffers) {
     this.agenda = agenda;
     this.draws = draws;
-    this.latency = latency;
+    this.drawLatency = latency;
     this.buffers = buffers;
   }
 
@@ -50,17 +54,17 @@
     return scratch;
   }
 
-  void running(Program program) {
-    running = program;
+  void runningProgram(Program program) {
+    runningProgram = program;
   }
 
   /** The program whose task runs now, or ran last. */
-  public Program running() {
-    return running;
+  public Program runningProgram() {
+    return runningProgram;
   }
 
   /** A new machine; its name and its address are its own. */
-  public Machine machine(String name, String zone, InetAddress address) {
+  public Machine addMachine(String name, String zone, InetAddress address) {
     Machine machine = new Machine(this, name, zone, address);
     if (machines.putIfAbsent(address, machine) != null) {
       throw new IllegalArgumentException("two machines have the address " + address);
@@ -68,7 +72,7 @@
     return machine;
   }
 
-  Machine at(InetAddress address) {
+  Machine machineAt(InetAddress address) {
     return machines.get(address);
   }
 
@@ -77,28 +81,28 @@
   }
 
   /** The stream of one connection, named by the machine that opens it and how many it had. */
-  RandomStreams.Stream stream(Machine from, long number) {
+  RandomStreams.Stream connectionStream(Machine from, long number) {
     return draws.of("connection " + from.name() + " " + number);
   }
 
-  public void begin(Disturbance disturbance) {
+  public void addDisturbance(Disturbance disturbance) {
     disturbances.add(disturbance);
   }
 
-  public void end(Disturbance disturbance) {
+  public void removeDisturbance(Disturbance disturbance) {
     if (disturbances.remove(disturbance)) {
       ended.put(disturbance, agenda.now());
     }
   }
 
   /** When the last thing ended that was wrong between two machines, in either direction. */
-  public long calmSince(Machine a, Machine b) {
-    if (disturbed(a, b)) {
+  public long undisturbedSince(Machine a, Machine b) {
+    if (isDisturbed(a, b)) {
       return agenda.now();
     }
     long last = 0;
     for (Map.Entry<Disturbance, Long> past : ended.entrySet()) {
-      if (past.getKey().touches(a, b) || past.getKey().touches(b, a)) {
+      if (past.getKey().affects(a, b) || past.getKey().affects(b, a)) {
         last = Math.max(last, past.getValue());
       }
     }
@@ -106,7 +110,7 @@
   }
 
   /** What a connect meets. */
-  public enum Reach {
+  public enum ConnectResult {
     /** It comes up. */
     OPEN,
     /** It is refused. */
@@ -116,19 +120,19 @@
   }
 
   /** What a connect from one machine to a port of another would meet now. */
-  public Reach reach(Machine from, Machine to, int port) {
-    if (connectsBlocked(from, to) || connectsBlocked(to, from)) {
-      return Reach.SILENT;
+  public ConnectResult probeConnect(Machine from, Machine to, int port) {
+    if (areConnectsBlocked(from, to) || areConnectsBlocked(to, from)) {
+      return ConnectResult.SILENT;
     }
-    Port listener = to.listener(port);
-    if (listener == null || refuses(from, to)) {
-      return Reach.REFUSED;
+    ListeningSocket listener = to.listener(port);
+    if (listener == null || refusesConnects(from, to)) {
+      return ConnectResult.REFUSED;
     }
-    return listener.full() ? Reach.SILENT : Reach.OPEN;
+    return listener.isBacklogFull() ? ConnectResult.SILENT : ConnectResult.OPEN;
   }
 
-  boolean blocked(Machine from, Machine to) {
-    if (from.dark() || to.dark()) {
+  boolean isBlocked(Machine from, Machine to) {
+    if (from.hasNoPower() || to.hasNoPower()) {
       return true;
     }
     for (Disturbance disturbance : disturbances) {
@@ -139,40 +143,40 @@
     return false;
   }
 
-  boolean connectsBlocked(Machine from, Machine to) {
+  boolean areConnectsBlocked(Machine from, Machine to) {
     for (Disturbance disturbance : disturbances) {
       if (disturbance.blocksConnects(from, to)) {
         return true;
       }
     }
-    return blocked(from, to);
+    return isBlocked(from, to);
   }
 
   /** The stream of a machine's datagrams. */
-  RandomStreams.Stream datagrams(Machine from) {
+  RandomStreams.Stream datagramStream(Machine from) {
     return draws.of("datagrams " + from.name());
   }
 
   /** Whether anything is wrong with the way from one machine to another now. */
-  boolean touched(Machine from, Machine to) {
+  boolean isPathDisturbed(Machine from, Machine to) {
     for (Disturbance disturbance : disturbances) {
-      if (disturbance.touches(from, to)) {
+      if (disturbance.affects(from, to)) {
         return true;
       }
     }
     return false;
   }
 
-  boolean loses(Machine from, Machine to, RandomStreams.Stream stream) {
-    return drawn(stream, one -> one.losesDatagrams(from, to));
+  boolean drawLoss(Machine from, Machine to, RandomStreams.Stream stream) {
+    return drawAny(stream, one -> one.datagramLossRate(from, to));
   }
 
-  boolean doubles(Machine from, Machine to, RandomStreams.Stream stream) {
-    return drawn(stream, one -> one.doublesDatagrams(from, to));
+  boolean drawDuplication(Machine from, Machine to, RandomStreams.Stream stream) {
+    return drawAny(stream, one -> one.datagramDuplicationRate(from, to));
   }
 
   /** Whether one of the disturbances strikes, each by its share. */
-  private boolean drawn(RandomStreams.Stream stream, ToDoubleFunction<Disturbance> share) {
+  private boolean drawAny(RandomStreams.Stream stream, ToDoubleFunction<Disturbance> share) {
     for (Disturbance disturbance : disturbances) {
       double likely = share.applyAsDouble(disturbance);
       if (likely > 0 && stream.chance(likely)) {
@@ -182,9 +186,9 @@
     return false;
   }
 
-  boolean refuses(Machine from, Machine to) {
+  boolean refusesConnects(Machine from, Machine to) {
     for (Disturbance disturbance : disturbances) {
-      if (disturbance.refuses(from, to)) {
+      if (disturbance.refusesConnects(from, to)) {
         return true;
       }
     }
@@ -195,60 +199,60 @@
    * Whether datagrams pass both ways between two machines, but for this share that is lost, and are
    * late by so much at most.
    */
-  public boolean hear(Machine a, Machine b, double mostLost, long mostLate) {
-    return !blocked(a, b)
-        && !blocked(b, a)
-        && Math.max(lost(a, b), lost(b, a)) <= mostLost
-        && Math.max(late(a, b), late(b, a)) <= mostLate;
+  public boolean canExchangeDatagrams(Machine a, Machine b, double mostLost, long mostLate) {
+    return !isBlocked(a, b)
+        && !isBlocked(b, a)
+        && Math.max(lossRate(a, b), lossRate(b, a)) <= mostLost
+        && Math.max(maxDelayMicros(a, b), maxDelayMicros(b, a)) <= mostLate;
   }
 
-  private long late(Machine from, Machine to) {
+  private long maxDelayMicros(Machine from, Machine to) {
     long late = 0;
     for (Disturbance disturbance : disturbances) {
-      late += disturbance.mostDelay(from, to);
+      late += disturbance.maxDelayMicros(from, to);
     }
     return late;
   }
 
-  private double lost(Machine from, Machine to) {
+  private double lossRate(Machine from, Machine to) {
     double kept = 1;
     for (Disturbance disturbance : disturbances) {
-      kept *= 1 - disturbance.losesDatagrams(from, to);
+      kept *= 1 - disturbance.datagramLossRate(from, to);
     }
     return 1 - kept;
   }
 
   /** Bytes that come in one piece at most. */
-  int segment(Machine from, Machine to, int usual) {
+  int maxSegmentBytes(Machine from, Machine to, int usual) {
     int least = usual;
     for (Disturbance disturbance : disturbances) {
-      least = Math.min(least, disturbance.segment(from, to));
+      least = Math.min(least, disturbance.maxSegmentBytes(from, to));
     }
     return least;
   }
 
   /** Resets at both ends every connection between two machines that are meant, in either order. */
-  public void reset(BiPredicate<Machine, Machine> meant) {
+  public void resetConnections(BiPredicate<Machine, Machine> meant) {
     for (Machine machine : machines.values()) {
-      machine.resetAll(peer -> meant.test(machine, peer) || meant.test(peer, machine));
+      machine.resetConnections(peer -> meant.test(machine, peer) || meant.test(peer, machine));
     }
   }
 
-  long connectDelay(Machine from, Machine to) {
+  long connectDelayMicros(Machine from, Machine to) {
     long delay = 0;
     for (Disturbance disturbance : disturbances) {
-      delay += disturbance.connectDelay(from, to);
+      delay += disturbance.connectDelayMicros(from, to);
     }
     return delay;
   }
 
   /** Whether anything is wrong between two machines now, in either direction. */
-  public boolean disturbed(Machine a, Machine b) {
-    if (a.dark() || b.dark()) {
+  public boolean isDisturbed(Machine a, Machine b) {
+    if (a.hasNoPower() || b.hasNoPower()) {
       return true;
     }
     for (Disturbance disturbance : disturbances) {
-      if (disturbance.touches(a, b) || disturbance.touches(b, a)) {
+      if (disturbance.affects(a, b) || disturbance.affects(b, a)) {
         return true;
       }
     }
@@ -256,27 +260,27 @@
   }
 
   /** How long a segment takes from one machine to another, in microseconds. */
-  long latency(Machine from, Machine to, RandomStreams.Stream stream) {
-    Long base = from.wayTo(to);
+  long drawLatency(Machine from, Machine to, RandomStreams.Stream stream) {
+    Long base = from.latencyTo(to);
     if (base == null) {
       RandomStreams.Stream drawn = draws.of("way " + from.name() + " " + to.name());
       base =
           from.zone().equals(to.zone())
-              ? drawn.micros(latency.sameLeast(), latency.sameMost())
-              : drawn.micros(latency.crossLeast(), latency.crossMost());
-      from.wayTo(to, base);
+              ? drawn.micros(drawLatency.minSameZoneMicros(), drawLatency.maxSameZoneMicros())
+              : drawn.micros(drawLatency.minCrossZoneMicros(), drawLatency.maxCrossZoneMicros());
+      from.latencyTo(to, base);
     }
     long delay = 0;
     for (Disturbance disturbance : disturbances) {
-      delay += disturbance.delay(from, to);
+      delay += disturbance.delayMicros(from, to);
     }
-    return base + (long) (stream.between(0, latency.jitter()) * base) + delay;
+    return base + (long) (stream.between(0, drawLatency.jitterShare()) * base) + delay;
   }
 
-  long bandwidth(Machine from, Machine to) {
-    long least = buffers.bandwidth();
+  long bytesPerSecond(Machine from, Machine to) {
+    long least = buffers.bytesPerSecond();
     for (Disturbance disturbance : disturbances) {
-      least = Math.min(least, disturbance.bandwidth(from, to));
+      least = Math.min(least, disturbance.maxBytesPerSecond(from, to));
     }
     return least;
   }
--- a/src/main/java/brassbank/sim/net/Port.java
+++ b/src/main/java/brassbank/sim/net/ListeningSocket.java
@@ -7,37 +7,37 @@
  * A listening socket. The kernel completes connects into its backlog whether the program takes them
  * or not; when that is full, further ones are dropped and tried again by their kernels.
  */
-public final class Port {
+public final class ListeningSocket {
   private final Program program;
-  private final int number;
+  private final int port;
   private final int backlog;
   private final Runnable acceptable;
-  private final Deque<Endpoint> waiting = new ArrayDeque<>();
+  private final Deque<Endpoint> pendingConnections = new ArrayDeque<>();
   private boolean open = true;
 
-  Port(Program program, int number, int backlog, Runnable acceptable) {
+  ListeningSocket(Program program, int number, int backlog, Runnable acceptable) {
     this.program = program;
-    this.number = number;
+    this.port = number;
     this.backlog = backlog;
     this.acceptable = acceptable;
   }
 
-  boolean full() {
-    return waiting.size() >= backlog;
+  boolean isBacklogFull() {
+    return pendingConnections.size() >= backlog;
   }
 
   Program program() {
     return program;
   }
 
-  void arrive(Endpoint endpoint) {
-    waiting.add(endpoint);
-    program.later(0, acceptable);
+  void enqueue(Endpoint endpoint) {
+    pendingConnections.add(endpoint);
+    program.schedule(0, acceptable);
   }
 
   /** Connections that wait to be taken. */
-  public int waiting() {
-    return waiting.size();
+  public int pendingConnections() {
+    return pendingConnections.size();
   }
 
   /** The oldest connection that waits, or null; it then is the program's own and counts there. */
@@ -47,7 +47,7 @@
 
   /** As {@link #accept()}, by a program that has inherited the socket from the one that listens. */
   public Endpoint accept(Program heir) {
-    Endpoint endpoint = waiting.poll();
+    Endpoint endpoint = pendingConnections.poll();
     if (endpoint != null) {
       heir.adopt(endpoint);
     }
@@ -58,10 +58,10 @@
   public void close() {
     if (open) {
       open = false;
-      program.machine().listensNoLonger(number);
-      program.closed(this);
-      waiting.forEach(Endpoint::reset);
-      waiting.clear();
+      program.machine().unbindListener(port);
+      program.onListenerClosed(this);
+      pendingConnections.forEach(Endpoint::reset);
+      pendingConnections.clear();
     }
   }
 }
--- a/src/main/java/brassbank/sim/net/Machine.java
+++ b/src/main/java/brassbank/sim/net/Machine.java
@@ -18,14 +18,14 @@
   private final String name;
   private final String zone;
   private final InetAddress address;
-  private final Map<Integer, Port> listeners = new LinkedHashMap<>();
-  private final Map<Integer, Datagrams> sockets = new LinkedHashMap<>();
+  private final Map<Integer, ListeningSocket> listeners = new LinkedHashMap<>();
+  private final Map<Integer, DatagramSocket> sockets = new LinkedHashMap<>();
   private final Set<Endpoint> endpoints = new LinkedHashSet<>();
-  private final Map<String, Long> ways = new HashMap<>();
-  private boolean dark;
-  private long opened;
-  private long datagrams;
-  private long datagramBytes;
+  private final Map<String, Long> baseLatencyMicros = new HashMap<>();
+  private boolean hasNoPower;
+  private long connectsOpened;
+  private long sentDatagrams;
+  private long sentDatagramBytes;
 
   Machine(Fabric fabric, String name, String zone, InetAddress address) {
     this.fabric = fabric;
@@ -50,18 +50,18 @@
     return fabric;
   }
 
-  public boolean dark() {
-    return dark;
+  public boolean hasNoPower() {
+    return hasNoPower;
   }
 
   /**
    * The power goes: no one is told, and the kernel's state is gone. The processes on it are to be
    * killed by their owners, whose resets then reach nobody.
    */
-  public void darken() {
-    dark = true;
+  public void losePower() {
+    hasNoPower = true;
     for (Endpoint endpoint : List.copyOf(endpoints)) {
-      endpoint.vanish();
+      endpoint.dropSilently();
     }
     endpoints.clear();
     listeners.clear();
@@ -69,88 +69,88 @@
   }
 
   /** The power is back; whatever still arrives for an old connection is answered by a reset. */
-  public void lighten() {
-    dark = false;
+  public void restorePower() {
+    hasNoPower = false;
   }
 
   /** One way's latency to another machine, in microseconds, or null where it is not drawn yet. */
-  Long wayTo(Machine other) {
-    return ways.get(other.name);
+  Long latencyTo(Machine other) {
+    return baseLatencyMicros.get(other.name);
   }
 
-  void wayTo(Machine other, long micros) {
-    ways.put(other.name, micros);
+  void latencyTo(Machine other, long micros) {
+    baseLatencyMicros.put(other.name, micros);
   }
 
-  long nextOpened() {
-    return opened++;
+  long nextConnectNumber() {
+    return connectsOpened++;
   }
 
-  void holds(Endpoint endpoint) {
+  void addEndpoint(Endpoint endpoint) {
     endpoints.add(endpoint);
   }
 
-  void forgets(Endpoint endpoint) {
+  void removeEndpoint(Endpoint endpoint) {
     endpoints.remove(endpoint);
   }
 
   /** As a box on the way does that forgets its connections: each end sees a reset. */
-  void resetAll(Predicate<Machine> peers) {
+  void resetConnections(Predicate<Machine> peers) {
     for (Endpoint endpoint : List.copyOf(endpoints)) {
       if (peers.test(endpoint.peerMachine())) {
-        endpoint.cutOff();
+        endpoint.resetByMiddlebox();
       }
     }
   }
 
   /** Datagrams that its programs have sent so far. */
-  public long datagrams() {
-    return datagrams;
+  public long sentDatagrams() {
+    return sentDatagrams;
   }
 
   /** Bytes in them. */
-  public long datagramBytes() {
-    return datagramBytes;
+  public long sentDatagramBytes() {
+    return sentDatagramBytes;
   }
 
-  void sent(int bytes) {
-    datagrams++;
-    datagramBytes += bytes;
+  void countSent(int bytes) {
+    sentDatagrams++;
+    sentDatagramBytes += bytes;
   }
 
-  boolean hears(int port) {
+  boolean bindDatagramSocket(int port) {
     return sockets.containsKey(port);
   }
 
-  void hears(int port, Datagrams socket) {
+  void bindDatagramSocket(int port, DatagramSocket socket) {
     if (sockets.putIfAbsent(port, socket) != null) {
       throw new IllegalStateException(name + " takes datagrams at " + port + " already");
     }
   }
 
-  void hearsNoLonger(int port) {
+  void unbindDatagramSocket(int port) {
     sockets.remove(port);
   }
 
   /** A datagram has come; without a socket for it it is lost, and so it is without power. */
-  void arrives(Machine from, int fromPort, int port, byte[] bytes) {
-    Datagrams socket = dark ? null : sockets.get(port);
+  void deliverDatagram(Machine from, int fromPort, int port, byte[] bytes) {
+    DatagramSocket socket = hasNoPower ? null : sockets.get(port);
     if (socket != null) {
-      socket.arrives(from, fromPort, bytes);
+      socket.deliver(from, fromPort, bytes);
     }
   }
 
-  Port listener(int port) {
+  ListeningSocket listener(int port) {
     return listeners.get(port);
   }
 
-  void listens(int port, Port listener) {
+  void bindListener(int port, ListeningSocket listener) {
     if (listeners.putIfAbsent(port, listener) != null) {
       throw new IllegalStateException(name + " listens on " + port + " already");
     }
   }
 
-  void listensNoLonger(int port) {
+  void unbindListener(int port) {
     listeners.remove(port);
   }
 
