--- a/src/main/java/brassbank/sim/net/Program.java
+++ b/src/main/java/brassbank/sim/net/Program.java
@@ -16,15 +16,15 @@
  */
 public final class Program {
   /** First wait for an answer to a connect, doubled each time (RFC 6298, section 2.1). */
-  private static final long SYN_WAIT = Agenda.SECOND;
+  private static final long FIRST_SYN_TIMEOUT_MICROS = Agenda.SECOND;
 
   /** Linux gives a connect up after six repeats (tcp_syn_retries). */
-  private static final int SYN_REPEATS = 6;
+  private static final int MAX_SYN_RETRIES = 6;
 
   /** What becomes of a connect; exactly one of the two is told, unless it is cancelled. */
-  public interface Connected {
+  public interface ConnectHandler {
     /** The connection stands; the endpoint is the callee's. */
-    void up(Endpoint endpoint);
+    void connected(Endpoint endpoint);
 
     /** It was refused, or there is no descriptor left, or no answer came for two minutes. */
     void failed(IOException cause);
@@ -32,15 +32,15 @@
 
   private final Machine machine;
   private final String name;
-  private final int base;
-  private int limit;
+  private final int runtimeDescriptors;
+  private int descriptorLimit;
   private final Set<Endpoint> open = new LinkedHashSet<>();
-  private final Set<Port> listeners = new LinkedHashSet<>();
-  private final Set<Datagrams> sockets = new LinkedHashSet<>();
+  private final Set<ListeningSocket> listeners = new LinkedHashSet<>();
+  private final Set<DatagramSocket> sockets = new LinkedHashSet<>();
   private int connecting;
-  private int mostDescriptors;
-  private boolean alive = true;
-  private boolean passesOn;
+  private int peakDescriptors;
+  private boolean isAlive = true;
+  private boolean isRelay;
   private long pausedUntil;
 
   /**
@@ -50,8 +50,8 @@
   public Program(Machine machine, String name, int base, int limit) {
     this.machine = machine;
     this.name = name;
-    this.base = base;
-    this.limit = limit;
+    this.runtimeDescriptors = base;
+    this.descriptorLimit = limit;
   }
 
   public Machine machine() {
@@ -64,19 +64,19 @@
 
   /**
    * It is a stand-in that passes on what it reads: bytes count as arrived once it says so ({@link
-   * Endpoint#passedOn}), and not when they are in its machine's buffers.
+   * Endpoint#confirmRelayed}), and not when they are in its machine's buffers.
    */
-  public Program passingOn() {
-    passesOn = true;
+  public Program asRelay() {
+    isRelay = true;
     return this;
   }
 
-  boolean passesOn() {
-    return passesOn;
+  boolean isRelay() {
+    return isRelay;
   }
 
-  public boolean alive() {
-    return alive;
+  public boolean isAlive() {
+    return isAlive;
   }
 
   private Agenda agenda() {
@@ -88,18 +88,18 @@
   }
 
   /** Runs a task of this program's after so many microseconds, unless it has ended by then. */
-  public Agenda.Entry later(long micros, Runnable task) {
+  public Agenda.Entry schedule(long micros, Runnable task) {
     return agenda().after(micros, () -> run(task));
   }
 
   private void run(Runnable task) {
-    if (!alive) {
+    if (!isAlive) {
       return;
     }
     if (pausedUntil > now()) {
       agenda().at(pausedUntil, () -> run(task));
     } else {
-      machine.fabric().running(this);
+      machine.fabric().runningProgram(this);
       task.run();
     }
   }
@@ -110,24 +110,24 @@
   }
 
   /** Sets how many descriptors it may hold. */
-  public void limit(int descriptors) {
-    limit = descriptors;
+  public void descriptorLimit(int descriptors) {
+    descriptorLimit = descriptors;
   }
 
   public int descriptors() {
-    return base + open.size() + listeners.size() + sockets.size() + connecting;
+    return runtimeDescriptors + open.size() + listeners.size() + sockets.size() + connecting;
   }
 
   /** The most descriptors it has held so far. */
-  public int mostDescriptors() {
-    return mostDescriptors;
+  public int peakDescriptors() {
+    return peakDescriptors;
   }
 
   /** What it holds, by the machines at the other ends, for whoever looks for a leak. */
-  public String holds() {
+  public String describeDescriptors() {
     Map<String, Integer> ends = new TreeMap<>();
     open.forEach(endpoint -> ends.merge(endpoint.peerMachine().name(), 1, Integer::sum));
-    return base
+    return runtimeDescriptors
         + " of the runtime, "
         + listeners.size()
         + " listening, "
@@ -141,82 +141,83 @@
     return open.size();
   }
 
-  private void require() throws IOException {
-    if (descriptors() >= limit) {
+  private void requireDescriptor() throws IOException {
+    if (descriptors() >= descriptorLimit) {
       throw new IOException("too many open files");
     }
   }
 
-  private void counted() {
-    mostDescriptors = Math.max(mostDescriptors, descriptors());
+  private void updatePeak() {
+    peakDescriptors = Math.max(peakDescriptors, descriptors());
   }
 
   /** Listens at a port of its machine; {@code acceptable} runs once for each that comes. */
-  public Port listen(int port, int backlog, Runnable acceptable) throws IOException {
-    require();
-    Port listener = new Port(this, port, backlog, acceptable);
-    machine.listens(port, listener);
+  public ListeningSocket listen(int port, int backlog, Runnable acceptable) throws IOException {
+    requireDescriptor();
+    ListeningSocket listener = new ListeningSocket(this, port, backlog, acceptable);
+    machine.bindListener(port, listener);
     listeners.add(listener);
-    counted();
+    updatePeak();
     return listener;
   }
 
   /** Takes no new connections from here on. */
   public void stopListening() {
-    List.copyOf(listeners).forEach(Port::close);
+    List.copyOf(listeners).forEach(ListeningSocket::close);
   }
 
   /** Opens a socket for datagrams at a port of its machine; it ends with the program. */
-  public Datagrams datagrams(int port, Datagrams.Handler handler) throws IOException {
-    require();
-    if (machine.hears(port)) {
+  public DatagramSocket openDatagramSocket(int port, DatagramSocket.Handler handler)
+      throws IOException {
+    requireDescriptor();
+    if (machine.bindDatagramSocket(port)) {
       throw new IOException("address already in use");
     }
-    Datagrams socket = new Datagrams(this, port, handler);
-    machine.hears(port, socket);
+    DatagramSocket socket = new DatagramSocket(this, port, handler);
+    machine.bindDatagramSocket(port, socket);
     sockets.add(socket);
-    counted();
+    updatePeak();
     return socket;
   }
 
   /** Gives a socket for datagrams back. */
-  public void gives(Datagrams socket) {
+  public void closeSocket(DatagramSocket socket) {
     socket.close();
     sockets.remove(socket);
   }
 
-  void closed(Port listener) {
+  void onListenerClosed(ListeningSocket listener) {
     listeners.remove(listener);
   }
 
   /** Whether one more descriptor may be held. */
-  public boolean room() {
-    return descriptors() < limit;
+  public boolean hasFreeDescriptor() {
+    return descriptors() < descriptorLimit;
   }
 
   void adopt(Endpoint endpoint) {
     endpoint.ownedBy(this);
     open.add(endpoint);
-    counted();
+    updatePeak();
   }
 
-  void released(Endpoint endpoint) {
+  void release(Endpoint endpoint) {
     open.remove(endpoint);
   }
 
   /** Opens a connection; nothing is told within this call. */
-  public Connecting connect(InetSocketAddress to, Connected then) {
-    Connecting connect = new Connecting(to, then);
+  public PendingConnect connect(InetSocketAddress to, ConnectHandler then) {
+    PendingConnect connect = new PendingConnect(to, then);
     connect.begin();
     return connect;
   }
 
   /** Ends it: its connections are reset, in the order in which they were opened. */
   public void kill() {
-    if (alive) {
-      alive = false;
+    if (isAlive) {
+      isAlive = false;
       stopListening();
-      sockets.forEach(Datagrams::close);
+      sockets.forEach(DatagramSocket::close);
       sockets.clear();
       List.copyOf(open).forEach(Endpoint::reset);
     }
@@ -227,116 +228,119 @@
    * bytes have come that it did not read.
    */
   public void exit() {
-    if (alive) {
-      alive = false;
+    if (isAlive) {
+      isAlive = false;
       stopListening();
-      sockets.forEach(Datagrams::close);
+      sockets.forEach(DatagramSocket::close);
       sockets.clear();
       List.copyOf(open).forEach(Endpoint::close);
     }
   }
 
   /** A connect under way, which holds a descriptor. */
-  public final class Connecting {
+  public final class PendingConnect {
     private final InetSocketAddress to;
-    private final Connected then;
+    private final ConnectHandler then;
     private final Machine server;
-    private final long number = machine.nextOpened();
-    private boolean over;
-    private int repeats;
+    private final long number = machine.nextConnectNumber();
+    private boolean done;
+    private int retries;
 
-    private Connecting(InetSocketAddress to, Connected then) {
+    private PendingConnect(InetSocketAddress to, ConnectHandler then) {
       this.to = to;
       this.then = then;
-      this.server = machine.fabric().at(to.getAddress());
+      this.server = machine.fabric().machineAt(to.getAddress());
     }
 
     private void begin() {
       try {
-        require();
+        requireDescriptor();
       } catch (IOException e) {
-        over = true;
-        later(0, () -> then.failed(e));
+        done = true;
+        schedule(0, () -> then.failed(e));
         return;
       }
       connecting++;
-      counted();
-      syn();
+      updatePeak();
+      sendSyn();
     }
 
     /** Gives the connect up, with its descriptor. After its end this does nothing. */
     public void cancel() {
-      if (!over) {
-        over = true;
+      if (!done) {
+        done = true;
         connecting--;
       }
     }
 
-    private void syn() {
-      if (over || !alive) {
+    private void sendSyn() {
+      if (done || !isAlive) {
         return;
       }
       Fabric fabric = machine.fabric();
-      if (server == null || fabric.connectsBlocked(machine, server)) {
-        again();
+      if (server == null || fabric.areConnectsBlocked(machine, server)) {
+        retry();
         return;
       }
       // A stream of its own: an attempt that is lost must not shift what the connection draws.
-      long out = fabric.latency(machine, server, fabric.stream(machine, -1 - number));
-      long delay = fabric.connectDelay(machine, server);
-      fabric.agenda().after(out + delay, () -> arrived(out));
+      long out = fabric.drawLatency(machine, server, fabric.connectionStream(machine, -1 - number));
+      long delay = fabric.connectDelayMicros(machine, server);
+      fabric.agenda().after(out + delay, () -> onSynArrived(out));
     }
 
-    private void arrived(long oneWay) {
+    private void onSynArrived(long oneWay) {
       Fabric fabric = machine.fabric();
-      Port listener = server.listener(to.getPort());
-      if (over || !alive) {
+      ListeningSocket listener = server.listener(to.getPort());
+      if (done || !isAlive) {
         return;
       }
-      if (fabric.connectsBlocked(server, machine) || (listener != null && listener.full())) {
-        again();
-      } else if (listener == null || fabric.refuses(machine, server)) {
-        later(oneWay, () -> end(new IOException("connection refused")));
+      if (fabric.areConnectsBlocked(server, machine)
+          || (listener != null && listener.isBacklogFull())) {
+        retry();
+      } else if (listener == null || fabric.refusesConnects(machine, server)) {
+        schedule(oneWay, () -> fail(new IOException("connection refused")));
       } else {
-        later(oneWay, () -> up(listener, oneWay));
+        schedule(oneWay, () -> establish(listener, oneWay));
       }
     }
 
-    private void up(Port listener, long oneWay) {
-      if (over) {
+    private void establish(ListeningSocket listener, long oneWay) {
+      if (done) {
         return;
       }
       cancel();
       Fabric fabric = machine.fabric();
-      Endpoint near = new Endpoint(fabric, machine, fabric.stream(machine, 2 * number));
-      Endpoint far = new Endpoint(fabric, server, fabric.stream(machine, 2 * number + 1));
+      Endpoint near = new Endpoint(fabric, machine, fabric.connectionStream(machine, 2 * number));
+      Endpoint far = new Endpoint(fabric, server, fabric.connectionStream(machine, 2 * number + 1));
       near.connect(far, oneWay);
-      fabric.agenda().after(oneWay, () -> complete(listener, far));
+      fabric.agenda().after(oneWay, () -> completeAtServer(listener, far));
       adopt(near);
-      then.up(near);
+      then.connected(near);
     }
 
-    private void complete(Port listener, Endpoint far) {
-      far.heldFor(listener.program());
-      if (server.dark()) {
-        far.vanish();
+    private void completeAtServer(ListeningSocket listener, Endpoint far) {
+      far.queuedFor(listener.program());
+      if (server.hasNoPower()) {
+        far.dropSilently();
       } else if (server.listener(to.getPort()) == listener) {
-        listener.arrive(far);
+        listener.enqueue(far);
       } else {
         far.reset();
       }
     }
 
-    private void again() {
-      if (repeats++ < SYN_REPEATS) {
-        machine.fabric().agenda().after(SYN_WAIT << (repeats - 1), this::syn);
+    private void retry() {
+      if (retries++ < MAX_SYN_RETRIES) {
+        machine.fabric().agenda().after(FIRST_SYN_TIMEOUT_MICROS << (retries - 1), this::sendSyn);
       } else {
-        later(SYN_WAIT << SYN_REPEATS, () -> end(new IOException("connection timed out")));
+        schedule(
+            FIRST_SYN_TIMEOUT_MICROS << MAX_SYN_RETRIES,
+            () -> fail(new IOException("connection timed out")));
       }
     }
 
-    private void end(IOException cause) {
-      if (!over) {
+    private void fail(IOException cause) {
+      if (!done) {
         cancel();
         then.failed(cause);
       }
--- a/src/main/java/brassbank/sim/proxy/HttpCall.java
+++ b/src/main/java/brassbank/sim/proxy/HttpCall.java
@@ -15,11 +15,11 @@
  * One HTTP/1.1 call as the contract has it (RFC 9112): a status line, headers, and content that is
  * chunked, counted or ends with the connection. It stands in for the real network's HTTP client.
  */
-final class HttpCall implements Network.Attempt, Program.Connected, Endpoint.Handler {
+final class HttpCall implements Network.Attempt, Program.ConnectHandler, Endpoint.Handler {
   private static final int READ_SIZE = 8 * 1024;
-  private static final int LONGEST_HEAD = 8 * 1024;
+  private static final int MAX_HEAD_BYTES = 8 * 1024;
 
-  private enum Part {
+  private enum ParseState {
     HEAD,
     COUNTED,
     UNTIL_END,
@@ -33,16 +33,16 @@
   private final Program program;
   private final InetSocketAddress address;
   private final String path;
-  private final Network.ResponseHandler answer;
-  private Program.Connecting connecting;
+  private final Network.ResponseHandler responseHandler;
+  private Program.PendingConnect connecting;
   private Endpoint endpoint;
-  private boolean over;
+  private boolean done;
 
-  private Part part = Part.HEAD;
+  private ParseState parseState = ParseState.HEAD;
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
   private int status = -1;
   private boolean chunked;
-  private long left = -1;
+  private long remainingBytes = -1;
   private int headBytes;
 
   HttpCall(
@@ -55,7 +55,7 @@
     this.program = program;
     this.address = address;
     this.path = path;
-    this.answer = answer;
+    this.responseHandler = answer;
   }
 
   void start() {
@@ -64,8 +64,8 @@
 
   @Override
   public void cancel() {
-    if (!over) {
-      over = true;
+    if (!done) {
+      done = true;
       if (endpoint != null) {
         endpoint.close();
       } else {
@@ -75,7 +75,7 @@
   }
 
   @Override
-  public void up(Endpoint connected) {
+  public void connected(Endpoint connected) {
     endpoint = connected;
     String request =
         "GET "
@@ -94,8 +94,8 @@
       fail(e.getMessage());
       return;
     }
-    network.turn(answer::connected);
-    if (!over) {
+    network.runOnLoop(responseHandler::connected);
+    if (!done) {
       endpoint.handler(this);
     }
   }
@@ -106,9 +106,9 @@
   }
 
   private void fail(String why) {
-    if (!over) {
+    if (!done) {
       cancel();
-      network.turn(() -> answer.failed(why));
+      network.runOnLoop(() -> responseHandler.failed(why));
     }
   }
 
@@ -123,7 +123,7 @@
       return;
     }
     if (count < 0) {
-      if (part == Part.UNTIL_END) {
+      if (parseState == ParseState.UNTIL_END) {
         content(bytes, 0, 0, true);
       } else {
         fail("the connection has ended");
@@ -131,22 +131,27 @@
       return;
     }
     try {
-      take(bytes, count);
+      parse(bytes, count);
     } catch (IOException | NumberFormatException e) {
       fail("no HTTP: " + e.getMessage());
     }
   }
 
-  private void take(byte[] bytes, int count) throws IOException {
+  private void parse(byte[] bytes, int count) throws IOException {
     int at = 0;
-    while (at < count && !over) {
-      if (part == Part.COUNTED || part == Part.CHUNK || part == Part.UNTIL_END) {
-        int most = part == Part.UNTIL_END ? count - at : (int) Math.min(left, count - at);
-        left -= most;
-        content(bytes, at, most, part == Part.COUNTED && left == 0);
+    while (at < count && !done) {
+      if (parseState == ParseState.COUNTED
+          || parseState == ParseState.CHUNK
+          || parseState == ParseState.UNTIL_END) {
+        int most =
+            parseState == ParseState.UNTIL_END
+                ? count - at
+                : (int) Math.min(remainingBytes, count - at);
+        remainingBytes -= most;
+        content(bytes, at, most, parseState == ParseState.COUNTED && remainingBytes == 0);
         at += most;
-        if (part == Part.CHUNK && left == 0) {
-          part = Part.CHUNK_END;
+        if (parseState == ParseState.CHUNK && remainingBytes == 0) {
+          parseState = ParseState.CHUNK_END;
         }
       } else if (bytes[at] == '\n') {
         at++;
@@ -155,7 +160,7 @@
         line(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
       } else {
         line.write(bytes[at++]);
-        if (line.size() + headBytes > LONGEST_HEAD) {
+        if (line.size() + headBytes > MAX_HEAD_BYTES) {
           throw new IOException("a line or a head is too long");
         }
       }
@@ -163,28 +168,29 @@
   }
 
   private void line(String text) throws IOException {
-    switch (part) {
+    switch (parseState) {
       case HEAD -> head(text);
       case CHUNK_SIZE -> {
         int extension = text.indexOf(';');
-        left = Long.parseLong((extension < 0 ? text : text.substring(0, extension)).trim(), 16);
-        if (left < 0) {
+        remainingBytes =
+            Long.parseLong((extension < 0 ? text : text.substring(0, extension)).trim(), 16);
+        if (remainingBytes < 0) {
           throw new IOException("a negative length");
         }
-        part = left == 0 ? Part.TRAILER : Part.CHUNK;
+        parseState = remainingBytes == 0 ? ParseState.TRAILER : ParseState.CHUNK;
       }
       case CHUNK_END -> {
         if (!text.isEmpty()) {
           throw new IOException("a chunk is longer than it says");
         }
-        part = Part.CHUNK_SIZE;
+        parseState = ParseState.CHUNK_SIZE;
       }
       case TRAILER -> {
         if (text.isEmpty()) {
           content(new byte[0], 0, 0, true);
         }
       }
-      default -> throw new IllegalStateException("no lines in " + part);
+      default -> throw new IllegalStateException("no lines in " + parseState);
     }
   }
 
@@ -202,16 +208,16 @@
       if (name.equals("transfer-encoding")) {
         chunked = value.equalsIgnoreCase("chunked");
       } else if (name.equals("content-length")) {
-        left = Long.parseLong(value);
+        remainingBytes = Long.parseLong(value);
       }
     } else {
-      network.turn(() -> answer.statusReceived(status));
+      network.runOnLoop(() -> responseHandler.statusReceived(status));
       if (chunked) {
-        part = Part.CHUNK_SIZE;
-      } else if (left == 0) {
+        parseState = ParseState.CHUNK_SIZE;
+      } else if (remainingBytes == 0) {
         content(new byte[0], 0, 0, true);
       } else {
-        part = left > 0 ? Part.COUNTED : Part.UNTIL_END;
+        parseState = remainingBytes > 0 ? ParseState.COUNTED : ParseState.UNTIL_END;
       }
     }
   }
@@ -223,6 +229,7 @@
     if (last) {
       cancel();
     }
-    network.turn(() -> answer.contentReceived(status, ByteBuffer.wrap(bytes, offset, count), last));
+    network.runOnLoop(
+        () -> responseHandler.contentReceived(status, ByteBuffer.wrap(bytes, offset, count), last));
   }
 }
--- a/src/main/java/brassbank/sim/proxy/ProxyConfig.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyConfig.java
@@ -43,7 +43,7 @@
   }
 
   /** What is left of a file whose writer was stopped after two thirds of it. */
-  public static String damaged(String text) {
+  public static String truncated(String text) {
     return text.substring(0, text.length() * 2 / 3);
   }
 
--- a/src/main/java/brassbank/sim/proxy/ProxyNode.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyNode.java
@@ -39,48 +39,48 @@
   private static final long MILLI = Agenda.MILLI;
 
   /** Descriptors that the Java runtime holds beside the program's own. */
-  private static final int RUNTIME = 44;
+  private static final int RUNTIME_DESCRIPTORS = 44;
 
   /** From the start of the process to its listening, by what was measured of the real one. */
-  private static final long BOOT_LEAST = 250 * MILLI;
+  private static final long MIN_BOOT_MICROS = 250 * MILLI;
 
-  private static final long BOOT_MOST = 900 * MILLI;
+  private static final long MAX_BOOT_MICROS = 900 * MILLI;
 
   /** SIGKILL comes no earlier than this after SIGTERM, and may come later. */
-  private static final long KILL_LEAST = 3_700 * MILLI;
+  private static final long MIN_KILL_DELAY_MICROS = 3_700 * MILLI;
 
-  private static final long KILL_MOST = 4_200 * MILLI;
+  private static final long MAX_KILL_DELAY_MICROS = 4_200 * MILLI;
 
-  private static final long RESTART_LEAST = 200 * MILLI;
-  private static final long RESTART_MOST = 1_500 * MILLI;
+  private static final long MIN_RESTART_DELAY_MICROS = 200 * MILLI;
+  private static final long MAX_RESTART_DELAY_MICROS = 1_500 * MILLI;
 
   /** DAYS, Upgrades: the new process has so long to say yes. */
-  private static final long YES_WITHIN = 6_000 * MILLI;
+  private static final long TAKEOVER_TIMEOUT_MICROS = 6_000 * MILLI;
 
   private static final int BACKLOG = 1_024;
 
   /** Two runtimes, what each keeps in reserve, and clients: with fewer no upgrade can be served. */
-  private static final int SOCKETS_FOR_TWO = 320;
+  private static final int MIN_SOCKETS_FOR_UPGRADE = 320;
 
   private final World world;
-  private final Site told;
+  private final Site configuredSite;
   private final String name;
   private final int rank;
   private final Machine machine;
   private final InetSocketAddress address;
-  private final UnaryOperator<Network> wrapping;
-  private final boolean inherits;
-  private final MembershipConfig joining;
+  private final UnaryOperator<Network> networkDecorator;
+  private final boolean inheritsListener;
+  private final MembershipConfig membershipConfig;
   private final RandomStreams.Stream stream;
 
   /** Those that live, the last one among them. */
   private final List<Process> processes = new ArrayList<>();
 
-  private SharedDoor door;
-  private int sockets;
-  private long lives;
+  private SharedListener sharedListener;
+  private int socketLimit;
+  private long processesStarted;
   private int moves;
-  private String known;
+  private String knownHosts;
   private Process process;
   private Program program;
   private SimClock clock;
@@ -105,14 +105,14 @@
       boolean inherits,
       MembershipConfig joining) {
     this.world = world;
-    this.told = told;
+    this.configuredSite = told;
     this.name = name;
     this.rank = rank;
     this.machine = machine;
-    this.wrapping = wrapping;
-    this.inherits = inherits;
-    this.joining = joining;
-    this.sockets = world.site().sockets();
+    this.networkDecorator = wrapping;
+    this.inheritsListener = inherits;
+    this.membershipConfig = joining;
+    this.socketLimit = world.site().sockets();
     this.address = new InetSocketAddress(machine.address(), PORT);
     this.stream = world.draws().of("proxy " + name);
   }
@@ -133,38 +133,38 @@
   }
 
   /** Whether its process runs and has not been told to stop. */
-  public boolean serving() {
-    return program != null && program.alive() && proxy != null && !stopping;
+  public boolean isServing() {
+    return program != null && program.isAlive() && proxy != null && !stopping;
   }
 
   // ------------------------------------------------------------------- life
 
   @Override
   public void start(boolean atOnce) {
-    if (program != null && program.alive()) {
+    if (program != null && program.isAlive()) {
       return;
     }
-    if (known == null) {
-      known = world.discovery().list(name);
+    if (knownHosts == null) {
+      knownHosts = world.discovery().list(name);
     }
     world.discovery().resetReported(name, true);
     stopping = false;
     proxy = null;
-    if (inherits && door == null) {
-      openDoor();
+    if (inheritsListener && sharedListener == null) {
+      openSharedListener();
     }
     process = new Process();
     program = process.program;
     clock = new SimClock(world.agenda(), stream.bits() >>> 8, world.epochMillis());
     world.publish(new Event.ProxyStarted(name));
-    program.later(atOnce ? 0 : stream.micros(BOOT_LEAST, BOOT_MOST), process::serve);
+    program.schedule(atOnce ? 0 : stream.micros(MIN_BOOT_MICROS, MAX_BOOT_MICROS), process::serve);
     world.loadBalancer().processStarted(name, machine, address);
   }
 
-  private void openDoor() {
+  private void openSharedListener() {
     try {
-      door =
-          new SharedDoor(
+      sharedListener =
+          new SharedListener(
               machine,
               PORT,
               BACKLOG,
@@ -178,21 +178,21 @@
   }
 
   /** The platform holds the socket as long as a process of the proxy lives. */
-  private void closeDoor() {
-    processes.removeIf(one -> !one.program.alive());
-    if (door != null && processes.isEmpty()) {
-      door.close();
-      door = null;
+  private void closeSharedListenerIfUnused() {
+    processes.removeIf(one -> !one.program.isAlive());
+    if (sharedListener != null && processes.isEmpty()) {
+      sharedListener.close();
+      sharedListener = null;
     }
   }
 
   @Override
   public boolean isMember() {
-    return joining != null
+    return membershipConfig != null
         && processes.stream()
             .anyMatch(
                 one ->
-                    one.program.alive()
+                    one.program.isAlive()
                         && !one.terminated
                         && one.proxy != null
                         && one.proxy.fleet().view() != null);
@@ -201,30 +201,30 @@
   @Override
   public int descriptors() {
     return processes.stream()
-        .filter(one -> one.program.alive())
+        .filter(one -> one.program.isAlive())
         .mapToInt(one -> one.program.descriptors())
         .sum();
   }
 
   /** One process of the proxy, and what the others see of it. */
   private final class Process {
-    private final long number = ++lives;
-    private final Program program = new Program(machine, name, RUNTIME, sockets);
-    private final HandoverStateMachine succession = new HandoverStateMachine();
-    private final Map<Long, HandoverState> seen = new LinkedHashMap<>();
-    private final long began = world.now();
+    private final long number = ++processesStarted;
+    private final Program program = new Program(machine, name, RUNTIME_DESCRIPTORS, socketLimit);
+    private final HandoverStateMachine handover = new HandoverStateMachine();
+    private final Map<Long, HandoverState> importedStates = new LinkedHashMap<>();
+    private final long startedAtMicros = world.now();
     private Proxy proxy;
 
     /** What its locks say. */
-    private HandoverStateMachine.Phase told = HandoverStateMachine.Phase.WAITING;
+    private HandoverStateMachine.Phase publishedPhase = HandoverStateMachine.Phase.WAITING;
 
     /** What its file says; null while there is none. */
-    private HandoverState holding;
+    private HandoverState publishedState;
 
     /** Runs each time it begins to take connections. */
-    private Runnable yes = () -> {};
+    private Runnable onAccepting = () -> {};
 
-    private boolean saidYes;
+    private boolean hasTakenOver;
 
     /** It was told to stop, while another process of the proxy may go on. */
     private boolean terminated;
@@ -234,15 +234,16 @@
     }
 
     void serve() {
-      SimNetwork.Exhausted exhausted =
+      SimNetwork.DescriptorExhaustionHandler exhausted =
           held -> world.publish(new Event.DescriptorsExhausted(name, held));
-      Network network = wrapping.apply(new SimNetwork(program, clock, exhausted, door));
+      Network network =
+          networkDecorator.apply(new SimNetwork(program, clock, exhausted, sharedListener));
       try {
         Config read = Config.of(config(0));
-        Config mine = inherits ? read.withInheritedListener(Path.of(name)) : read;
-        proxy = new Proxy(mine, RelayLimits.NONE, joining, network);
-        if (joining != null) {
-          proxy.fleet().addListener(change -> viewed());
+        Config mine = inheritsListener ? read.withInheritedListener(Path.of(name)) : read;
+        proxy = new Proxy(mine, RelayLimits.NONE, membershipConfig, network);
+        if (membershipConfig != null) {
+          proxy.fleet().addListener(change -> publishView());
         }
         proxy.start();
       } catch (ConfigException | IOException e) {
@@ -251,12 +252,12 @@
       if (process == this) {
         ProxyNode.this.proxy = proxy;
       }
-      if (inherits) {
-        look();
+      if (inheritsListener) {
+        pollHandover();
       }
     }
 
-    private void viewed() {
+    private void publishView() {
       View view = proxy.fleet().view();
       List<Event.Seen> members = new ArrayList<>();
       for (Member one : view.members()) {
@@ -272,52 +273,55 @@
               name, number, view.version(), view.settled(), view.displaced(), members));
     }
 
-    private List<Process> others(boolean successors) {
+    private List<Process> liveProcesses(boolean successors) {
       return processes.stream()
-          .filter(one -> one.program.alive() && one != this)
+          .filter(one -> one.program.isAlive() && one != this)
           .filter(one -> successors == one.number > number)
           .toList();
     }
 
     /** What {@code Handover} does with locks and files, at its pace. */
-    private void look() {
-      HandoverStateMachine.Phase before = succession.phase();
-      boolean accepted = others(false).stream().anyMatch(one -> one.told.isAccepting());
-      boolean succeeded = others(true).stream().anyMatch(one -> one.told.isReady());
-      boolean knows = pass();
+    private void pollHandover() {
+      HandoverStateMachine.Phase before = handover.phase();
+      boolean accepted =
+          liveProcesses(false).stream().anyMatch(one -> one.publishedPhase.isAccepting());
+      boolean succeeded =
+          liveProcesses(true).stream().anyMatch(one -> one.publishedPhase.isReady());
+      boolean knows = exchangeState();
       boolean able = before.isReady() || (knows && proxy.isReadyToServe(!accepted));
       HandoverStateMachine.Phase phase =
-          succession.step(world.now(), new HandoverStateMachine.View(accepted, succeeded), able);
+          handover.step(world.now(), new HandoverStateMachine.View(accepted, succeeded), able);
       if (before.isAccepting() && !phase.isAccepting()) {
-        proxy.setAccepting(false, () -> told = phase);
+        proxy.setAccepting(false, () -> publishedPhase = phase);
       } else {
-        told = phase;
+        publishedPhase = phase;
         if (!before.isAccepting() && phase.isAccepting()) {
           world.publish(new Event.DoorHeld(name, number));
-          proxy.setAccepting(true, () -> yes.run());
+          proxy.setAccepting(true, () -> onAccepting.run());
         }
       }
-      program.later(Handover.POLL_INTERVAL_MILLIS * MILLI, this::look);
+      program.schedule(Handover.POLL_INTERVAL_MILLIS * MILLI, this::pollHandover);
     }
 
-    private boolean pass() {
-      if (!others(true).isEmpty()) {
-        proxy.captureState(held -> holding = held);
+    private boolean exchangeState() {
+      if (!liveProcesses(true).isEmpty()) {
+        proxy.captureState(held -> publishedState = held);
       }
-      List<Process> before = others(false);
+      List<Process> before = liveProcesses(false);
       for (Process one : before) {
-        if (one.holding != null && one.holding != seen.put(one.number, one.holding)) {
-          proxy.updatePredecessor(one.number, one.holding);
+        if (one.publishedState != null
+            && one.publishedState != importedStates.put(one.number, one.publishedState)) {
+          proxy.updatePredecessor(one.number, one.publishedState);
         }
       }
-      for (long known : List.copyOf(seen.keySet())) {
+      for (long known : List.copyOf(importedStates.keySet())) {
         if (before.stream().noneMatch(one -> one.number == known)) {
-          seen.remove(known);
+          importedStates.remove(known);
           proxy.updatePredecessor(known, HandoverState.EMPTY);
         }
       }
-      return world.now() - began >= Handover.STATE_TIMEOUT_MICROS
-          || before.stream().allMatch(one -> seen.containsKey(one.number));
+      return world.now() - startedAtMicros >= Handover.STATE_TIMEOUT_MICROS
+          || before.stream().allMatch(one -> importedStates.containsKey(one.number));
     }
   }
 
@@ -327,54 +331,56 @@
    */
   @Override
   public void upgrade() {
-    if (sockets < SOCKETS_FOR_TWO) {
+    if (socketLimit < MIN_SOCKETS_FOR_UPGRADE) {
       return;
     }
-    if (!inherits || !serving() || processes.stream().filter(p -> p.program.alive()).count() > 1) {
+    if (!inheritsListener
+        || !isServing()
+        || processes.stream().filter(p -> p.program.isAlive()).count() > 1) {
       return;
     }
     Process old = process;
     Process next = new Process();
-    next.program.later(stream.micros(BOOT_LEAST, BOOT_MOST), next::serve);
-    next.yes =
+    next.program.schedule(stream.micros(MIN_BOOT_MICROS, MAX_BOOT_MICROS), next::serve);
+    next.onAccepting =
         () -> {
-          if (next.saidYes) {
+          if (next.hasTakenOver) {
             return;
           }
-          next.saidYes = true;
+          next.hasTakenOver = true;
           process = next;
           program = next.program;
           proxy = next.proxy;
-          leave(old);
+          terminatePredecessor(old);
         };
     world
         .agenda()
         .after(
-            YES_WITHIN,
+            TAKEOVER_TIMEOUT_MICROS,
             () -> {
-              if (!next.saidYes) {
+              if (!next.hasTakenOver) {
                 next.program.kill();
               }
             });
   }
 
   /** SIGTERM to a process whose successor serves. */
-  private void leave(Process old) {
-    if (!old.program.alive()) {
+  private void terminatePredecessor(Process old) {
+    if (!old.program.isAlive()) {
       return;
     }
-    old.program.later(
+    old.program.schedule(
         0,
         () -> {
           long limit = old.proxy.drain(old.program::exit);
-          old.program.later(limit, old.program::exit);
+          old.program.schedule(limit, old.program::exit);
         });
     world
         .agenda()
         .after(
-            stream.micros(KILL_LEAST, KILL_MOST),
+            stream.micros(MIN_KILL_DELAY_MICROS, MAX_KILL_DELAY_MICROS),
             () -> {
-              if (old.program.alive()) {
+              if (old.program.isAlive()) {
                 old.program.kill();
                 world.publish(new Event.ProxyKilled(name, true));
               }
@@ -383,23 +389,23 @@
 
   private String config(int further) {
     return ProxyConfig.text(
-        told,
+        configuredSite,
         name,
         rank,
-        told.zones().get(rank % told.zones().size()),
+        configuredSite.zones().get(rank % configuredSite.zones().size()),
         machine.address().getHostAddress() + ":" + PORT,
         world.discovery().address(name, further),
         stream.bits(),
-        sockets,
-        known);
+        socketLimit,
+        knownHosts);
   }
 
   @Override
   public void crash(long downFor) {
-    if (program != null && program.alive()) {
-      end();
+    if (program != null && program.isAlive()) {
+      recordStop();
       processes.forEach(one -> one.program.kill());
-      closeDoor();
+      closeSharedListenerIfUnused();
       world.loadBalancer().processFailed(name);
       world.publish(new Event.ProxyKilled(name, false));
     }
@@ -408,14 +414,14 @@
 
   @Override
   public void losePower(long downFor) {
-    machine.darken();
+    machine.losePower();
     crash(downFor);
-    world.agenda().after(downFor, machine::lighten);
+    world.agenda().after(downFor, machine::restorePower);
   }
 
   @Override
   public void restart() {
-    if (!serving()) {
+    if (!isServing()) {
       return;
     }
     stopping = true;
@@ -424,37 +430,42 @@
     world.loadBalancer().shutdownStarted(name);
     Program life = program;
     Proxy stopped = proxy;
-    kill = world.agenda().after(stream.micros(KILL_LEAST, KILL_MOST), () -> overdue(life));
-    program.later(
+    kill =
+        world
+            .agenda()
+            .after(
+                stream.micros(MIN_KILL_DELAY_MICROS, MAX_KILL_DELAY_MICROS),
+                () -> killAndRestart(life));
+    program.schedule(
         0,
         () -> {
-          long limit = stopped.drain(() -> exit(life));
-          life.later(limit, () -> exit(life));
+          long limit = stopped.drain(() -> exitAndRestart(life));
+          life.schedule(limit, () -> exitAndRestart(life));
         });
   }
 
   @Override
   public void standby(long awayFor) {
-    if (!serving()) {
+    if (!isServing()) {
       return;
     }
-    if (joining != null && joining.sharesBudgets()) {
+    if (membershipConfig != null && membershipConfig.sharesBudgets()) {
       proxy.requestStandby(
           yes -> {
             if (yes) {
-              away(awayFor);
+              sendClientsAway(awayFor);
             } else {
               world.publish(new Event.ProxyPutOff(name));
             }
           });
       return;
     }
-    away(awayFor);
+    sendClientsAway(awayFor);
     proxy.enterStandby();
   }
 
   /** Its clients are sent away from here on. */
-  private void away(long awayFor) {
+  private void sendClientsAway(long awayFor) {
     Program life = program;
     world.publish(new Event.ProxyOnStandby(name));
     world.loadBalancer().shutdownStarted(name);
@@ -463,7 +474,7 @@
         .after(
             awayFor,
             () -> {
-              if (serving() && program == life) {
+              if (isServing() && program == life) {
                 proxy.activate();
                 world.publish(new Event.ProxyCalledBack(name));
                 world.loadBalancer().returnedToService(name);
@@ -471,38 +482,46 @@
             });
   }
 
-  private void exit(Program life) {
-    if (life.alive()) {
+  private void exitAndRestart(Program life) {
+    if (life.isAlive()) {
       kill.cancel();
-      end();
+      recordStop();
       life.exit();
-      closeDoor();
+      closeSharedListenerIfUnused();
       // One that was succeeded between SIGTERM and its end leaves a proxy that lives.
       if (life == program) {
         world.publish(new Event.ProxyExited(name, 0));
       }
-      world.agenda().after(stream.micros(RESTART_LEAST, RESTART_MOST), () -> start(false));
+      world
+          .agenda()
+          .after(
+              stream.micros(MIN_RESTART_DELAY_MICROS, MAX_RESTART_DELAY_MICROS),
+              () -> start(false));
     }
   }
 
-  private void overdue(Program life) {
-    if (life.alive()) {
-      end();
+  private void killAndRestart(Program life) {
+    if (life.isAlive()) {
+      recordStop();
       life.kill();
-      closeDoor();
+      closeSharedListenerIfUnused();
       world.publish(new Event.ProxyKilled(name, true));
-      world.agenda().after(stream.micros(RESTART_LEAST, RESTART_MOST), () -> start(false));
+      world
+          .agenda()
+          .after(
+              stream.micros(MIN_RESTART_DELAY_MICROS, MAX_RESTART_DELAY_MICROS),
+              () -> start(false));
     }
   }
 
-  private void end() {
-    known = world.discovery().list(name);
+  private void recordStop() {
+    knownHosts = world.discovery().list(name);
     stopping = true;
   }
 
   @Override
   public void hangUp(int further) {
-    if (serving()) {
+    if (isServing()) {
       world.publish(new Event.ProxyHungUp(name, further > 0));
       if (!reload(config(further))) {
         throw new IllegalStateException(name + " cannot read its own configuration");
@@ -512,8 +531,8 @@
 
   @Override
   public void hangUpDamaged() {
-    if (serving()) {
-      reload(ProxyConfig.damaged(config(1)));
+    if (isServing()) {
+      reload(ProxyConfig.truncated(config(1)));
     }
   }
 
@@ -523,7 +542,7 @@
       Config next = Config.of(text);
       // An upgrade's other process reads the same file.
       processes.stream()
-          .filter(one -> one.program.alive() && one.proxy != null)
+          .filter(one -> one.program.isAlive() && one.proxy != null)
           .forEach(one -> one.proxy.reload(next));
       return true;
     } catch (ConfigException e) {
@@ -552,7 +571,7 @@
   }
 
   /** How many descriptors its configuration states from its next life, or its next SIGHUP. */
-  public void sockets(int limit) {
-    sockets = limit;
+  public void socketLimit(int limit) {
+    socketLimit = limit;
   }
 }
--- a/src/main/java/brassbank/sim/proxy/SimChannel.java
+++ b/src/main/java/brassbank/sim/proxy/SimChannel.java
@@ -21,12 +21,12 @@
         new Endpoint.Handler() {
           @Override
           public void readable() {
-            network.turn(handler::readable);
+            network.runOnLoop(handler::readable);
           }
 
           @Override
           public void writable() {
-            network.turn(handler::writable);
+            network.runOnLoop(handler::writable);
           }
         });
   }
@@ -54,7 +54,7 @@
 
   @Override
   public void sendBuffer(int bytes) {
-    endpoint.sendBuffer(bytes);
+    endpoint.sendBufferBytes(bytes);
   }
 
   @Override
--- a/src/main/java/brassbank/sim/proxy/SimNetwork.java
+++ b/src/main/java/brassbank/sim/proxy/SimNetwork.java
@@ -4,7 +4,7 @@
 import brassbank.net.EventLoop;
 import brassbank.net.Network;
 import brassbank.sim.net.Endpoint;
-import brassbank.sim.net.Port;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
 import brassbank.sources.Clock;
@@ -20,55 +20,56 @@
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** Who is told that an accept or a connect found no descriptor. */
-  public interface Exhausted {
-    void exhausted(String held);
+  public interface DescriptorExhaustionHandler {
+    void descriptorsExhausted(String held);
   }
 
   private final Program program;
   private final Clock clock;
-  private final Exhausted exhausted;
-  private final SharedDoor door;
+  private final DescriptorExhaustionHandler exhaustionHandler;
+  private final SharedListener sharedListener;
   private EventLoop loop;
   private Agenda.Entry timer;
-  private long armedFor = Long.MAX_VALUE;
+  private long armedForNanos = Long.MAX_VALUE;
 
-  public SimNetwork(Program program, Clock clock, Exhausted exhausted) {
+  public SimNetwork(Program program, Clock clock, DescriptorExhaustionHandler exhausted) {
     this(program, clock, exhausted, null);
   }
 
   /** With a listening socket that the program has inherited, or null for none. */
-  SimNetwork(Program program, Clock clock, Exhausted exhausted, SharedDoor door) {
+  SimNetwork(
+      Program program, Clock clock, DescriptorExhaustionHandler exhausted, SharedListener door) {
     this.program = program;
     this.clock = clock;
-    this.exhausted = exhausted;
-    this.door = door;
+    this.exhaustionHandler = exhausted;
+    this.sharedListener = door;
   }
 
   @Override
   public void start(EventLoop timers) {
     loop = timers;
-    arm();
+    armTimer();
   }
 
   /** Runs something of the proxy's, on a turn that has come, and sees to its timers after it. */
-  void turn(Runnable task) {
+  void runOnLoop(Runnable task) {
     EventLoop.runGuarded(task);
-    arm();
+    armTimer();
   }
 
   /** As the real selector does, which waits for whole milliseconds, rounded up. */
-  private void arm() {
+  private void armTimer() {
     long due = loop == null ? Long.MAX_VALUE : loop.nextDeadlineNanos();
-    if (due == armedFor && timer != null && timer.isPending()) {
+    if (due == armedForNanos && timer != null && timer.isPending()) {
       return;
     }
     if (timer != null) {
       timer.cancel();
     }
-    armedFor = due;
+    armedForNanos = due;
     if (due != Long.MAX_VALUE) {
       long millis = Math.max(0, (due - clock.nanos() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
-      timer = program.later(millis * Agenda.MILLI, () -> turn(loop::runDueTimers));
+      timer = program.schedule(millis * Agenda.MILLI, () -> runOnLoop(loop::runDueTimers));
     }
   }
 
@@ -79,85 +80,85 @@
     if (!address.getAddress().equals(program.machine().address())) {
       throw new IOException("cannot assign the requested address " + address);
     }
-    Accepting accepting = new Accepting(accepted, true);
-    Port port = program.listen(address.getPort(), BACKLOG, accepting::turn);
-    accepting.waiting = port::waiting;
+    SimListener accepting = new SimListener(accepted, true);
+    ListeningSocket port = program.listen(address.getPort(), BACKLOG, accepting::acceptOne);
+    accepting.pendingConnections = port::pendingConnections;
     accepting.accept = port::accept;
     return accepting;
   }
 
   @Override
   public Network.Listener inherit(Consumer<Channel> accepted) throws IOException {
-    if (door == null) {
+    if (sharedListener == null) {
       return Network.super.inherit(accepted);
     }
-    Accepting accepting = new Accepting(accepted, false);
-    accepting.waiting = door::waiting;
-    accepting.accept = () -> door.accept(program);
-    door.heir(accepting::again);
+    SimListener accepting = new SimListener(accepted, false);
+    accepting.pendingConnections = sharedListener::pendingConnections;
+    accepting.accept = () -> sharedListener.accept(program);
+    sharedListener.addAcceptor(accepting::scheduleAccept);
     return accepting;
   }
 
   /** The listener's part: takes one connection a turn, while it is on. */
-  private final class Accepting implements Network.Listener {
+  private final class SimListener implements Network.Listener {
     private final Consumer<Channel> accepted;
-    private IntSupplier waiting;
+    private IntSupplier pendingConnections;
     private Supplier<Endpoint> accept;
-    private boolean on;
-    private boolean due;
+    private boolean accepting;
+    private boolean acceptScheduled;
 
-    Accepting(Consumer<Channel> accepted, boolean on) {
+    SimListener(Consumer<Channel> accepted, boolean on) {
       this.accepted = accepted;
-      this.on = on;
+      this.accepting = on;
     }
 
     @Override
     public void accepting(boolean allowed) {
-      on = allowed;
-      again();
+      accepting = allowed;
+      scheduleAccept();
     }
 
-    private void again() {
-      if (on && !due && waiting.getAsInt() > 0) {
-        due = true;
-        program.later(0, this::turn);
+    private void scheduleAccept() {
+      if (accepting && !acceptScheduled && pendingConnections.getAsInt() > 0) {
+        acceptScheduled = true;
+        program.schedule(0, this::acceptOne);
       }
     }
 
-    private void turn() {
-      due = false;
-      if (!on || waiting.getAsInt() == 0) {
+    private void acceptOne() {
+      acceptScheduled = false;
+      if (!accepting || pendingConnections.getAsInt() == 0) {
         return;
       }
-      if (!program.room()) {
+      if (!program.hasFreeDescriptor()) {
         // The real listener ends here: the contract's user must not let it come to this.
-        exhausted.exhausted(program.holds());
-        on = false;
+        exhaustionHandler.descriptorsExhausted(program.describeDescriptors());
+        accepting = false;
         return;
       }
       Endpoint endpoint = accept.get();
-      SimNetwork.this.turn(() -> accepted.accept(new SimChannel(SimNetwork.this, endpoint)));
-      again();
+      SimNetwork.this.runOnLoop(() -> accepted.accept(new SimChannel(SimNetwork.this, endpoint)));
+      scheduleAccept();
     }
   }
 
   @Override
   public Attempt connect(InetSocketAddress address, ConnectHandler then) {
-    Program.Connecting connecting =
+    Program.PendingConnect connecting =
         program.connect(
             address,
-            new Program.Connected() {
+            new Program.ConnectHandler() {
               @Override
-              public void up(Endpoint endpoint) {
-                turn(() -> then.connected(new SimChannel(SimNetwork.this, endpoint)));
+              public void connected(Endpoint endpoint) {
+                runOnLoop(() -> then.connected(new SimChannel(SimNetwork.this, endpoint)));
               }
 
               @Override
               public void failed(IOException cause) {
-                if (!program.room()) {
-                  exhausted.exhausted(program.holds());
+                if (!program.hasFreeDescriptor()) {
+                  exhaustionHandler.descriptorsExhausted(program.describeDescriptors());
                 }
-                turn(() -> then.failed(cause));
+                runOnLoop(() -> then.failed(cause));
               }
             });
     return connecting::cancel;
@@ -176,11 +177,12 @@
     if (!address.getAddress().equals(program.machine().address())) {
       throw new IOException("cannot assign the requested address " + address);
     }
-    brassbank.sim.net.Datagrams socket =
-        program.datagrams(
+    brassbank.sim.net.DatagramSocket socket =
+        program.openDatagramSocket(
             address.getPort(),
             (from, port, bytes) ->
-                turn(() -> heard.received(new InetSocketAddress(from.address(), port), bytes)));
+                runOnLoop(
+                    () -> heard.received(new InetSocketAddress(from.address(), port), bytes)));
     return new Network.Datagrams() {
       @Override
       public void send(InetSocketAddress to, byte[] bytes) {
@@ -189,14 +191,14 @@
 
       @Override
       public void close() {
-        program.gives(socket);
+        program.closeSocket(socket);
       }
     };
   }
 
   @Override
   public void execute(Runnable task) {
-    program.later(0, () -> turn(task));
+    program.schedule(0, () -> runOnLoop(task));
   }
 
   @Override
--- a/src/test/java/brassbank/SimStand.java
+++ b/src/test/java/brassbank/SimStand.java
@@ -4,8 +4,8 @@
 import brassbank.proxy.Proxy;
 import brassbank.sim.net.Endpoint;
 import brassbank.sim.net.Fabric;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.proxy.SimClock;
 import brassbank.sim.proxy.SimNetwork;
@@ -57,7 +57,7 @@
   private Program program(String name, int number) {
     try {
       InetAddress address = InetAddress.getByAddress(new byte[] {10, 0, 0, (byte) number});
-      Machine machine = fabric.machine(name, "leith", address);
+      Machine machine = fabric.addMachine(name, "leith", address);
       return new Program(machine, name, 20, 1_024);
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -65,8 +65,8 @@
   }
 
   /** Takes all that comes at a port. */
-  private static Port listen(Program program, int number, Consumer<Endpoint> taker) {
-    Port[] port = new Port[1];
+  private static ListeningSocket listen(Program program, int number, Consumer<Endpoint> taker) {
+    ListeningSocket[] port = new ListeningSocket[1];
     try {
       port[0] = program.listen(number, 50, () -> taker.accept(port[0].accept()));
       return port[0];
@@ -147,7 +147,7 @@
   private final class Host {
     private final Program program;
     private final Deque<End> opened = new ArrayDeque<>();
-    private final Port port;
+    private final ListeningSocket port;
     private String answer = "UP r-1";
 
     Host(String name, int number) {
@@ -255,9 +255,9 @@
     Wire[] wire = new Wire[1];
     clients.connect(
         new InetSocketAddress(node.machine().address(), 7070),
-        new Program.Connected() {
+        new Program.ConnectHandler() {
           @Override
-          public void up(Endpoint endpoint) {
+          public void connected(Endpoint endpoint) {
             wire[0] = new Wire(endpoint);
           }
 
--- a/src/test/java/brassbank/lab/LabIT.java
+++ b/src/test/java/brassbank/lab/LabIT.java
@@ -148,9 +148,9 @@
     for (int i = 0; i < 60; i++) {
       program.connect(
           new InetSocketAddress(world.discovery().machine().address(), 8500),
-          new Program.Connected() {
+          new Program.ConnectHandler() {
             @Override
-            public void up(Endpoint endpoint) {
+            public void connected(Endpoint endpoint) {
               byte[] call = "GET /api/targets HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
               try {
                 endpoint.write(call, 0, call.length);
--- a/src/test/java/brassbank/sim/MembershipTest.java
+++ b/src/test/java/brassbank/sim/MembershipTest.java
@@ -9,7 +9,7 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.fault.Script;
-import brassbank.sim.members.Spoiled;
+import brassbank.sim.members.TamperedNetwork;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -54,7 +54,14 @@
   void holdsAllRulesAgainstDrawnFaults() {
     List<Plan> plans = new ArrayList<>();
     for (long seed = 1; seed <= 8; seed++) {
-      plans.add(Plan.drawn(seed, Plan.SECONDS, 5, Plan.HOSTS, Plan.RATE).with(Plan.View.MEMBERS));
+      plans.add(
+          Plan.drawn(
+                  seed,
+                  Plan.DEFAULT_SECONDS,
+                  5,
+                  Plan.DEFAULT_HOSTS,
+                  Plan.DEFAULT_CLIENTS_PER_SECOND)
+              .with(Plan.FleetMode.MEMBERS));
     }
     assertThat(broken(plans)).isEmpty();
   }
@@ -107,16 +114,16 @@
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> forged(Message sent) {
-                    return sent.kind() != Message.Kind.PING || known(sent.target()) == null
+                  protected List<Message> forgeReplies(Message sent) {
+                    return sent.kind() != Message.Kind.PING || lastSelfUpdate(sent.target()) == null
                         ? List.of()
                         : List.of(
                             new Message(
                                 Message.Kind.ACK,
                                 sent.sequence(),
-                                known(sent.target()),
+                                lastSelfUpdate(sent.target()),
                                 sent.digest(),
                                 "",
                                 List.of()));
@@ -131,9 +138,9 @@
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> heard(Message message) {
+                  protected List<Message> tamperIncoming(Message message) {
                     return message.sender().name().equals("n3")
                         ? List.of()
                         : List.of(without(message, "n3"));
@@ -151,11 +158,11 @@
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> heard(Message message) {
+                  protected List<Message> tamperIncoming(Message message) {
                     return first(message.sender().name(), message.sender().incarnation())
-                        ? List.of(only(message, one -> first(one.name(), one.incarnation())))
+                        ? List.of(keepUpdates(message, one -> first(one.name(), one.incarnation())))
                         : List.of();
                   }
 
@@ -172,9 +179,9 @@
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> sent(InetSocketAddress to, Message message) {
+                  protected List<Message> tamperOutgoing(InetSocketAddress to, Message message) {
                     return Collections.nCopies(60, message);
                   }
                 });
@@ -182,6 +189,7 @@
   }
 
   private static Message without(Message message, String name) {
-    return Spoiled.only(message, one -> !one.name().equals(name) || one.state() != State.ALIVE);
+    return TamperedNetwork.keepUpdates(
+        message, one -> !one.name().equals(name) || one.state() != State.ALIVE);
   }
 }
--- a/src/test/java/brassbank/sim/PlantedBug.java
+++ b/src/test/java/brassbank/sim/PlantedBug.java
@@ -120,7 +120,13 @@
   /** The first seed up to {@code most} that catches it, or 0; what others broke is told. */
   long caughtBy(long most, BiConsumer<Long, Breach> others) {
     for (long seed = 1; seed <= most; seed++) {
-      Plan plan = Plan.drawn(seed, Plan.SECONDS, Plan.PROXIES, Plan.HOSTS, Plan.RATE);
+      Plan plan =
+          Plan.drawn(
+              seed,
+              Plan.DEFAULT_SECONDS,
+              Plan.DEFAULT_PROXIES,
+              Plan.DEFAULT_HOSTS,
+              Plan.DEFAULT_CLIENTS_PER_SECOND);
       List<Breach> breaches = new SimulationRun(plan, this.plant).execute(this::ends).breaches();
       if (breaches.stream().anyMatch(breach -> breach.rule().startsWith(rule))) {
         return seed;
--- a/src/test/java/brassbank/sim/SharesTest.java
+++ b/src/test/java/brassbank/sim/SharesTest.java
@@ -8,7 +8,7 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.fault.Script;
-import brassbank.sim.members.SpoiledSeats;
+import brassbank.sim.members.TamperedLeaseNetwork;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -44,7 +44,7 @@
         plans.add(Script.read(file));
       }
     }
-    assertThat(plans).hasSizeGreaterThan(6).allMatch(Plan::shares);
+    assertThat(plans).hasSizeGreaterThan(6).allMatch(Plan::sharesBudgets);
     assertThat(
             plans.parallelStream()
                 .flatMap(plan -> breaches(plan, UnaryOperator.identity()).stream())
@@ -57,12 +57,20 @@
     assertThat(
             Stream.iterate(1L, seed -> seed + 1)
                 .limit(8)
-                .map(seed -> Plan.drawn(seed, Plan.SECONDS, 5, Plan.HOSTS, Plan.RATE))
+                .map(
+                    seed ->
+                        Plan.drawn(
+                            seed,
+                            Plan.DEFAULT_SECONDS,
+                            5,
+                            Plan.DEFAULT_HOSTS,
+                            Plan.DEFAULT_CLIENTS_PER_SECOND))
                 .toList()
                 .parallelStream()
                 .flatMap(
                     plan ->
-                        breaches(plan.with(Plan.View.SHARES), UnaryOperator.identity()).stream())
+                        breaches(plan.with(Plan.FleetMode.SHARES), UnaryOperator.identity())
+                            .stream())
                 .toList())
         .isEmpty();
   }
@@ -70,10 +78,13 @@
   /** A fleet that is whole spends as one that goes by the file: the same places, to the byte. */
   @Test
   void changesNothingWhileAllAreThere() {
-    Plan plan = Plan.drawn(1, Plan.SECONDS, 5, Plan.HOSTS, Plan.RATE).with(List.of());
+    Plan plan =
+        Plan.drawn(1, Plan.DEFAULT_SECONDS, 5, Plan.DEFAULT_HOSTS, Plan.DEFAULT_CLIENTS_PER_SECOND)
+            .with(List.of());
     SimulationRun members =
-        new SimulationRun(plan.with(Plan.View.MEMBERS), UnaryOperator.identity());
-    SimulationRun shares = new SimulationRun(plan.with(Plan.View.SHARES), UnaryOperator.identity());
+        new SimulationRun(plan.with(Plan.FleetMode.MEMBERS), UnaryOperator.identity());
+    SimulationRun shares =
+        new SimulationRun(plan.with(Plan.FleetMode.SHARES), UnaryOperator.identity());
     assertThat(shares.execute().service().summary())
         .isEqualTo(members.execute().service().summary());
   }
@@ -87,14 +98,14 @@
             pastCalls(
                 plan,
                 real ->
-                    new SpoiledSeats(real, "simulated") {
+                    new TamperedLeaseNetwork(real, "simulated") {
                       @Override
-                      protected LeaseMessage taken(LeaseMessage message) {
+                      protected LeaseMessage tamperIncomingLease(LeaseMessage message) {
                         return null;
                       }
 
                       @Override
-                      protected LeaseMessage forged(InetSocketAddress to, LeaseMessage sent) {
+                      protected LeaseMessage forgeReplies(InetSocketAddress to, LeaseMessage sent) {
                         if (sent.kind() != LeaseMessage.Kind.ASK) {
                           return null;
                         }
@@ -144,14 +155,14 @@
             away(
                 new ArrayList<>(),
                 real ->
-                    new SpoiledSeats(real, "simulated") {
+                    new TamperedLeaseNetwork(real, "simulated") {
                       @Override
-                      protected LeaseMessage taken(LeaseMessage message) {
+                      protected LeaseMessage tamperIncomingLease(LeaseMessage message) {
                         return message.kind() == LeaseMessage.Kind.LEAVE ? null : message;
                       }
 
                       @Override
-                      protected LeaseMessage forged(InetSocketAddress to, LeaseMessage sent) {
+                      protected LeaseMessage forgeReplies(InetSocketAddress to, LeaseMessage sent) {
                         int rank = to.getAddress().getAddress()[3] - 1;
                         return sent.kind() != LeaseMessage.Kind.LEAVE
                             ? null
--- a/src/test/java/brassbank/sim/SimulationTest.java
+++ b/src/test/java/brassbank/sim/SimulationTest.java
@@ -7,7 +7,7 @@
 import brassbank.sim.check.Breach;
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Fault;
-import brassbank.sim.fault.Night;
+import brassbank.sim.fault.FleetScenario;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.fault.Script;
 import brassbank.sim.proxy.ProxyNode;
@@ -35,7 +35,12 @@
   private static final long SEEDS = 16;
 
   private static Plan drawn(long seed) {
-    return Plan.drawn(seed, Plan.SECONDS, Plan.PROXIES, Plan.HOSTS, Plan.RATE);
+    return Plan.drawn(
+        seed,
+        Plan.DEFAULT_SECONDS,
+        Plan.DEFAULT_PROXIES,
+        Plan.DEFAULT_HOSTS,
+        Plan.DEFAULT_CLIENTS_PER_SECOND);
   }
 
   private static SimulationRun.Result run(Plan plan) {
@@ -53,15 +58,21 @@
     assertThat(breaches).isEmpty();
   }
 
-  private static SimulationRun.Result night(Night night, long seed) {
-    Plan plan = night.plan(seed, Plan.SECONDS, Night.PROXIES, Night.HOSTS, Night.RATE);
+  private static SimulationRun.Result night(FleetScenario night, long seed) {
+    Plan plan =
+        night.plan(
+            seed,
+            Plan.DEFAULT_SECONDS,
+            FleetScenario.PROXIES,
+            FleetScenario.HOSTS,
+            FleetScenario.CLIENTS_PER_SECOND);
     return new SimulationRun(plan, UnaryOperator.identity()).execute();
   }
 
   /** Join nights broke the cold hosts' rule while sizes were taken for cores. */
   @ParameterizedTest
-  @EnumSource(Night.class)
-  void holdsAllRulesOnTheNightsOfALargeFleet(Night night) {
+  @EnumSource(FleetScenario.class)
+  void holdsAllRulesOnTheNightsOfALargeFleet(FleetScenario night) {
     for (long seed : new long[] {1, 22}) {
       assertThat(night(night, seed).breaches()).as("seed %s", seed).isEmpty();
     }
@@ -76,7 +87,10 @@
     List<Breach> breaches =
         LongStream.rangeClosed(1, 4)
             .parallel()
-            .mapToObj(seed -> Night.JOIN.plan(seed, 40, Night.PROXIES, Night.HOSTS, 60))
+            .mapToObj(
+                seed ->
+                    FleetScenario.JOIN.plan(
+                        seed, 40, FleetScenario.PROXIES, FleetScenario.HOSTS, 60))
             .map(
                 plan ->
                     new SimulationRun(
@@ -99,7 +113,10 @@
     List<Breach> breaches =
         LongStream.rangeClosed(1, 6)
             .parallel()
-            .mapToObj(seed -> Night.JOIN.plan(seed, 40, Night.PROXIES, Night.HOSTS, 60))
+            .mapToObj(
+                seed ->
+                    FleetScenario.JOIN.plan(
+                        seed, 40, FleetScenario.PROXIES, FleetScenario.HOSTS, 60))
             .map(
                 plan ->
                     new SimulationRun(
--- a/src/test/java/brassbank/sim/SubsetsTest.java
+++ b/src/test/java/brassbank/sim/SubsetsTest.java
@@ -22,7 +22,7 @@
 
   /** A calm fleet in which each host is asked by eight of sixteen, and has room. */
   private static final Plan CALM =
-      Plan.drawn(3, Plan.LEAST_SECONDS, 16, 32, 8).with(List.of()).with(Plan.View.SUBSETS);
+      Plan.drawn(3, Plan.MIN_SECONDS, 16, 32, 8).with(List.of()).with(Plan.FleetMode.SUBSETS);
 
   private static List<String> broken(SimulationRun run) {
     return run.execute().breaches().stream().map(Breach::rule).toList();
@@ -32,7 +32,7 @@
     List<Plan> plans = new ArrayList<>();
     try (Stream<Path> files = Files.list(Path.of("src/test/resources").resolve(folder))) {
       for (Path file : files.sorted().toList()) {
-        plans.add(Script.read(file).with(Plan.View.SUBSETS));
+        plans.add(Script.read(file).with(Plan.FleetMode.SUBSETS));
       }
     }
     return plans;
@@ -43,7 +43,7 @@
   void holdsAllRulesInTheLabsScripts() throws Exception {
     List<Plan> plans = scripts("lab-subsets");
     for (Plan plan : scripts("lab-shares")) {
-      plans.add(plan.onHosts(24));
+      plans.add(plan.withHosts(24));
     }
     assertThat(plans).hasSizeGreaterThan(10);
     assertThat(
@@ -57,12 +57,15 @@
   void holdsAllRulesAgainstDrawnFaults() {
     assertThat(
             LongStream.rangeClosed(1, 8)
-                .mapToObj(seed -> Plan.drawn(seed, Plan.SECONDS, 7, 24, Plan.RATE))
+                .mapToObj(
+                    seed ->
+                        Plan.drawn(
+                            seed, Plan.DEFAULT_SECONDS, 7, 24, Plan.DEFAULT_CLIENTS_PER_SECOND))
                 .toList()
                 .parallelStream()
                 .flatMap(
                     plan ->
-                        new SimulationRun(plan.with(Plan.View.SUBSETS), AS_IT_IS)
+                        new SimulationRun(plan.with(Plan.FleetMode.SUBSETS), AS_IT_IS)
                             .execute().breaches().stream())
                 .toList())
         .isEmpty();
--- a/src/test/java/brassbank/sim/cli/ExperimentCommandTest.java
+++ b/src/test/java/brassbank/sim/cli/ExperimentCommandTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.within;
 
 import brassbank.cli.Program;
-import brassbank.sim.experiment.Paired;
+import brassbank.sim.experiment.PairedDifference;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.ByteArrayOutputStream;
@@ -75,9 +75,9 @@
   void hasTheIntervalsOfStudentsOwnExample() {
     double[] first = {0.7, -1.6, -0.2, -1.2, -0.1, 3.4, 3.7, 0.8, 0.0, 2.0};
     double[] second = {1.9, 0.8, 1.1, 0.1, -0.1, 4.4, 5.5, 1.6, 4.6, 3.4};
-    Paired paired = Paired.of(first, second);
+    PairedDifference paired = PairedDifference.of(first, second);
     assertThat(paired.mean()).isCloseTo(1.58, within(1e-9));
-    assertThat(paired.half()).isCloseTo(0.88, within(0.005));
-    assertThat(paired.tells()).isTrue();
+    assertThat(paired.halfWidth()).isCloseTo(0.88, within(0.005));
+    assertThat(paired.isSignificant()).isTrue();
   }
 }
--- a/src/test/java/brassbank/sim/fault/ScriptTest.java
+++ b/src/test/java/brassbank/sim/fault/ScriptTest.java
@@ -13,8 +13,8 @@
     for (long seed = 1; seed <= 20; seed++) {
       Plan plan =
           Plan.drawn(seed, 60, 3, 12, 13)
-              .with(Numbers.parse(seed % 2 == 0 ? "0-12,57" : ""))
-              .until(45);
+              .with(IndexSet.parse(seed % 2 == 0 ? "0-12,57" : ""))
+              .withSeconds(45);
       String text = Script.write(plan, "two\nlines");
       assertThat(text).startsWith("# two\n# lines\n");
       Plan read = Script.parse("x.toml", text);
--- a/src/test/java/brassbank/sim/members/SceneTest.java
+++ b/src/test/java/brassbank/sim/members/MembershipScenarioTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Scenes on fleets of members, and bugs planted in all of them. */
-class SceneTest {
+class MembershipScenarioTest {
   private static final int MEMBERS = 14;
 
   /** What one scene comes to with and without a bug, over a few seeds. */
@@ -41,41 +41,45 @@
     Log.setThreadSink(null);
   }
 
-  private static Sum played(Scene scene, Settings settings, UnaryOperator<Network> bug) {
+  private static Sum played(
+      MembershipScenario scene, Settings settings, UnaryOperator<Network> bug) {
     double most = 0;
     int never = 0;
     int falseDeaths = 0;
     List<String> broken = new ArrayList<>();
-    List<Scene.Result> results =
+    List<MembershipScenario.Result> results =
         IntStream.rangeClosed(1, 3)
             .parallel()
             .mapToObj(seed -> quietly(() -> scene.play(seed, MEMBERS, settings, bug)))
             .toList();
-    for (Scene.Result result : results) {
-      most = Math.max(most, result.seconds.isEmpty() ? 0 : Collections.max(result.seconds));
-      never += result.never;
+    for (MembershipScenario.Result result : results) {
+      most =
+          Math.max(
+              most,
+              result.convergenceSeconds.isEmpty() ? 0 : Collections.max(result.convergenceSeconds));
+      never += result.unconverged;
       falseDeaths += result.falseDeaths;
-      broken.addAll(result.broken);
+      broken.addAll(result.violations);
     }
     return new Sum(most, never, falseDeaths, broken);
   }
 
-  private static Scene.Result quietly(Supplier<Scene.Result> play) {
+  private static MembershipScenario.Result quietly(Supplier<MembershipScenario.Result> play) {
     Log.setThreadSink(event -> {});
     return play.get();
   }
 
-  private static Sum sound(Scene scene) {
-    return played(scene, scene.fitting(Settings.DEFAULTS), UnaryOperator.identity());
+  private static Sum sound(MembershipScenario scene) {
+    return played(scene, scene.adjust(Settings.DEFAULTS), UnaryOperator.identity());
   }
 
   @ParameterizedTest
   @EnumSource
-  void viewsFollowTheTruth(Scene scene) {
+  void viewsFollowTheTruth(MembershipScenario scene) {
     Sum sum = sound(scene);
     assertThat(sum.broken()).isEmpty();
     assertThat(sum.never()).isZero();
-    if (scene != Scene.STORM) {
+    if (scene != MembershipScenario.STORM) {
       assertThat(sum.falseDeaths()).isZero();
     }
     double bound =
@@ -94,7 +98,7 @@
   void catchesASuspicionThatNeverEnds() {
     Sum sum =
         played(
-            Scene.CRASH,
+            MembershipScenario.CRASH,
             Settings.DEFAULTS.withMinSuspicion(3_600_000_000L),
             UnaryOperator.identity());
     assertThat(sum.never()).isPositive();
@@ -113,36 +117,36 @@
   }
 
   /** Whoever refutes says so with the incarnation that it had. */
-  private static final class RefutesInVain extends Spoiled {
+  private static final class RefutesInVain extends TamperedNetwork {
     RefutesInVain(Network real) {
       super(real, "flock");
     }
 
     @Override
-    protected List<Message> sent(InetSocketAddress to, Message message) {
+    protected List<Message> tamperOutgoing(InetSocketAddress to, Message message) {
       return List.of(
-          with(
+          mapUpdates(
               message,
               one -> {
                 Incarnation first = new Incarnation(one.incarnation().startTime(), 0);
-                return SceneTest.with(one, first, one.state());
+                return MembershipScenarioTest.with(one, first, one.state());
               }));
     }
   }
 
   @Test
   void catchesARefutationThatRaisesNothing() {
-    Sum sum = played(Scene.CUT, Settings.DEFAULTS, RefutesInVain::new);
+    Sum sum = played(MembershipScenario.CUT, Settings.DEFAULTS, RefutesInVain::new);
     assertThat(sum.never()).isPositive();
   }
 
   /** The file's addresses are of those that are gone: only who remembers the dead finds them. */
   @Test
   void catchesTheDeadForgottenTooSoon() {
-    assertThat(sound(Scene.CUT_WITHOUT_SEEDS).never()).isZero();
+    assertThat(sound(MembershipScenario.CUT_WITHOUT_SEEDS).never()).isZero();
     Sum sum =
         played(
-            Scene.CUT_WITHOUT_SEEDS,
+            MembershipScenario.CUT_WITHOUT_SEEDS,
             Settings.DEFAULTS.withTombstoneRetention(2_000_000),
             UnaryOperator.identity());
     assertThat(sum.never()).isPositive();
@@ -150,12 +154,13 @@
 
   @Test
   void catchesTheDeadThatAreNeverForgotten() {
-    assertThat(played(Scene.FORGET, Settings.DEFAULTS, UnaryOperator.identity()).broken())
+    assertThat(
+            played(MembershipScenario.FORGET, Settings.DEFAULTS, UnaryOperator.identity()).broken())
         .isNotEmpty();
   }
 
   /** What is old is told as if it were new. */
-  private static final class BelievesTheOld extends Spoiled {
+  private static final class BelievesTheOld extends TamperedNetwork {
     private final Map<String, Incarnation> highest = new HashMap<>();
 
     BelievesTheOld(Network real) {
@@ -163,15 +168,15 @@
     }
 
     @Override
-    protected List<Message> heard(Message message) {
+    protected List<Message> tamperIncoming(Message message) {
       return List.of(
-          with(
+          mapUpdates(
               message,
               one -> {
                 Incarnation known = highest.merge(one.name(), one.incarnation(), this::later);
                 boolean old = one.incarnation().compareTo(known) < 0;
                 return old
-                    ? SceneTest.with(
+                    ? MembershipScenarioTest.with(
                         one, new Incarnation(known.startTime(), known.revision() + 1), one.state())
                     : one;
               }));
@@ -184,8 +189,8 @@
 
   @Test
   void catchesAnOldIncarnationThatIsBelieved() {
-    Sum sum = played(Scene.OLD_DATAGRAMS, Settings.DEFAULTS, BelievesTheOld::new);
-    assertThat(sound(Scene.OLD_DATAGRAMS).broken()).isEmpty();
+    Sum sum = played(MembershipScenario.OLD_DATAGRAMS, Settings.DEFAULTS, BelievesTheOld::new);
+    assertThat(sound(MembershipScenario.OLD_DATAGRAMS).broken()).isEmpty();
     assertThat(sum.never() + sum.broken().size()).isPositive();
   }
 
@@ -201,8 +206,8 @@
             Settings.DEFAULTS.maxLocalHealth(),
             Settings.DEFAULTS.tombstoneRetentionMicros(),
             Settings.DEFAULTS.settleMicros());
-    double sound = sound(Scene.LEAVE_IN_LOSS).most();
-    double told = played(Scene.LEAVE_IN_LOSS, once, UnaryOperator.identity()).most();
+    double sound = sound(MembershipScenario.LEAVE_IN_LOSS).most();
+    double told = played(MembershipScenario.LEAVE_IN_LOSS, once, UnaryOperator.identity()).most();
     assertThat(sound).isLessThan(1.5);
     assertThat(told).isGreaterThan(1.5);
   }
@@ -223,8 +228,11 @@
     int humble = 0;
     int blames = 0;
     for (int seed = 1; seed <= 3; seed++) {
-      humble += Scene.DEAF.play(seed, MEMBERS, Settings.DEFAULTS, UnaryOperator.identity()).blamed;
-      blames += Scene.DEAF.play(seed, MEMBERS, proud, UnaryOperator.identity()).blamed;
+      humble +=
+          MembershipScenario.DEAF.play(seed, MEMBERS, Settings.DEFAULTS, UnaryOperator.identity())
+              .suspicions;
+      blames +=
+          MembershipScenario.DEAF.play(seed, MEMBERS, proud, UnaryOperator.identity()).suspicions;
     }
     assertThat(humble * 3).as("of %d without", blames).isLessThan(blames * 2);
   }
@@ -233,25 +241,26 @@
   @Test
   void oneOfTwoOfTheSameNameGivesWayAndNobodyFlaps() {
     int[] warnings = new int[2];
-    Flock flock = new Flock(1, MEMBERS + 1, Settings.DEFAULTS, UnaryOperator.identity());
+    SimulatedCluster flock =
+        new SimulatedCluster(1, MEMBERS + 1, Settings.DEFAULTS, UnaryOperator.identity());
     for (int i = 0; i < MEMBERS; i++) {
       flock.add();
     }
-    flock.seeds(flock.all().get(0));
-    flock.all().forEach(Flock.One::start);
+    flock.seeds(flock.members().get(0));
+    flock.members().forEach(SimulatedCluster.SimulatedMember::start);
     flock.run(6_000_000);
-    Flock.One one = flock.all().get(5);
-    Flock.One twin = flock.twin(one);
+    SimulatedCluster.SimulatedMember one = flock.members().get(5);
+    SimulatedCluster.SimulatedMember twin = flock.addDuplicate(one);
     Log.setThreadSink(
         event -> {
           if (event.name().equals("name-taken")) {
-            warnings[flock.fabric().running().machine() == one.machine ? 0 : 1]++;
+            warnings[flock.fabric().runningProgram().machine() == one.machine ? 0 : 1]++;
           }
         });
     int[] changes = {0};
     twin.start();
     flock
-        .all()
+        .members()
         .get(2)
         .fleet()
         .addListener(
@@ -263,8 +272,8 @@
     flock.run(120_000_000);
     boolean first = one.fleet().view().displaced();
     assertThat(first).isNotEqualTo(twin.fleet().view().displaced());
-    Flock.One member = first ? twin : one;
-    for (Flock.One other : flock.all()) {
+    SimulatedCluster.SimulatedMember member = first ? twin : one;
+    for (SimulatedCluster.SimulatedMember other : flock.members()) {
       if (other != one && other != twin) {
         assertThat(other.fleet().view().members())
             .filteredOn(seen -> seen.name().equals(one.name))
@@ -281,18 +290,19 @@
   void catchesAGoodbyeThatIsTakenForADeath() {
     Sum sum =
         played(
-            Scene.LEAVE,
+            MembershipScenario.LEAVE,
             Settings.DEFAULTS,
             real ->
-                new Spoiled(real, "flock") {
+                new TamperedNetwork(real, "flock") {
                   @Override
-                  protected List<Message> heard(Message message) {
+                  protected List<Message> tamperIncoming(Message message) {
                     return List.of(
-                        with(
+                        mapUpdates(
                             message,
                             one ->
                                 one.state() == State.LEFT
-                                    ? SceneTest.with(one, one.incarnation(), State.DEAD)
+                                    ? MembershipScenarioTest.with(
+                                        one, one.incarnation(), State.DEAD)
                                     : one));
                   }
                 });
--- a/src/test/java/brassbank/sim/members/SpoiledSeats.java
+++ b/src/test/java/brassbank/sim/members/TamperedLeaseNetwork.java
@@ -8,28 +8,28 @@
 import java.net.InetSocketAddress;
 
 /** A network on which what is said of seats is spoiled; everything else is as it was. */
-public class SpoiledSeats extends Spoiled {
+public class TamperedLeaseNetwork extends TamperedNetwork {
   private final Network real;
   private final LeaseCodec codec;
 
-  public SpoiledSeats(Network real, String fleet) {
+  public TamperedLeaseNetwork(Network real, String fleet) {
     super(real, fleet);
     this.real = real;
     codec = new LeaseCodec(fleet);
   }
 
   /** What goes out in place of a message; null for nothing. */
-  protected LeaseMessage said(LeaseMessage message) {
+  protected LeaseMessage tamperOutgoingLease(LeaseMessage message) {
     return message;
   }
 
   /** What comes in in place of a message; null for nothing. */
-  protected LeaseMessage taken(LeaseMessage message) {
+  protected LeaseMessage tamperIncomingLease(LeaseMessage message) {
     return message;
   }
 
   /** What comes back from the one whom a message was sent to, who knows nothing of it; or null. */
-  protected LeaseMessage forged(InetSocketAddress to, LeaseMessage sent) {
+  protected LeaseMessage forgeReplies(InetSocketAddress to, LeaseMessage sent) {
     return null;
   }
 
@@ -39,7 +39,8 @@
         real.datagrams(
             address,
             (from, bytes) -> {
-              byte[] spoiled = LeaseCodec.hasMagic(bytes) ? write(taken(read(bytes))) : bytes;
+              byte[] spoiled =
+                  LeaseCodec.hasMagic(bytes) ? write(tamperIncomingLease(read(bytes))) : bytes;
               if (spoiled != null) {
                 heard.received(from, spoiled);
               }
@@ -47,11 +48,12 @@
     return new Datagrams() {
       @Override
       public void send(InetSocketAddress to, byte[] bytes) {
-        byte[] spoiled = LeaseCodec.hasMagic(bytes) ? write(said(read(bytes))) : bytes;
+        byte[] spoiled =
+            LeaseCodec.hasMagic(bytes) ? write(tamperOutgoingLease(read(bytes))) : bytes;
         if (spoiled != null) {
           socket.send(to, spoiled);
         }
-        LeaseMessage forged = LeaseCodec.hasMagic(bytes) ? forged(to, read(bytes)) : null;
+        LeaseMessage forged = LeaseCodec.hasMagic(bytes) ? forgeReplies(to, read(bytes)) : null;
         if (forged != null) {
           real.execute(() -> heard.received(to, write(forged)));
         }
--- a/src/test/java/brassbank/sim/members/Spoiled.java
+++ b/src/test/java/brassbank/sim/members/TamperedNetwork.java
@@ -18,33 +18,33 @@
 import java.util.function.UnaryOperator;
 
 /** A network whose datagrams are read and spoiled on their way; everything else is as it was. */
-public class Spoiled implements Network {
+public class TamperedNetwork implements Network {
   private final Network real;
   private final Codec codec;
   private final Map<String, Update> senders = new HashMap<>();
 
-  public Spoiled(Network real, String fleet) {
+  public TamperedNetwork(Network real, String fleet) {
     this.real = real;
     codec = new Codec(fleet);
   }
 
   /** What goes out in place of a message. */
-  protected List<Message> sent(InetSocketAddress to, Message message) {
+  protected List<Message> tamperOutgoing(InetSocketAddress to, Message message) {
     return List.of(message);
   }
 
   /** What comes in in place of a message. */
-  protected List<Message> heard(Message message) {
+  protected List<Message> tamperIncoming(Message message) {
     return List.of(message);
   }
 
   /** Another ACK than the one that never came. */
-  protected List<Message> forged(Message sent) {
+  protected List<Message> forgeReplies(Message sent) {
     return List.of();
   }
 
   /** The message with no more than these things told in it. */
-  public static Message only(Message message, Predicate<Update> kept) {
+  public static Message keepUpdates(Message message, Predicate<Update> kept) {
     return new Message(
         message.kind(),
         message.sequence(),
@@ -55,12 +55,12 @@
   }
 
   /** What this one of a name has said last of itself; null where nothing came. */
-  protected Update known(String name) {
+  protected Update lastSelfUpdate(String name) {
     return senders.get(name);
   }
 
   /** The message with each thing told in it replaced, its sender's own word among them. */
-  static Message with(Message message, UnaryOperator<Update> change) {
+  static Message mapUpdates(Message message, UnaryOperator<Update> change) {
     return new Message(
         message.kind(),
         message.sequence(),
@@ -78,14 +78,14 @@
             (from, bytes) -> {
               Message message = read(bytes);
               senders.put(message.sender().name(), message.sender());
-              heard(message).forEach(one -> heard.received(from, write(one)));
+              tamperIncoming(message).forEach(one -> heard.received(from, write(one)));
             });
     return new Datagrams() {
       @Override
       public void send(InetSocketAddress to, byte[] bytes) {
         Message message = read(bytes);
-        sent(to, message).forEach(one -> socket.send(to, write(one)));
-        forged(message).forEach(one -> real.execute(() -> heard.received(to, write(one))));
+        tamperOutgoing(to, message).forEach(one -> socket.send(to, write(one)));
+        forgeReplies(message).forEach(one -> real.execute(() -> heard.received(to, write(one))));
       }
 
       @Override
--- a/src/test/java/brassbank/sim/net/EndpointTest.java
+++ b/src/test/java/brassbank/sim/net/EndpointTest.java
@@ -25,7 +25,7 @@
           new Fabric.Buffers(16_384, 16_384, 100_000_000));
   private Program left;
   private Program right;
-  private Port port;
+  private ListeningSocket port;
   private Endpoint near;
   private Endpoint far;
   private IOException failure;
@@ -39,15 +39,15 @@
 
   private Program program(String name, int number) throws Exception {
     InetAddress address = InetAddress.getByAddress(new byte[] {10, 0, 0, (byte) number});
-    return new Program(fabric.machine(name, "leith", address), name, 0, 20);
+    return new Program(fabric.addMachine(name, "leith", address), name, 0, 20);
   }
 
-  private Program.Connecting dial() {
+  private Program.PendingConnect dial() {
     return left.connect(
         new InetSocketAddress(right.machine().address(), PORT),
-        new Program.Connected() {
+        new Program.ConnectHandler() {
           @Override
-          public void up(Endpoint endpoint) {
+          public void connected(Endpoint endpoint) {
             near = endpoint;
           }
 
@@ -146,12 +146,12 @@
             return true;
           }
         };
-    fabric.begin(cut);
+    fabric.addDisturbance(cut);
     write(near, "late");
     pass(5 * Agenda.SECOND);
     assertThat(read(far)).isEmpty();
-    assertThat(near.calmSince()).isEqualTo(agenda.now());
-    fabric.end(cut);
+    assertThat(near.undisturbedSince()).isEqualTo(agenda.now());
+    fabric.removeDisturbance(cut);
     pass(100_000);
     // The next repeat was due 6.2 s after the first try, which doubles from 200 ms.
     assertThat(read(far)).isEmpty();
@@ -169,10 +169,10 @@
             return from == right.machine();
           }
         };
-    fabric.begin(cut);
+    fabric.addDisturbance(cut);
     far.reset();
     pass(Agenda.SECOND);
-    fabric.end(cut);
+    fabric.removeDisturbance(cut);
     pass(Agenda.SECOND);
     assertThat(read(near)).isEmpty();
     write(near, "anybody?");
@@ -183,12 +183,12 @@
   @Test
   void knowsNothingOfItsConnectionsAfterAPowerCut() throws Exception {
     connect();
-    right.machine().darken();
+    right.machine().losePower();
     right.kill();
     write(near, "anybody?");
     pass(Agenda.SECOND);
     assertThat(read(near)).isEmpty();
-    right.machine().lighten();
+    right.machine().restorePower();
     pass(3 * Agenda.SECOND);
     assertThatThrownBy(() -> read(near)).isInstanceOf(ResetException.class);
   }
@@ -200,10 +200,10 @@
     pass(10_000);
     assertThat(failure).hasMessageContaining("refused");
     port = right.listen(PORT, 4, () -> {});
-    right.machine().darken();
+    right.machine().losePower();
     dial();
     pass(500_000);
-    right.machine().lighten();
+    right.machine().restorePower();
     port = right.listen(PORT + 1, 4, () -> {});
     assertThat(near).isNull();
     pass(600_000);
@@ -229,7 +229,7 @@
   @Test
   void countsDescriptorsAndGivesOutNoMoreThanTheLimit() throws Exception {
     connect();
-    left.limit(2);
+    left.descriptorLimit(2);
     dial();
     assertThat(left.descriptors()).isEqualTo(2);
     dial();
