--- a/src/main/java/brassbank/lab/Lab.java
+++ b/src/main/java/brassbank/lab/Lab.java
@@ -214,7 +214,7 @@
       watcher.at(this, turner.now());
     }
     scene.checks().onEnd(scene.agenda().now());
-    scene.service().end(scene.agenda().now());
+    scene.service().finish(scene.agenda().now());
     return outcome();
   }
 
--- a/src/main/java/brassbank/sim/Joined.java
+++ b/src/main/java/brassbank/sim/MutualReachability.java
@@ -8,22 +8,22 @@
 import java.util.Map;
 
 /** Since when which members have run and could hear each other; looked at with the rules. */
-final class Joined {
+final class MutualReachability {
   /** What membership promises to bear: a tenth is lost, and all is late by so much, one way. */
-  private static final double MOST_LOST = 0.1;
+  private static final double MAX_LOSS = 0.1;
 
-  private static final long MOST_LATE = 300_000;
+  private static final long MAX_DELAY_MICROS = 300_000;
 
   private final Fabric fabric;
   private final Map<String, ProxyInstance> proxies;
   private final Map<String, Long> since = new HashMap<>();
 
-  Joined(Fabric fabric, Map<String, ProxyInstance> proxies) {
+  MutualReachability(Fabric fabric, Map<String, ProxyInstance> proxies) {
     this.fabric = fabric;
     this.proxies = proxies;
   }
 
-  void look(long now) {
+  void update(long now) {
     List<ProxyInstance> all = new ArrayList<>(proxies.values());
     boolean[] runs = new boolean[all.size()];
     boolean[][] hear = new boolean[all.size()][all.size()];
@@ -35,7 +35,8 @@
         hear[i][j] =
             runs[i]
                 && runs[j]
-                && fabric.hear(all.get(i).machine(), all.get(j).machine(), MOST_LOST, MOST_LATE);
+                && fabric.hear(
+                    all.get(i).machine(), all.get(j).machine(), MAX_LOSS, MAX_DELAY_MICROS);
         hear[j][i] = hear[i][j];
       }
     }
--- a/src/main/java/brassbank/sim/ScenarioRun.java
+++ b/src/main/java/brassbank/sim/ScenarioRun.java
@@ -48,15 +48,15 @@
   private static final long FIRST_CLIENT = SECOND;
 
   /** Numbers of extra clients begin here, so that bursts do not shift the usual ones. */
-  private static final int EXTRA = 100_000;
+  private static final int FIRST_EXTRA_CLIENT = 100_000;
 
-  private static final int MOST_ATTEMPTS = 4;
+  private static final int MAX_ATTEMPTS = 4;
 
   /** Share of all groups that a host holds connections of, by and large. */
-  private static final double GROUPS_HELD = 0.4;
+  private static final double GROUP_SHARE_PER_HOST = 0.4;
 
   /** A host that is asked for less of what it can do has room for more. */
-  private static final double ROOM = 0.5;
+  private static final double MAX_UTILIZATION = 0.5;
 
   /** Makes the site's proxies. */
   public interface ProxyFactory {
@@ -77,21 +77,21 @@
   }
 
   private final Plan plan;
-  private final Environment house;
+  private final Environment environment;
   private final Agenda agenda = new Agenda();
   private final Trace trace = new Trace(agenda);
   private final RandomStreams draws;
   private final World world;
   private final Map<String, ProxyInstance> proxies = new LinkedHashMap<>();
-  private final List<Program> homes = new ArrayList<>();
+  private final List<Program> clientPrograms = new ArrayList<>();
   private final Checks checks;
 
   /** Null where the proxies keep no view. */
-  private final Joined joined;
+  private final MutualReachability reachability;
 
   private final Stage stage;
   private final ServiceStatistics service = new ServiceStatistics();
-  private int extra = EXTRA;
+  private int nextExtraClient = FIRST_EXTRA_CLIENT;
 
   public ScenarioRun(Plan plan, Environment house, ProxyFactory cast) {
     this(plan, house, cast, site(plan));
@@ -100,7 +100,7 @@
   /** As above, with another deployment than the plan's own. */
   ScenarioRun(Plan plan, Environment house, ProxyFactory cast, Site site) {
     this.plan = plan;
-    this.house = house;
+    this.environment = house;
     draws = new RandomStreams(plan.seed());
     Fabric fabric = new Fabric(agenda, draws, LATENCY, BUFFERS);
     world = new World(agenda, draws, fabric, trace, site, house.addresses(), house.epochMillis());
@@ -109,27 +109,27 @@
         new Checks.RuleParameters(
             site.answerSlack(),
             site.drainGrace(),
-            MOST_ATTEMPTS,
+            MAX_ATTEMPTS,
             site.proxies(),
             site.hosts(),
             plan.askers(),
             Plan.RECOVERY_MILLIS * MILLI,
             plan.sockets() < Plan.USUAL_SOCKETS,
-            demand(site),
+            demandShare(site),
             repeats(site));
     List<Rule> rules = new ArrayList<>(Checks.commonRules(figures));
     if (plan.membership()) {
       rules.addAll(Checks.membershipRules(figures, plan.shares()));
       rules.addAll(plan.shares() ? Checks.sharedBudgetRules(figures) : List.of());
       rules.addAll(plan.subsets() ? Checks.subsetRules(figures) : List.of());
-      joined = new Joined(fabric, proxies);
+      reachability = new MutualReachability(fabric, proxies);
     } else {
-      joined = null;
+      reachability = null;
     }
-    checks = new Checks(rules, new Known());
+    checks = new Checks(rules, new SimulationTruth());
     trace.addListener(checks);
     trace.addListener(service);
-    stage = new Stage(world, proxies, new Coming());
+    stage = new Stage(world, proxies, new ClientSource());
   }
 
   /** The figures of a plan's deployment. */
@@ -149,9 +149,9 @@
     return repeats;
   }
 
-  private double demand(Site site) {
+  private double demandShare(Site site) {
     double can = world.hosts().values().stream().mapToDouble(StreamHost::capacity).sum();
-    double groups = site.groupCost() * site.groups() * site.hosts() * GROUPS_HELD;
+    double groups = site.groupCost() * site.groups() * site.hosts() * GROUP_SHARE_PER_HOST;
     return (site.rate() * Client.meanLoadSeconds(site) + groups) / can;
   }
 
@@ -198,12 +198,12 @@
     world.hosts().values().forEach(host -> host.start(true));
     world.discovery().start();
     proxies.values().forEach(proxy -> proxy.start(true));
-    arrivals();
-    plan.faults().forEach(this::enter);
+    scheduleClients();
+    plan.faults().forEach(this::scheduleFault);
     agenda.at(
         Math.max(plan.faultsOverMillis() * MILLI, FIRST_CLIENT),
         () -> world.publish(new Event.AllFaultsOver()));
-    look();
+    onTick();
   }
 
   private void build(Site site, ProxyFactory cast) {
@@ -230,19 +230,19 @@
     }
     for (int i = 0; i < zones.size(); i++) {
       Machine machine = world.machine("clients-" + zones.get(i), zones.get(i), 4, i + 1);
-      homes.add(new Program(machine, machine.name(), 0, Integer.MAX_VALUE));
+      clientPrograms.add(new Program(machine, machine.name(), 0, Integer.MAX_VALUE));
     }
   }
 
-  private void look() {
-    if (joined != null) {
-      joined.look(agenda.now());
+  private void onTick() {
+    if (reachability != null) {
+      reachability.update(agenda.now());
     }
     checks.onTick(agenda.now());
-    agenda.after(Checks.TICK_MICROS, this::look);
+    agenda.after(Checks.TICK_MICROS, this::onTick);
   }
 
-  private void enter(Fault fault) {
+  private void scheduleFault(Fault fault) {
     agenda.at(
         fault.atMillis() * MILLI,
         () -> {
@@ -258,31 +258,31 @@
   }
 
   /** The usual clients, each by its number, whoever of them comes. */
-  private void arrivals() {
+  private void scheduleClients() {
     RandomStreams.Stream stream = draws.of("arrivals");
     double at = FIRST_CLIENT;
     for (int number = 0; at < plan.seconds() * SECOND; number++) {
-      Program home = stream.pick(homes);
+      Program home = stream.pick(clientPrograms);
       if (plan.clients().contains(number)) {
-        come((long) at, home, number);
+        scheduleClient((long) at, home, number);
       }
       at += stream.exponential(SECOND / plan.rate());
     }
   }
 
-  private void come(long at, Program home, int number) {
+  private void scheduleClient(long at, Program home, int number) {
     agenda.at(at, () -> new Client(world, home.machine(), home, number).start());
   }
 
   /** Clients that faults bring. */
-  private final class Coming implements Stage.Crowd {
+  private final class ClientSource implements Stage.Crowd {
     @Override
     public void more(double rate, long millis) {
       RandomStreams.Stream stream = draws.of("burst " + agenda.now());
       double at = agenda.now();
       double until = at + millis * MILLI;
       for (; at < until; at += stream.exponential(SECOND / rate)) {
-        come((long) at, stream.pick(homes), extra++);
+        scheduleClient((long) at, stream.pick(clientPrograms), nextExtraClient++);
       }
     }
 
@@ -292,7 +292,7 @@
       double at = agenda.now();
       double until = at + millis * MILLI;
       for (int i = 0; at < until; i++) {
-        Program home = stream.pick(homes);
+        Program home = stream.pick(clientPrograms);
         int number = i;
         agenda.at(
             (long) at, () -> new BadClient(world, kind, home.machine(), home, number).start());
@@ -302,10 +302,10 @@
   }
 
   /** What the rules may know and the proxies do not. */
-  private final class Known implements GroundTruth {
+  private final class SimulationTruth implements GroundTruth {
     @Override
     public long slack() {
-      return house.slack();
+      return environment.slack();
     }
 
     @Override
@@ -342,7 +342,7 @@
 
     @Override
     public long mutuallyReachableSince(String one, String other) {
-      return joined.since(one, other);
+      return reachability.since(one, other);
     }
 
     @Override
@@ -391,7 +391,7 @@
     public List<String> usableHosts(long forMicros) {
       return world.hosts().values().stream()
           .filter(host -> host.isServing() && agenda.now() - host.since() >= forMicros)
-          .filter(host -> host.utilization() < ROOM)
+          .filter(host -> host.utilization() < MAX_UTILIZATION)
           .filter(
               host ->
                   proxies.values().stream()
--- a/src/main/java/brassbank/sim/ServiceStatistics.java
+++ b/src/main/java/brassbank/sim/ServiceStatistics.java
@@ -13,46 +13,46 @@
  * long they waited, how often they were moved. No rule depends on it.
  */
 public final class ServiceStatistics implements Trace.Listener {
-  private final Map<String, Long> wanting = new LinkedHashMap<>();
-  private final Map<String, Long> standing = new LinkedHashMap<>();
+  private final Map<String, Long> waitingSince = new LinkedHashMap<>();
+  private final Map<String, Long> servedSince = new LinkedHashMap<>();
   private final List<Long> waits = new ArrayList<>();
   private long served;
   private long waited;
   private long lost;
   private int unservedClients;
-  private int moved;
-  private int broken;
+  private int moves;
+  private int reconnects;
 
   @Override
   public void onEvent(long now, Event event) {
     if (event instanceof Event.ClientCame came) {
-      wanting.put(came.client(), now);
-      broken += came.again() ? 1 : 0;
+      waitingSince.put(came.client(), now);
+      reconnects += came.again() ? 1 : 0;
     } else if (event instanceof Event.ClientServed came) {
-      long wait = now - wanting.remove(came.client());
+      long wait = now - waitingSince.remove(came.client());
       waits.add(wait);
       waited += wait;
-      standing.put(came.client(), now);
+      servedSince.put(came.client(), now);
     } else if (event instanceof Event.ClientOver over) {
-      Long since = standing.remove(over.client());
+      Long since = servedSince.remove(over.client());
       if (since == null) {
         // It has left before it was answered, of its own will.
-        wanting.remove(over.client());
+        waitingSince.remove(over.client());
         return;
       }
       served += now - since;
-      moved += over.moved() ? 1 : 0;
+      moves += over.moved() ? 1 : 0;
     } else if (event instanceof Event.ClientGaveUp client) {
-      waited += now - wanting.remove(client.client());
+      waited += now - waitingSince.remove(client.client());
       lost += client.lost();
       unservedClients++;
     }
   }
 
   /** Counts those who still stand or wait. */
-  public void end(long now) {
-    standing.values().forEach(since -> served += now - since);
-    wanting.values().forEach(since -> waited += now - since);
+  public void finish(long now) {
+    servedSince.values().forEach(since -> served += now - since);
+    waitingSince.values().forEach(since -> waited += now - since);
   }
 
   /** Clients that were not served, after all their tries. */
@@ -84,8 +84,8 @@
         waitMillis(0.5),
         waitMillis(0.95),
         waitMillis(1),
-        moved,
-        broken,
+        moves,
+        reconnects,
         unservedClients);
   }
 }
--- a/src/main/java/brassbank/sim/Shrinker.java
+++ b/src/main/java/brassbank/sim/Shrinker.java
@@ -15,7 +15,7 @@
  */
 public final class Shrinker {
   /** Runs of one shrinking, at most. */
-  private static final int MOST_RUNS = 2_000;
+  private static final int MAX_RUNS = 2_000;
 
   /** Who is told how far it has come. */
   public interface Progress {
@@ -55,9 +55,9 @@
     int before;
     do {
       before = shrinker.size();
-      shrinker.faults();
-      shrinker.clients();
-    } while (shrinker.size() < before && shrinker.runs < MOST_RUNS);
+      shrinker.reduceFaults();
+      shrinker.reduceClients();
+    } while (shrinker.size() < before && shrinker.runs < MAX_RUNS);
     return new Shrunk(shrinker.best, shrinker.breach, shrinker.runs);
   }
 
@@ -74,32 +74,32 @@
   private void shorten() {
     int end = (int) (breach.atMicros() / 1_000_000) + 1;
     if (end < best.seconds()) {
-      takes(best.until(end));
+      reproduces(best.until(end));
     }
   }
 
-  private void faults() {
+  private void reduceFaults() {
     List<Fault> left = best.faults();
-    new Parts<Fault>(left) {
+    new DeltaDebugger<Fault>(left) {
       @Override
-      boolean holds(List<Fault> some) {
-        return takes(best.with(some));
+      boolean breaksWith(List<Fault> some) {
+        return reproduces(best.with(some));
       }
     }.reduce();
   }
 
-  private void clients() {
-    new Parts<Integer>(clientsOf(best)) {
+  private void reduceClients() {
+    new DeltaDebugger<Integer>(clientsOf(best)) {
       @Override
-      boolean holds(List<Integer> some) {
-        return takes(best.with(Numbers.of(some)));
+      boolean breaksWith(List<Integer> some) {
+        return reproduces(best.with(Numbers.of(some)));
       }
     }.reduce();
   }
 
   /** Whether this smaller plan breaks the same rule; then it is the best one. */
-  private boolean takes(Plan smaller) {
-    if (runs >= MOST_RUNS) {
+  private boolean reproduces(Plan smaller) {
+    if (runs >= MAX_RUNS) {
       return false;
     }
     runs++;
@@ -115,23 +115,24 @@
   }
 
   /** The search: leaves parts out, the larger ones first. */
-  private abstract static class Parts<T> {
-    private List<T> left;
+  private abstract static class DeltaDebugger<T> {
+    private List<T> remaining;
 
-    Parts(List<T> all) {
-      left = all;
+    DeltaDebugger(List<T> all) {
+      remaining = all;
     }
 
     /** Whether it still breaks with only these. */
-    abstract boolean holds(List<T> some);
+    abstract boolean breaksWith(List<T> some);
 
     void reduce() {
-      for (int part = Math.max(1, left.size()); part >= 1; part /= 2) {
-        for (int from = 0; from < left.size(); ) {
-          List<T> without = new ArrayList<>(left.subList(0, from));
-          without.addAll(left.subList(Math.min(left.size(), from + part), left.size()));
-          if (without.size() < left.size() && holds(without)) {
-            left = without;
+      for (int part = Math.max(1, remaining.size()); part >= 1; part /= 2) {
+        for (int from = 0; from < remaining.size(); ) {
+          List<T> without = new ArrayList<>(remaining.subList(0, from));
+          without.addAll(
+              remaining.subList(Math.min(remaining.size(), from + part), remaining.size()));
+          if (without.size() < remaining.size() && breaksWith(without)) {
+            remaining = without;
           } else {
             from += part;
           }
--- a/src/main/java/brassbank/sim/Fleets.java
+++ b/src/main/java/brassbank/sim/SimulatedMembership.java
@@ -11,14 +11,14 @@
 import java.util.List;
 
 /** How the proxies of a run in virtual time meet: at the addresses of the first of them. */
-final class Fleets {
+final class SimulatedMembership {
   private static final int PORT = 7_070;
   private static final int SEEDS = 2;
 
-  private Fleets() {}
+  private SimulatedMembership() {}
 
   /** The first proxies' machines are 10.0.0.1 and so on ({@code World.machine}). */
-  static MembershipConfig joining(Plan plan) {
+  static MembershipConfig configFor(Plan plan) {
     List<InetSocketAddress> seeds = new ArrayList<>();
     for (int i = 1; i <= SEEDS; i++) {
       try {
--- a/src/main/java/brassbank/sim/SimulationRun.java
+++ b/src/main/java/brassbank/sim/SimulationRun.java
@@ -22,7 +22,7 @@
 /** One run of a plan: the world is built, everybody starts, and time goes by under all checks. */
 public final class SimulationRun {
   /** More steps than this at one moment are a loop that never ends. */
-  private static final long MOST_AT_ONCE = 1_000_000;
+  private static final long MAX_STEPS_AT_ONE_TIME = 1_000_000;
 
   /** What came of a run. */
   public record Result(
@@ -43,7 +43,7 @@
   }
 
   private final Plan plan;
-  private final ScenarioRun scene;
+  private final ScenarioRun scenario;
   private boolean logs;
 
   /**
@@ -84,7 +84,7 @@
     Site site = told.apply(stated);
     boolean upgraded =
         plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
-    scene =
+    scenario =
         new ScenarioRun(
             plan,
             ScenarioRun.Environment.VIRTUAL,
@@ -97,29 +97,29 @@
                     machine,
                     wrapping,
                     upgraded,
-                    plan.membership() ? joins.apply(Fleets.joining(plan)) : null),
+                    plan.membership() ? joins.apply(SimulatedMembership.configFor(plan)) : null),
             stated);
   }
 
   /** To be called before {@link #execute}, by whoever wants to see the events. */
   public Trace trace() {
-    return scene.trace();
+    return scenario.trace();
   }
 
   /** What each host can hold once it is warm, by its name, in sessions of mean load. */
   public Map<String, Double> capacities() {
     Map<String, Double> capacities = new TreeMap<>();
-    scene.world().hosts().forEach((name, host) -> capacities.put(name, host.capacity()));
+    scenario.world().hosts().forEach((name, host) -> capacities.put(name, host.capacity()));
     return capacities;
   }
 
   /** The zones of hosts and proxies, by their names. */
   public Map<String, String> zones() {
-    return scene.zones();
+    return scenario.zones();
   }
 
   /** Puts what the proxies log into the trace. */
-  public void withLogs() {
+  public void includeLogs() {
     logs = true;
   }
 
@@ -133,7 +133,7 @@
    * one rule goes on past those that the same bug breaks before.
    */
   Result execute(Predicate<Breach> ends) {
-    Log.setThreadSink(this::logged);
+    Log.setThreadSink(this::onLogEvent);
     try {
       return run(ends);
     } finally {
@@ -142,38 +142,38 @@
   }
 
   private Result run(Predicate<Breach> ends) {
-    Agenda agenda = scene.agenda();
-    scene.begin();
+    Agenda agenda = scenario.agenda();
+    scenario.begin();
     long moment = 0;
     long atOnce = 0;
-    List<Breach> breaches = scene.checks().breaches();
-    while (breaches.stream().noneMatch(ends) && agenda.step(scene.end())) {
+    List<Breach> breaches = scenario.checks().breaches();
+    while (breaches.stream().noneMatch(ends) && agenda.step(scenario.end())) {
       atOnce = agenda.now() == moment ? atOnce + 1 : 0;
       moment = agenda.now();
-      if (atOnce > MOST_AT_ONCE) {
+      if (atOnce > MAX_STEPS_AT_ONE_TIME) {
         breaches.add(new Breach("time goes on", moment, "a loop that never ends"));
       }
     }
     if (breaches.isEmpty()) {
-      scene.checks().onEnd(agenda.now());
+      scenario.checks().onEnd(agenda.now());
     }
-    scene.service().end(agenda.now());
+    scenario.service().finish(agenda.now());
     return new Result(
         plan,
         List.copyOf(breaches),
         agenda.now(),
         agenda.steps(),
         agenda.fingerprint(),
-        scene.service());
+        scenario.service());
   }
 
   /** What a proxy logs: a failure is a rule's business, all else the trace's. */
-  private void logged(brassbank.log.Event event) {
-    String proxy = scene.world().fabric().running().name();
+  private void onLogEvent(brassbank.log.Event event) {
+    String proxy = scenario.world().fabric().running().name();
     if (event.level() == Level.ERROR) {
-      scene.world().publish(new Event.ProxyFailed(proxy, text(event)));
+      scenario.world().publish(new Event.ProxyFailed(proxy, text(event)));
     } else if (logs) {
-      scene.world().publish(new Event.ProxyLogged(proxy, text(event)));
+      scenario.world().publish(new Event.ProxyLogged(proxy, text(event)));
     }
   }
 
--- a/src/main/java/brassbank/sim/actor/BadClient.java
+++ b/src/main/java/brassbank/sim/actor/BadClient.java
@@ -16,8 +16,8 @@
  * A client that does not keep to the protocol. It sends at full speed and reads whatever is sent to
  * it; it is owed an error or an end in time, and must not be served.
  */
-public final class BadClient implements Program.Connected, Lines.Taker {
-  private static final int SOME = 64 * 1024;
+public final class BadClient implements Program.Connected, LineConnection.Listener {
+  private static final int CHUNK_BYTES = 64 * 1024;
 
   /** What it does. */
   public enum Kind {
@@ -45,8 +45,8 @@
     }
   }
 
-  private static final long WITHIN = 3_000;
-  private static final long WITHIN_FOR_HUGE = 6_000;
+  private static final long LIMIT_MILLIS = 3_000;
+  private static final long HUGE_LIMIT_MILLIS = 6_000;
   private static final int HUGE_BYTES = 12 << 20;
   private static final int ENDLESS_BYTES = 1 << 20;
 
@@ -56,10 +56,10 @@
   private final Program program;
   private final String name;
   private final RandomStreams.Stream stream;
-  private Lines lines;
-  private String copied;
-  private int left;
-  private int rounds;
+  private LineConnection lines;
+  private String copiedFlow;
+  private int remainingBytes;
+  private int remainingRounds;
   private boolean settled;
 
   public BadClient(World world, Kind kind, Machine machine, Program program, int number) {
@@ -69,13 +69,13 @@
     this.program = program;
     this.name = "bad-" + kind.name().toLowerCase(Locale.ROOT) + "-" + number;
     this.stream = world.draws().of(name);
-    this.rounds = kind == Kind.AGAIN ? 30 : 1;
+    this.remainingRounds = kind == Kind.AGAIN ? 30 : 1;
   }
 
   public void start() {
     InetSocketAddress address = world.loadBalancer().pick(machine.zone(), stream);
-    if (address != null && rounds > 0) {
-      rounds--;
+    if (address != null && remainingRounds > 0) {
+      remainingRounds--;
       program.connect(address, this);
     }
   }
@@ -88,19 +88,19 @@
   @Override
   public void up(Endpoint endpoint) {
     settled = false;
-    lines = new Lines(endpoint, this);
-    String flow = name + "." + rounds;
-    world.flows().client(flow, endpoint);
+    lines = new LineConnection(endpoint, this);
+    String flow = name + "." + remainingRounds;
+    world.flows().setClient(flow, endpoint);
     world.publish(
         new Event.BadConnected(
             flow,
             kind.name().toLowerCase(Locale.ROOT),
             endpoint.peerMachine().name(),
-            kind == Kind.HUGE ? WITHIN_FOR_HUGE : WITHIN));
-    speak(endpoint.peerMachine().name());
+            kind == Kind.HUGE ? HUGE_LIMIT_MILLIS : LIMIT_MILLIS));
+    misbehave(endpoint.peerMachine().name());
   }
 
-  private void speak(String proxy) {
+  private void misbehave(String proxy) {
     switch (kind) {
       case GARBAGE, AGAIN -> {
         byte[] bytes = new byte[stream.between(1, 300)];
@@ -110,10 +110,10 @@
         bytes[bytes.length - 1] = '\n';
         lines.sendBytes(bytes);
       }
-      case ENDLESS -> pour(ENDLESS_BYTES);
+      case ENDLESS -> sendUnterminated(ENDLESS_BYTES);
       case HUGE -> {
         lines.sendBytes(bytes("OPEN " + name + " k c=preview,d=2000,g="));
-        pour(HUGE_BYTES);
+        sendUnterminated(HUGE_BYTES);
       }
       case TIMES ->
           lines.send(
@@ -130,12 +130,12 @@
                   Arrays.asList(
                       "OPEN", "OPEN  k c=preview,d=2000", "OPEN c=preview,d=2000", "open x y z")));
       case COPIED_ID -> {
-        copied = world.flows().anyStanding(proxy, stream);
-        if (copied == null) {
-          settle("");
+        copiedFlow = world.flows().anyOpen(proxy, stream);
+        if (copiedFlow == null) {
+          reportOutcome("");
           lines.close();
         } else {
-          lines.send("OPEN " + copied + " k c=preview,d=2000,life=1000");
+          lines.send("OPEN " + copiedFlow + " k c=preview,d=2000,life=1000");
         }
       }
       case HALF -> {
@@ -158,46 +158,46 @@
   }
 
   /** So many bytes without an end of line, as fast as they are taken. */
-  private void pour(int count) {
-    left = count;
-    more();
+  private void sendUnterminated(int count) {
+    remainingBytes = count;
+    sendChunk();
   }
 
-  private void more() {
-    byte[] some = new byte[SOME];
+  private void sendChunk() {
+    byte[] some = new byte[CHUNK_BYTES];
     Arrays.fill(some, (byte) 'x');
-    while (left > 0 && lines.unwritten() < SOME && !lines.over()) {
-      left -= SOME;
+    while (remainingBytes > 0 && lines.unwritten() < CHUNK_BYTES && !lines.isClosed()) {
+      remainingBytes -= CHUNK_BYTES;
       lines.sendBytes(some);
     }
-    if (left > 0 && !lines.over()) {
-      program.later(Agenda.MILLI, this::more);
+    if (remainingBytes > 0 && !lines.isClosed()) {
+      program.later(Agenda.MILLI, this::sendChunk);
     } else if (kind == Kind.HUGE) {
       lines.sendBytes(bytes("\r\n"));
     }
   }
 
   @Override
-  public void line(String line) {
-    settle(line);
+  public void onLine(String line) {
+    reportOutcome(line);
   }
 
   @Override
-  public void ended(boolean reset) {
-    settle("");
-    left = 0;
+  public void onEnd(boolean reset) {
+    reportOutcome("");
+    remainingBytes = 0;
     lines.close();
-    if (rounds > 0) {
+    if (remainingRounds > 0) {
       start();
     }
   }
 
-  private void settle(String line) {
+  private void reportOutcome(String line) {
     if (!settled) {
       settled = true;
       // Whoever copies the id of a flow that has ended meanwhile is a client like any other.
-      boolean usual = copied != null && !world.flows().standing(copied);
-      world.publish(new Event.BadSettled(name + "." + rounds, usual ? "" : line));
+      boolean usual = copiedFlow != null && !world.flows().isOpen(copiedFlow);
+      world.publish(new Event.BadSettled(name + "." + remainingRounds, usual ? "" : line));
     }
   }
 }
--- a/src/main/java/brassbank/sim/actor/Client.java
+++ b/src/main/java/brassbank/sim/actor/Client.java
@@ -17,29 +17,29 @@
   private static final long MILLI = Agenda.MILLI;
   private static final long SECOND = Agenda.SECOND;
 
-  private static final long LINE_EVERY = 2 * SECOND;
+  private static final long LINE_INTERVAL = 2 * SECOND;
 
   /** A client waits a little past its time, so that the checks see an answer that is late. */
-  private static final long PAST_DEADLINE = 100 * MILLI;
+  private static final long DEADLINE_GRACE = 100 * MILLI;
 
   /** Where nothing has come back for so long, a person closes the window and opens another. */
-  private static final long PATIENCE = 15 * SECOND;
+  private static final long SILENCE_TIMEOUT = 15 * SECOND;
 
-  private static final long RETURN_LEAST = 51 * MILLI;
-  private static final long RETURN_MOST = 2_000 * MILLI;
+  private static final long MIN_RECONNECT_DELAY = 51 * MILLI;
+  private static final long MAX_RECONNECT_DELAY = 2_000 * MILLI;
 
   /** Share of clients that do not wait for an answer, and how long they wait at most. */
-  private static final double IMPATIENT = 0.02;
+  private static final double IMPATIENT_SHARE = 0.02;
 
-  private static final long LONGEST_IMPATIENCE = 600 * MILLI;
+  private static final long MAX_IMPATIENT_WAIT = 600 * MILLI;
 
   /** Mean life of a connection, before its class and its chance. */
-  private static final double LIFE_SECONDS = 30;
+  private static final double MEAN_LIFETIME_SECONDS = 30;
 
-  private static final long LONGEST_RETRY = 2_000;
+  private static final long MAX_RETRY_DELAY_MILLIS = 2_000;
 
   /** How it ends its connection before its life is over, if it does. */
-  private enum Leaving {
+  private enum DisconnectMode {
     STAYS,
     CLOSES,
     FINISHES,
@@ -51,23 +51,23 @@
   private final Machine machine;
   private final Program program;
   private final RandomStreams.Stream stream;
-  private final Site.FlowClass kind;
+  private final Site.FlowClass flowClass;
   private final String tenant;
   private final String group;
   private final double load;
   private final int retries;
   private final long backoff;
-  private final boolean honours;
-  private final Leaving leaving;
+  private final boolean honoursRetryHint;
+  private final DisconnectMode disconnectMode;
   private final boolean slowReader;
   private final boolean impatient;
 
-  private long lifeLeft;
+  private long remainingLifetime;
   private int flows;
   private int tries;
   private long cameAt;
   private long giveUpAt;
-  private boolean again;
+  private boolean isReconnecting;
 
   /** {@code number} names it: all that it draws follows from that. */
   public Client(World world, Machine machine, Program program, int number) {
@@ -77,7 +77,7 @@
     name = "c" + number;
     stream = world.draws().of("client " + number);
     Site site = world.site();
-    kind =
+    flowClass =
         site.classes()
             .get(stream.pick(site.classes().stream().mapToDouble(c -> c.share()).toArray()));
     tenant =
@@ -85,23 +85,25 @@
             .get(stream.pick(site.tenants().stream().mapToDouble(t -> t.share()).toArray()))
             .name();
     group = "g" + (int) (site.groups() * Math.pow(stream.between(0, 1), 2));
-    load = Math.round(kind.load() * stream.logNormal(0.7) * 1000) / 1000.0;
-    lifeLeft = (long) (stream.exponential(LIFE_SECONDS * kind.lifetime()) * SECOND) + 100 * MILLI;
+    load = Math.round(flowClass.load() * stream.logNormal(0.7) * 1000) / 1000.0;
+    remainingLifetime =
+        (long) (stream.exponential(MEAN_LIFETIME_SECONDS * flowClass.lifetime()) * SECOND)
+            + 100 * MILLI;
     retries = stream.between(0, site.retries());
     backoff = stream.chance(0.3) ? 0 : stream.micros(17 * MILLI, 130 * MILLI);
-    honours = stream.chance(0.75);
-    leaving =
+    honoursRetryHint = stream.chance(0.75);
+    disconnectMode =
         stream.chance(0.85)
-            ? Leaving.STAYS
-            : Leaving.values()[1 + stream.below(Leaving.values().length - 1)];
+            ? DisconnectMode.STAYS
+            : DisconnectMode.values()[1 + stream.below(DisconnectMode.values().length - 1)];
     slowReader = stream.chance(0.01);
-    impatient = stream.chance(IMPATIENT);
+    impatient = stream.chance(IMPATIENT_SHARE);
   }
 
   /** Mean load of a client times its mean seconds. */
   public static double meanLoadSeconds(Site site) {
     return site.classes().stream()
-        .mapToDouble(c -> c.share() * c.load() * c.lifetime() * LIFE_SECONDS)
+        .mapToDouble(c -> c.share() * c.load() * c.lifetime() * MEAN_LIFETIME_SECONDS)
         .sum();
   }
 
@@ -109,67 +111,68 @@
     return name;
   }
 
-  private Event came(boolean again) {
-    return new Event.ClientCame(name, again, kind.name(), tenant, group);
+  private Event cameEvent(boolean again) {
+    return new Event.ClientCame(name, again, flowClass.name(), tenant, group);
   }
 
   /** Comes for the first time. */
   public void start() {
-    world.publish(came(false));
-    come();
+    world.publish(cameEvent(false));
+    requestSession();
   }
 
-  private void come() {
+  private void requestSession() {
     tries = 0;
     cameAt = world.now();
-    giveUpAt = world.now() + kind.deadlineMillis() * MILLI;
+    giveUpAt = world.now() + flowClass.deadlineMillis() * MILLI;
     attempt();
   }
 
   private void attempt() {
     InetSocketAddress address = world.loadBalancer().pick(machine.zone(), stream);
     if (address == null) {
-      unserved(-1);
+      attemptFailed(-1);
       return;
     }
     new Flow(address).start();
   }
 
   /** This try has not been served; {@code told} is when to come back, in ms, or -1. */
-  private void unserved(long told) {
+  private void attemptFailed(long told) {
     if (tries++ >= retries || giveUpAt - world.now() < 100 * MILLI) {
-      world.publish(new Event.ClientGaveUp(name, cameAt, lifeLeft));
+      world.publish(new Event.ClientGaveUp(name, cameAt, remainingLifetime));
       return;
     }
-    long wait = told > 0 && honours ? Math.min(told, LONGEST_RETRY) * MILLI : backoff;
+    long wait =
+        told > 0 && honoursRetryHint ? Math.min(told, MAX_RETRY_DELAY_MILLIS) * MILLI : backoff;
     program.later(wait, this::attempt);
   }
 
-  private void comeAgain() {
-    if (lifeLeft < 500 * MILLI) {
+  private void reconnect() {
+    if (remainingLifetime < 500 * MILLI) {
       return;
     }
-    again = true;
-    world.publish(came(true));
-    program.later(stream.micros(RETURN_LEAST, RETURN_MOST), this::come);
+    isReconnecting = true;
+    world.publish(cameEvent(true));
+    program.later(stream.micros(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY), this::requestSession);
   }
 
   /** One try, and the connection that comes of it. */
-  private final class Flow implements Program.Connected, Lines.Taker {
+  private final class Flow implements Program.Connected, LineConnection.Listener {
     private final InetSocketAddress address;
     private final String id = name + "." + flows++;
     private final long deadlineAt = giveUpAt;
     private Program.Connecting connecting;
-    private Lines lines;
+    private LineConnection lines;
     private boolean answered;
     private boolean served;
-    private boolean over;
-    private boolean farewell;
-    private boolean bye;
+    private boolean closed;
+    private boolean sawFarewell;
+    private boolean sawBye;
     private long servedAt;
-    private long askedAt;
+    private long waitingSince;
     private int sent;
-    private int heard;
+    private int received;
 
     Flow(InetSocketAddress address) {
       this.address = address;
@@ -177,35 +180,35 @@
 
     void start() {
       connecting = program.connect(address, this);
-      program.later(deadlineAt - world.now(), this::unreachable);
+      program.later(deadlineAt - world.now(), this::onConnectTimeout);
     }
 
-    private void unreachable() {
-      if (lines == null && !over) {
-        over = true;
+    private void onConnectTimeout() {
+      if (lines == null && !closed) {
+        closed = true;
         connecting.cancel();
-        unserved(-1);
+        attemptFailed(-1);
       }
     }
 
     @Override
     public void failed(IOException cause) {
-      if (!over) {
-        over = true;
-        unserved(-1);
+      if (!closed) {
+        closed = true;
+        attemptFailed(-1);
       }
     }
 
     @Override
     public void up(Endpoint endpoint) {
-      if (over) {
+      if (closed) {
         endpoint.close();
         return;
       }
-      lines = new Lines(endpoint, this);
+      lines = new LineConnection(endpoint, this);
       long millis = Math.max(1, (deadlineAt - world.now()) / MILLI);
       String proxy = world.loadBalancer().name(address);
-      world.flows().client(id, endpoint);
+      world.flows().setClient(id, endpoint);
       world.publish(new Event.FlowSent(id, name, proxy, millis));
       lines.send(
           "OPEN "
@@ -213,7 +216,7 @@
               + " k"
               + name
               + " c="
-              + kind.name()
+              + flowClass.name()
               + ",t="
               + tenant
               + ",d="
@@ -221,38 +224,38 @@
               + ",g="
               + group
               + (tries > 0 ? ",r=1" : "")
-              + (again ? ",again=1" : "")
+              + (isReconnecting ? ",again=1" : "")
               + ",load="
               + load
               + ",life="
-              + lifeLeft / MILLI);
+              + remainingLifetime / MILLI);
       endpoint.whenArrived(() -> world.publish(new Event.FlowTaken(id, proxy)));
-      program.later(millis * MILLI + PAST_DEADLINE, this::late);
+      program.later(millis * MILLI + DEADLINE_GRACE, this::onDeadline);
       if (impatient) {
-        program.later(stream.micros(0, LONGEST_IMPATIENCE), this::leaveUnanswered);
+        program.later(stream.micros(0, MAX_IMPATIENT_WAIT), this::leaveUnanswered);
       }
     }
 
     private void leaveUnanswered() {
-      if (!answered && !over) {
+      if (!answered && !closed) {
         world.publish(new Event.ClientLeft(id, true));
         world.publish(new Event.ClientOver(name, id, false));
-        stop(stream.chance(0.5));
+        closeConnection(stream.chance(0.5));
       }
     }
 
-    private void late() {
-      if (!answered && !over) {
+    private void onDeadline() {
+      if (!answered && !closed) {
         world.publish(new Event.ClientLeft(id, true));
-        stop(false);
-        unserved(-1);
+        closeConnection(false);
+        attemptFailed(-1);
       }
     }
 
     @Override
-    public void line(String line) {
+    public void onLine(String line) {
       if (served) {
-        standing(line);
+        receiveLine(line);
         return;
       }
       if (answered) {
@@ -262,42 +265,42 @@
       answered = true;
       world.publish(new Event.FlowAnswered(id, line));
       if (line.startsWith("UP ")) {
-        serve();
+        onServed();
       } else {
         lines.finish();
-        unserved(
+        attemptFailed(
             line.matches("BUSY \\d{1,9}") ? Long.parseLong(line.substring("BUSY ".length())) : -1);
       }
     }
 
-    private void serve() {
+    private void onServed() {
       served = true;
       servedAt = world.now();
-      world.flows().stands(id, world.loadBalancer().name(address));
+      world.flows().opened(id, world.loadBalancer().name(address));
       world.publish(new Event.ClientServed(name, id));
-      if (leaving != Leaving.STAYS) {
-        program.later(stream.micros(SECOND, 20 * SECOND), this::leave);
+      if (disconnectMode != DisconnectMode.STAYS) {
+        program.later(stream.micros(SECOND, 20 * SECOND), this::disconnect);
       }
       if (slowReader) {
-        program.later(stream.micros(SECOND, 10 * SECOND), this::readNothing);
+        program.later(stream.micros(SECOND, 10 * SECOND), this::pauseReading);
       }
-      ask();
+      sendNextLine();
     }
 
-    private void ask() {
-      if (over || farewell) {
+    private void sendNextLine() {
+      if (closed || sawFarewell) {
         return;
       }
-      if (sent > heard && world.now() - askedAt > PATIENCE) {
+      if (sent > received && world.now() - waitingSince > SILENCE_TIMEOUT) {
         world.publish(new Event.ClientLeft(id, false));
         world.publish(new Event.ClientOver(name, id, false));
-        stop(false);
-        lifeLeft -= Math.min(lifeLeft, world.now() - servedAt);
-        comeAgain();
+        closeConnection(false);
+        remainingLifetime -= Math.min(remainingLifetime, world.now() - servedAt);
+        reconnect();
         return;
       }
-      if (sent == heard) {
-        askedAt = world.now();
+      if (sent == received) {
+        waitingSince = world.now();
       }
       StringBuilder line = new StringBuilder("m ").append(sent++).append(' ');
       int length = stream.chance(0.02) ? stream.between(0, 4_000) : stream.between(0, 40);
@@ -306,64 +309,64 @@
       }
       world.publish(new Event.LineSent(id, true, line.toString()));
       lines.send(line.toString());
-      program.later(LINE_EVERY, this::ask);
+      program.later(LINE_INTERVAL, this::sendNextLine);
     }
 
-    private void readNothing() {
-      if (!over) {
+    private void pauseReading() {
+      if (!closed) {
         long micros = stream.micros(SECOND, 8 * SECOND);
         lines.reading(false);
-        world.flows().clientBusy(id, world.now() + micros);
+        world.flows().markClientBusy(id, world.now() + micros);
         program.later(
             micros,
             () -> {
-              if (!over) {
+              if (!closed) {
                 lines.reading(true);
               }
             });
       }
     }
 
-    private void standing(String line) {
+    private void receiveLine(String line) {
       if (line.equals("MOVE") || line.equals("BYE")) {
-        farewell = true;
-        bye = line.equals("BYE");
-        lifeLeft = bye ? 0 : lifeLeft;
+        sawFarewell = true;
+        sawBye = line.equals("BYE");
+        remainingLifetime = sawBye ? 0 : remainingLifetime;
         return;
       }
       world.publish(new Event.LineArrived(id, false, line));
       if (line.startsWith("r ")) {
-        heard++;
-        askedAt = world.now();
+        received++;
+        waitingSince = world.now();
       }
     }
 
     /** It leaves of its own will, in the way that its kind does. */
-    private void leave() {
-      if (over || farewell) {
+    private void disconnect() {
+      if (closed || sawFarewell) {
         return;
       }
-      lifeLeft = 0;
-      world.flows().over(id);
+      remainingLifetime = 0;
+      world.flows().closed(id);
       world.publish(new Event.ClientOver(name, id, false));
       world.publish(new Event.ClientLeft(id, false));
-      switch (leaving) {
+      switch (disconnectMode) {
         case FINISHES -> {
-          over = true;
+          closed = true;
           lines.finish();
           program.later(5 * SECOND, lines::close);
         }
         case RESETS -> {
-          over = true;
+          closed = true;
           lines.reset();
         }
-        default -> stop(false);
+        default -> closeConnection(false);
       }
     }
 
-    private void stop(boolean reset) {
-      over = true;
-      world.flows().over(id);
+    private void closeConnection(boolean reset) {
+      closed = true;
+      world.flows().closed(id);
       if (reset) {
         lines.reset();
       } else {
@@ -372,21 +375,21 @@
     }
 
     @Override
-    public void ended(boolean reset) {
-      if (over) {
+    public void onEnd(boolean reset) {
+      if (closed) {
         lines.close();
         return;
       }
-      over = true;
-      world.flows().over(id);
-      world.publish(new Event.ClientSawEnd(id, served, farewell, bye, reset));
+      closed = true;
+      world.flows().closed(id);
+      world.publish(new Event.ClientSawEnd(id, served, sawFarewell, sawBye, reset));
       lines.close();
       if (served) {
-        world.publish(new Event.ClientOver(name, id, farewell && !bye));
-        lifeLeft -= Math.min(lifeLeft, world.now() - servedAt);
-        comeAgain();
+        world.publish(new Event.ClientOver(name, id, sawFarewell && !sawBye));
+        remainingLifetime -= Math.min(remainingLifetime, world.now() - servedAt);
+        reconnect();
       } else if (!answered) {
-        unserved(-1);
+        attemptFailed(-1);
       }
     }
   }
--- a/src/main/java/brassbank/sim/actor/Discovery.java
+++ b/src/main/java/brassbank/sim/actor/Discovery.java
@@ -33,17 +33,17 @@
   private static final long SECOND = Agenda.SECOND;
 
   /** A call that has waited for longer fails. */
-  private static final long MOST_WAIT = 3 * SECOND;
+  private static final long MAX_QUEUE_WAIT = 3 * SECOND;
 
   /** Work of one call. */
-  private static final long CALL_LEAST = 175 * MILLI;
+  private static final long MIN_CALL_TIME = 175 * MILLI;
 
-  private static final long CALL_MOST = 278 * MILLI;
+  private static final long MAX_CALL_TIME = 278 * MILLI;
 
-  private static final long EMPTY_LINE = 2 * SECOND;
+  private static final long KEEPALIVE_INTERVAL = 2 * SECOND;
 
   /** An address that was left closes its open connections after this. */
-  private static final long LEFT = 1_500 * MILLI;
+  private static final long OLD_ADDRESS_LINGER = 1_500 * MILLI;
 
   private static final long FIRST_INDEX = 41;
 
@@ -68,11 +68,11 @@
 
   /** A change, as one line of a watch tells it. */
   private record Change(
-      long index, StreamHost of, String host, String status, long since, String rest) {
+      long index, StreamHost source, String host, String status, long since, String rest) {
 
     /** As the proxy of this name is told it. */
     String entry(String proxy) {
-      return "{\"name\":\"" + host + "\",\"address\":\"" + of.address(proxy) + rest;
+      return "{\"name\":\"" + host + "\",\"address\":\"" + source.address(proxy) + rest;
     }
   }
 
@@ -81,18 +81,18 @@
   private final RandomStreams.Stream stream;
   private final Map<String, Change> list = new TreeMap<>();
   private final List<Change> log = new ArrayList<>();
-  private final Map<String, Set<String>> told = new HashMap<>();
+  private final Map<String, Set<String>> reportedStarts = new HashMap<>();
   private final Set<Call> calls = new LinkedHashSet<>();
   private long index = FIRST_INDEX;
   private final Deque<Call> queue = new ArrayDeque<>();
-  private boolean working;
-  private int at;
+  private boolean isBusy;
+  private int addressIndex;
   private Program program;
   private Behavior behavior = Behavior.SOUND;
   private double slowdown = 1;
   private boolean frozen;
   private long soundSince;
-  private final List<Runnable> heldBack = new ArrayList<>();
+  private final List<Runnable> deferredUpdates = new ArrayList<>();
 
   /** {@code addresses}: where it can be; it begins at the first. */
   public Discovery(World world, List<Machine> addresses) {
@@ -103,7 +103,9 @@
 
   /** Where it is now, and where it would be after so many moves. */
   public String address(String proxy, int moves) {
-    return world.addresses().addressOf(proxy, addresses.get((at + moves) % addresses.size()), PORT);
+    return world
+        .addresses()
+        .addressOf(proxy, addresses.get((addressIndex + moves) % addresses.size()), PORT);
   }
 
   /** All machines that it can be at, the first one first. */
@@ -112,7 +114,7 @@
   }
 
   public Machine machine() {
-    return addresses.get(at);
+    return addresses.get(addressIndex);
   }
 
   // ------------------------------------------------------------------- life
@@ -133,18 +135,18 @@
       return;
     }
     program = new Program(machine(), "discovery", 0, Integer.MAX_VALUE);
-    working = false;
+    isBusy = false;
     Acceptor acceptor = new Acceptor(program);
     try {
       acceptor.port = program.listen(PORT, BACKLOG, acceptor);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
-    disturbed();
+    markDisturbed();
   }
 
   public void takeDown() {
-    disturbed();
+    markDisturbed();
     calls.clear();
     queue.clear();
     program.kill();
@@ -158,45 +160,45 @@
     Program old = program;
     Set<Call> left = new LinkedHashSet<>(calls);
     queue.clear();
-    at = (at + 1) % addresses.size();
+    addressIndex = (addressIndex + 1) % addresses.size();
     program = null;
     bringUp();
     old.stopListening();
     old.later(
-        LEFT,
+        OLD_ADDRESS_LINGER,
         () -> {
-          left.forEach(Call::end);
+          left.forEach(Call::close);
           old.kill();
         });
   }
 
   public void setBehavior(Behavior next) {
     behavior = next;
-    disturbed();
+    markDisturbed();
     if (next == Behavior.CUTS || next == Behavior.ERRORS) {
       for (Call call : List.copyOf(calls)) {
-        call.cut();
+        call.breakOff();
       }
     }
   }
 
   public void setSlowdown(double factor) {
     slowdown = factor;
-    disturbed();
+    markDisturbed();
   }
 
   /** While it stands still it learns nothing; what it missed it learns afterwards. */
   public void setFrozen(boolean on) {
     frozen = on;
-    disturbed();
+    markDisturbed();
     if (!on) {
-      List<Runnable> missed = List.copyOf(heldBack);
-      heldBack.clear();
+      List<Runnable> missed = List.copyOf(deferredUpdates);
+      deferredUpdates.clear();
       missed.forEach(Runnable::run);
     }
   }
 
-  private void disturbed() {
+  private void markDisturbed() {
     soundSince = world.now();
   }
 
@@ -215,12 +217,12 @@
 
   /** It learns of a stream host's status after so many microseconds. */
   public void receiveStatus(StreamHost host, String status, long micros) {
-    world.agenda().after(micros, () -> learnNow(host, status));
+    world.agenda().after(micros, () -> applyStatus(host, status));
   }
 
-  private void learnNow(StreamHost host, String status) {
+  private void applyStatus(StreamHost host, String status) {
     if (frozen) {
-      heldBack.add(() -> learnNow(host, status));
+      deferredUpdates.add(() -> applyStatus(host, status));
       return;
     }
     if (!status.equals(host.status())) {
@@ -236,7 +238,7 @@
     }
     world.publish(new Event.Listed(host.name(), status));
     for (Call call : List.copyOf(calls)) {
-      call.tellSoon();
+      call.scheduleChanges();
     }
   }
 
@@ -277,36 +279,38 @@
 
   /** What a proxy knows from its start, by its configuration. */
   public void resetReported(String proxy, boolean all) {
-    told.remove(proxy);
+    reportedStarts.remove(proxy);
     if (all) {
-      list.values().forEach(change -> remember(proxy, change));
+      list.values().forEach(change -> recordReported(proxy, change));
     }
   }
 
   /** Whether this proxy has been told that the host serves since its last start. */
-  boolean hasToldStart(String proxy, StreamHost host) {
-    return told.getOrDefault(proxy, Set.of()).contains(host.name() + " " + host.since());
+  boolean hasReportedStart(String proxy, StreamHost host) {
+    return reportedStarts.getOrDefault(proxy, Set.of()).contains(host.name() + " " + host.since());
   }
 
-  private void remember(String proxy, Change change) {
+  private void recordReported(String proxy, Change change) {
     if (change.status().equals("SERVING")) {
-      told.computeIfAbsent(proxy, p -> new HashSet<>()).add(change.host() + " " + change.since());
+      reportedStarts
+          .computeIfAbsent(proxy, p -> new HashSet<>())
+          .add(change.host() + " " + change.since());
     }
   }
 
   /** Handles the calls one after another. */
-  private void work() {
-    if (working || queue.isEmpty()) {
+  private void handleNext() {
+    if (isBusy || queue.isEmpty()) {
       return;
     }
-    working = true;
+    isBusy = true;
     Call next = queue.remove();
     next.owner.later(
-        (long) (slowdown * stream.micros(CALL_LEAST, CALL_MOST)),
+        (long) (slowdown * stream.micros(MIN_CALL_TIME, MAX_CALL_TIME)),
         () -> {
-          working = false;
+          isBusy = false;
           next.handle();
-          work();
+          handleNext();
         });
   }
 
@@ -327,70 +331,70 @@
   }
 
   /** One connection, which brings one call. */
-  private final class Call implements Lines.Taker {
+  private final class Call implements LineConnection.Listener {
     private final Program owner;
     private final String proxy;
-    private final Lines lines;
+    private final LineConnection lines;
     private String request;
-    private boolean over;
+    private boolean closed;
     private boolean watching;
-    private boolean telling;
-    private long toldIndex;
-    private long lineAt;
+    private boolean changesScheduled;
+    private long sentIndex;
+    private long lastLineAt;
 
     Call(Program owner, Endpoint endpoint) {
       this.owner = owner;
       proxy = endpoint.peerMachine().name();
-      lines = new Lines(endpoint, this);
+      lines = new LineConnection(endpoint, this);
     }
 
     @Override
-    public void line(String line) {
+    public void onLine(String line) {
       if (request == null) {
         request = line;
       } else if (line.isEmpty()) {
         world.publish(new Event.ListCalled(proxy, request.contains("follow=1")));
         queue.add(this);
-        owner.later(MOST_WAIT, this::waitedTooLong);
-        work();
+        owner.later(MAX_QUEUE_WAIT, this::waitedTooLong);
+        handleNext();
       }
     }
 
     private void waitedTooLong() {
       if (queue.remove(this)) {
-        disturbed();
-        status("503 Service Unavailable");
+        markDisturbed();
+        sendStatus("503 Service Unavailable");
       }
     }
 
     private void handle() {
-      if (over) {
+      if (closed) {
         return;
       }
       String[] parts = request.split(" ");
       boolean known = parts.length == 3 && parts[0].equals("GET");
       String path = known ? parts[1] : "";
       if (behavior == Behavior.ERRORS) {
-        status("503 Service Unavailable");
+        sendStatus("503 Service Unavailable");
       } else if (path.equals("/api/targets")) {
-        whole();
+        sendList();
       } else if (path.matches("/api/targets\\?follow=1&since=\\d{1,18}")) {
         watch(Long.parseLong(path.substring(path.lastIndexOf('=') + 1)));
       } else {
-        status("404 Not Found");
+        sendStatus("404 Not Found");
       }
     }
 
-    private void status(String text) {
+    private void sendStatus(String text) {
       lines.send("HTTP/1.1 " + text + "\r\nContent-Length: 0\r\nConnection: close\r\n");
-      end();
+      close();
     }
 
-    private void whole() {
+    private void sendList() {
       if (behavior == Behavior.CUTS) {
         lines.send("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n");
         lines.sendBytes("{\"index\":".getBytes());
-        end();
+        close();
         return;
       }
       String text = behavior == Behavior.GARBAGE ? "{\"index\":" + index + ",\"end" : list(proxy);
@@ -400,30 +404,30 @@
               + "\r\n");
       lines.sendBytes(text.getBytes());
       if (behavior == Behavior.SOUND) {
-        tellAll();
+        reportAll();
       }
-      end();
+      close();
     }
 
-    private void tellAll() {
+    private void reportAll() {
       world.hosts().values().stream()
           .filter(host -> !list.containsKey(host.name()))
-          .forEach(host -> tellGone(host.name()));
-      list.values().forEach(this::tell);
+          .forEach(host -> reportRemovedOnArrival(host.name()));
+      list.values().forEach(this::reportOnArrival);
     }
 
     /** It is told once it has arrived: what is written into a cut way tells nobody. */
-    private void tell(Change change) {
+    private void reportOnArrival(Change change) {
       lines
           .endpoint()
           .whenArrived(
               () -> {
-                remember(proxy, change);
+                recordReported(proxy, change);
                 world.publish(new Event.Told(proxy, change.host(), change.status()));
               });
     }
 
-    private void tellGone(String host) {
+    private void reportRemovedOnArrival(String host) {
       lines.endpoint().whenArrived(() -> world.publish(new Event.Told(proxy, host, "DELETED")));
     }
 
@@ -431,77 +435,78 @@
       watching = true;
       lines.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n");
       if (since < FIRST_INDEX || since > index) {
-        chunk(list(proxy));
-        tellAll();
-        toldIndex = index;
+        sendChunk(list(proxy));
+        reportAll();
+        sentIndex = index;
       } else {
-        toldIndex = since;
-        tellNow(true);
+        sentIndex = since;
+        sendChanges(true);
       }
       keepAlive();
     }
 
     /** The changes since what was told last; an object without any only as a watch's first. */
-    private void tellNow(boolean first) {
-      telling = false;
-      if (over) {
+    private void sendChanges(boolean first) {
+      changesScheduled = false;
+      if (closed) {
         return;
       }
-      List<Change> changes = log.stream().filter(change -> change.index() > toldIndex).toList();
+      List<Change> changes = log.stream().filter(change -> change.index() > sentIndex).toList();
       if (changes.isEmpty() && !first) {
         return;
       }
       String text = object(proxy, index, false, changes);
       if (behavior == Behavior.GARBAGE) {
-        chunk(text.substring(0, text.length() / 2));
+        sendChunk(text.substring(0, text.length() / 2));
         return;
       }
-      chunk(text);
-      toldIndex = index;
-      changes.forEach(this::tell);
+      sendChunk(text);
+      sentIndex = index;
+      changes.forEach(this::reportOnArrival);
       if (behavior == Behavior.CUTS) {
-        cut();
+        breakOff();
       }
     }
 
-    void tellSoon() {
-      if (watching && !telling && !over) {
-        telling = true;
-        owner.later(stream.micros(10 * MILLI, 120 * MILLI), () -> tellNow(false));
+    void scheduleChanges() {
+      if (watching && !changesScheduled && !closed) {
+        changesScheduled = true;
+        owner.later(stream.micros(10 * MILLI, 120 * MILLI), () -> sendChanges(false));
       }
     }
 
     private void keepAlive() {
-      if (!over) {
-        long quiet = world.now() - lineAt;
-        if (quiet >= EMPTY_LINE) {
-          chunk(behavior == Behavior.GARBAGE ? "%&/" : "");
+      if (!closed) {
+        long quiet = world.now() - lastLineAt;
+        if (quiet >= KEEPALIVE_INTERVAL) {
+          sendChunk(behavior == Behavior.GARBAGE ? "%&/" : "");
         }
-        owner.later(Math.max(MILLI, EMPTY_LINE - (world.now() - lineAt)), this::keepAlive);
+        owner.later(
+            Math.max(MILLI, KEEPALIVE_INTERVAL - (world.now() - lastLineAt)), this::keepAlive);
       }
     }
 
-    private void chunk(String line) {
-      lineAt = world.now();
+    private void sendChunk(String line) {
+      lastLineAt = world.now();
       lines.send(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n");
     }
 
     /** Ends it within a line. */
-    void cut() {
-      if (!over) {
+    void breakOff() {
+      if (!closed) {
         lines.sendBytes("40\r\n{\"index\":".getBytes());
-        end();
+        close();
       }
     }
 
     @Override
-    public void ended(boolean reset) {
-      end();
+    public void onEnd(boolean reset) {
+      close();
     }
 
-    void end() {
-      if (!over) {
-        over = true;
+    void close() {
+      if (!closed) {
+        closed = true;
         calls.remove(this);
         queue.remove(this);
         lines.close();
--- a/src/main/java/brassbank/sim/actor/FlowEndpoints.java
+++ b/src/main/java/brassbank/sim/actor/FlowEndpoints.java
@@ -13,44 +13,44 @@
  * know: whether the network was to blame for what was late on one of them.
  */
 public final class FlowEndpoints {
-  private static final class Legs {
+  private static final class Connections {
     private Endpoint client;
     private Endpoint host;
     private StreamHost at;
     private long clientBusyUntil;
   }
 
-  private final Map<String, Legs> flows = new HashMap<>();
+  private final Map<String, Connections> flows = new HashMap<>();
 
   /** Flows that stand, each with its proxy, the oldest first. */
-  private final Map<String, String> standing = new LinkedHashMap<>();
+  private final Map<String, String> openFlows = new LinkedHashMap<>();
 
-  void client(String flow, Endpoint endpoint) {
-    flows.computeIfAbsent(flow, f -> new Legs()).client = endpoint;
+  void setClient(String flow, Endpoint endpoint) {
+    flows.computeIfAbsent(flow, f -> new Connections()).client = endpoint;
   }
 
-  void host(String flow, Endpoint endpoint, StreamHost at) {
-    Legs legs = flows.computeIfAbsent(flow, f -> new Legs());
+  void setHost(String flow, Endpoint endpoint, StreamHost at) {
+    Connections legs = flows.computeIfAbsent(flow, f -> new Connections());
     legs.host = endpoint;
     legs.at = at;
   }
 
-  void stands(String flow, String proxy) {
-    standing.put(flow, proxy);
+  void opened(String flow, String proxy) {
+    openFlows.put(flow, proxy);
   }
 
-  void over(String flow) {
-    standing.remove(flow);
+  void closed(String flow) {
+    openFlows.remove(flow);
   }
 
-  boolean standing(String flow) {
-    return standing.containsKey(flow);
+  boolean isOpen(String flow) {
+    return openFlows.containsKey(flow);
   }
 
   /** A flow that stands at this proxy, or null. */
-  String anyStanding(String proxy, RandomStreams.Stream stream) {
+  String anyOpen(String proxy, RandomStreams.Stream stream) {
     List<String> all = new ArrayList<>();
-    standing.forEach(
+    openFlows.forEach(
         (flow, at) -> {
           if (at.equals(proxy)) {
             all.add(flow);
@@ -60,14 +60,14 @@
   }
 
   /** The client does not read, or reads slowly, until then. */
-  void clientBusy(String flow, long until) {
-    Legs legs = flows.computeIfAbsent(flow, f -> new Legs());
+  void markClientBusy(String flow, long until) {
+    Connections legs = flows.computeIfAbsent(flow, f -> new Connections());
     legs.clientBusyUntil = Math.max(legs.clientBusyUntil, until);
   }
 
   /** Since when neither the network nor the client has held up the client's connection. */
   public long clientCalmSince(String flow) {
-    Legs legs = flows.get(flow);
+    Connections legs = flows.get(flow);
     if (legs == null || legs.client == null) {
       return 0;
     }
@@ -76,7 +76,7 @@
 
   /** Since when neither the network nor the stream host has held up its connection. */
   public long hostCalmSince(String flow) {
-    Legs legs = flows.get(flow);
+    Connections legs = flows.get(flow);
     return legs == null || legs.host == null
         ? 0
         : Math.max(legs.at.pausedUntil(), legs.host.calmSince());
--- a/src/main/java/brassbank/sim/actor/Lines.java
+++ b/src/main/java/brassbank/sim/actor/LineConnection.java
@@ -10,32 +10,32 @@
  * allows, and the end. It never gives the proxy's own line reader the benefit of the doubt: it
  * shares no code with it.
  */
-final class Lines implements Endpoint.Handler {
+final class LineConnection implements Endpoint.Handler {
   private static final int READ_SIZE = 4 * 1024;
 
   /** Who is told what comes. */
-  interface Taker {
+  interface Listener {
     /** A whole line, without its CRLF. */
-    void line(String line);
+    void onLine(String line);
 
     /** The peer has ended its sending, or the connection was reset; told once. */
-    void ended(boolean reset);
+    void onEnd(boolean reset);
   }
 
   private final Endpoint endpoint;
-  private final Taker taker;
+  private final Listener listener;
   private final StringBuilder partial = new StringBuilder();
-  private byte[] waiting = new byte[256];
-  private int from;
-  private int until;
+  private byte[] pending = new byte[256];
+  private int pendingStart;
+  private int pendingEnd;
   private boolean finishing;
   private boolean closing;
-  private boolean over;
-  private boolean told;
+  private boolean closed;
+  private boolean endReported;
 
-  Lines(Endpoint endpoint, Taker taker) {
+  LineConnection(Endpoint endpoint, Listener taker) {
     this.endpoint = endpoint;
-    this.taker = taker;
+    this.listener = taker;
     endpoint.handler(this);
   }
 
@@ -44,8 +44,8 @@
   }
 
   /** Whether this side has given the connection back. */
-  boolean over() {
-    return over;
+  boolean isClosed() {
+    return closed;
   }
 
   void reading(boolean on) {
@@ -59,15 +59,15 @@
     try {
       count = endpoint.read(READ_SIZE);
     } catch (ResetException e) {
-      end(true);
+      reportEnd(true);
       return;
     }
     if (count < 0) {
-      end(false);
+      reportEnd(false);
       return;
     }
     int start = 0;
-    for (int i = 0; i < count && !over && !told; i++) {
+    for (int i = 0; i < count && !closed && !endReported; i++) {
       if (bytes[i] == '\n') {
         partial.append(new String(bytes, start, i - start, StandardCharsets.ISO_8859_1));
         start = i + 1;
@@ -75,22 +75,22 @@
         boolean crlf = length > 0 && partial.charAt(length - 1) == '\r';
         String line = partial.substring(0, crlf ? length - 1 : length);
         partial.setLength(0);
-        taker.line(line);
+        listener.onLine(line);
       }
     }
     partial.append(new String(bytes, start, count - start, StandardCharsets.ISO_8859_1));
   }
 
-  private void end(boolean reset) {
+  private void reportEnd(boolean reset) {
     endpoint.reading(false);
-    if (!told && !over) {
-      told = true;
-      taker.ended(reset);
+    if (!endReported && !closed) {
+      endReported = true;
+      listener.onEnd(reset);
     }
   }
 
   /** Bytes that came and belong to no whole line. */
-  int left() {
+  int unterminatedBytes() {
     return partial.length();
   }
 
@@ -99,43 +99,43 @@
   }
 
   void sendBytes(byte[] bytes) {
-    if (over || finishing || closing) {
+    if (closed || finishing || closing) {
       return;
     }
-    if (waiting.length - until < bytes.length) {
-      System.arraycopy(waiting, from, waiting, 0, until - from);
-      until -= from;
-      from = 0;
-      waiting = Arrays.copyOf(waiting, Math.max(waiting.length, 2 * (until + bytes.length)));
+    if (pending.length - pendingEnd < bytes.length) {
+      System.arraycopy(pending, pendingStart, pending, 0, pendingEnd - pendingStart);
+      pendingEnd -= pendingStart;
+      pendingStart = 0;
+      pending = Arrays.copyOf(pending, Math.max(pending.length, 2 * (pendingEnd + bytes.length)));
     }
-    System.arraycopy(bytes, 0, waiting, until, bytes.length);
-    until += bytes.length;
+    System.arraycopy(bytes, 0, pending, pendingEnd, bytes.length);
+    pendingEnd += bytes.length;
     writable();
   }
 
   /** Bytes that the kernel has not taken yet. */
   int unwritten() {
-    return until - from;
+    return pendingEnd - pendingStart;
   }
 
   @Override
   public void writable() {
     try {
-      from += unwritten() == 0 ? 0 : endpoint.write(waiting, from, unwritten());
+      pendingStart += unwritten() == 0 ? 0 : endpoint.write(pending, pendingStart, unwritten());
       endpoint.writing(unwritten() > 0);
       if (unwritten() == 0) {
         if (closing) {
-          over = true;
+          closed = true;
           endpoint.close();
         } else if (finishing) {
           endpoint.shutdownOutput();
         }
       }
     } catch (ResetException e) {
-      from = until;
+      pendingStart = pendingEnd;
       endpoint.writing(false);
       if (closing) {
-        over = true;
+        closed = true;
         endpoint.close();
       }
       // That it was reset is told by the next read.
@@ -144,7 +144,7 @@
 
   /** Ends our sending after all that was given to send. */
   void finish() {
-    if (!finishing && !closing && !over) {
+    if (!finishing && !closing && !closed) {
       finishing = true;
       writable();
     }
@@ -152,15 +152,15 @@
 
   /** Ends the connection after all that was given to send. */
   void close() {
-    if (!closing && !over) {
+    if (!closing && !closed) {
       closing = true;
       writable();
     }
   }
 
   void reset() {
-    if (!over) {
-      over = true;
+    if (!closed) {
+      closed = true;
       endpoint.reset();
     }
   }
--- a/src/main/java/brassbank/sim/actor/StreamHost.java
+++ b/src/main/java/brassbank/sim/actor/StreamHost.java
@@ -29,31 +29,31 @@
   private static final long SECOND = Agenda.SECOND;
 
   /** Work of taking one connection, on a core of speed 1. */
-  private static final long HANDSHAKE_LEAST = 740;
+  private static final long MIN_HANDSHAKE_WORK = 740;
 
-  private static final long HANDSHAKE_MOST = 1_500;
-  private static final long SETUP_LEAST = 2_000;
-  private static final long SETUP_MOST = 17_000;
+  private static final long MAX_HANDSHAKE_WORK = 1_500;
+  private static final long MIN_SETUP_WORK = 2_000;
+  private static final long MAX_SETUP_WORK = 17_000;
 
-  private static final long PROBE_LEAST = 110;
-  private static final long PROBE_MOST = 230;
+  private static final long MIN_PROBE_WORK = 110;
+  private static final long MAX_PROBE_WORK = 230;
 
   /** A line is returned after this on a host that is not busy. */
-  private static final long ECHO = 1 * MILLI;
+  private static final long ECHO_DELAY = 1 * MILLI;
 
   /** Connections a host holds at most, for each that it can serve well. */
-  private static final double CAP = 2.5;
+  private static final double MAX_CONNECTIONS_FACTOR = 2.5;
 
-  private static final long LOOK = 100 * MILLI;
+  private static final long OVERLOAD_CHECK_INTERVAL = 100 * MILLI;
 
   /** Between two bytes of an answer that drips. */
-  private static final long DRIP = 30 * MILLI;
+  private static final long DRIP_INTERVAL = 30 * MILLI;
 
   /** An idle connection of a probe is closed after this. */
-  private static final long IDLE = 5 * SECOND;
+  private static final long IDLE_TIMEOUT = 5 * SECOND;
 
   /** A push that a few heavy connections could make by chance. */
-  private static final double FALL_SLACK = 3;
+  private static final double OVERLOAD_SLACK = 3;
 
   /**
    * What an attempt costs a cold host, turned away or not, against a connection that it holds: what
@@ -62,11 +62,11 @@
   private static final double ATTEMPT_WEIGHT = 2;
 
   /** Share of connections on which much comes at once, and how many lines that is. */
-  private static final double PUSHES = 0.06;
+  private static final double PUSH_SHARE = 0.06;
 
-  private static final int PUSH_LEAST = 20;
-  private static final int PUSH_MOST = 150;
-  private static final int LONGEST_PUSH = 3_900;
+  private static final int MIN_PUSH_LINES = 20;
+  private static final int MAX_PUSH_LINES = 150;
+  private static final int MAX_PUSH_LENGTH = 3_900;
 
   /** What the host does with an attempt, apart from serving it. */
   public enum Behavior {
@@ -122,9 +122,9 @@
   private record Report(long visibleAt, double load, double backlog, double rate, double errors) {}
 
   /** What it was asked for at a moment, and how much of that by proxies that knew of its start. */
-  private record Pressure(long at, double asked, double told, double capacity) {}
+  private record LoadSample(long at, double demand, double informedDemand, double capacity) {}
 
-  private record Arrival(long at, boolean told, double load) {}
+  private record Arrival(long at, boolean informed, double load) {}
 
   private final World world;
   private final String name;
@@ -137,22 +137,22 @@
   private final RandomStreams.Stream stream;
   private final long reportPeriod;
   private final Set<Connection> connections = new LinkedHashSet<>();
-  private final Deque<Report> loadReports = new ArrayDeque<>();
-  private final Deque<Pressure> pressures = new ArrayDeque<>();
+  private final Deque<Report> recentReports = new ArrayDeque<>();
+  private final Deque<LoadSample> loadSamples = new ArrayDeque<>();
   private final Deque<Arrival> arrivals = new ArrayDeque<>();
 
   private State state = State.DOWN;
   private Program program;
   private long startedAt;
   private long since;
-  private long freeAt;
-  private int receipts;
+  private long idleAt;
+  private int receiptCount;
   private int served;
   private int errors;
 
   private Behavior behavior = Behavior.SERVES;
-  private double mannerShare = 1;
-  private LoadReports truth = LoadReports.TRUE;
+  private double behaviorShare = 1;
+  private LoadReports loadReports = LoadReports.TRUE;
   private double slowdown = 1;
   private long reportDelay;
   private boolean fallen;
@@ -235,10 +235,10 @@
     program = new Program(machine, name, 0, Integer.MAX_VALUE);
     startedAt = world.now();
     since = warm ? 0 : Math.max(1, startedAt);
-    freeAt = 0;
+    idleAt = 0;
     state = State.SERVING;
-    loadReports.clear();
-    pressures.clear();
+    recentReports.clear();
+    loadSamples.clear();
     arrivals.clear();
     Acceptor acceptor = new Acceptor();
     try {
@@ -246,8 +246,8 @@
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
-    sample();
-    look();
+    sampleLoad();
+    checkOverload();
     world.publish(new Event.HostStarted(name, !warm));
   }
 
@@ -271,7 +271,7 @@
     state = State.DRAINING;
     world.publish(new Event.HostDrains(name));
     for (Connection connection : List.copyOf(connections)) {
-      if (connection.up) {
+      if (connection.established) {
         connection.lines.send("MOVE");
         connection.end(false);
       }
@@ -285,11 +285,12 @@
     }
     state = State.DOWN;
     for (Connection connection : List.copyOf(connections)) {
-      if (connection.flow != null && !connection.over) {
-        connection.tell(
-            new Event.HostEnded(connection.flow, name, connection.up, true, machine.dark()));
+      if (connection.flow != null && !connection.closed) {
+        connection.publish(
+            new Event.HostEnded(
+                connection.flow, name, connection.established, true, machine.dark()));
       }
-      connection.over = true;
+      connection.closed = true;
     }
     connections.clear();
     program.kill();
@@ -317,11 +318,11 @@
 
   public void setBehavior(Behavior next, double share) {
     behavior = next;
-    mannerShare = share;
+    behaviorShare = share;
   }
 
   public void setLoadReports(LoadReports next) {
-    truth = next;
+    loadReports = next;
   }
 
   /** How many times slower than usual it is. */
@@ -358,7 +359,7 @@
     double load = 0;
     Set<String> groups = new LinkedHashSet<>();
     for (Connection connection : connections) {
-      if (connection.up) {
+      if (connection.established) {
         load += connection.load;
         groups.add(connection.group);
       }
@@ -366,25 +367,25 @@
     return (load + world.site().groupCost() * groups.size()) * slowdown / currentCapacity();
   }
 
-  private void sample() {
-    double backlog = Math.max(0, freeAt - world.now()) / (double) SECOND;
+  private void sampleLoad() {
+    double backlog = Math.max(0, idleAt - world.now()) / (double) SECOND;
     double seconds = reportPeriod / (double) SECOND;
     long visible = world.now() + stream.micros(72 * MILLI, 410 * MILLI) + reportDelay;
     double noise = 1 + stream.between(-0.05, 0.05);
-    loadReports.add(
+    recentReports.add(
         new Report(visible, utilization() * noise, backlog, served / seconds, errors / seconds));
     served = 0;
     errors = 0;
-    program.later(reportPeriod, this::sample);
+    program.later(reportPeriod, this::sampleLoad);
   }
 
   private String stats() {
-    while (loadReports.size() > 1 && second().visibleAt() <= world.now()) {
-      loadReports.removeFirst();
+    while (recentReports.size() > 1 && secondReport().visibleAt() <= world.now()) {
+      recentReports.removeFirst();
     }
-    Report report = loadReports.peek();
-    double load = truth == LoadReports.LOW ? 0.02 : report.load();
-    return truth == LoadReports.GARBAGE
+    Report report = recentReports.peek();
+    double load = loadReports == LoadReports.LOW ? 0.02 : report.load();
+    return loadReports == LoadReports.GARBAGE
         ? "PONG x0=many,x1="
         : "PONG x0="
             + rounded(load)
@@ -396,8 +397,8 @@
             + rounded(report.errors());
   }
 
-  private Report second() {
-    var each = loadReports.iterator();
+  private Report secondReport() {
+    var each = recentReports.iterator();
     each.next();
     return each.next();
   }
@@ -407,16 +408,16 @@
   }
 
   /** Work on a queue that all cores share; when it is done. */
-  private long work(long micros) {
+  private long enqueueWork(long micros) {
     double cost = micros * slowdown / (speed * warmth() * kind.cores());
-    freeAt = Math.max(freeAt, world.now()) + (long) cost;
-    return freeAt - world.now();
+    idleAt = Math.max(idleAt, world.now()) + (long) cost;
+    return idleAt - world.now();
   }
 
   // ------------------------------------------------------------- falling over
 
   /** Looks whether it is being pushed over, which only a cold host can be. */
-  private void look() {
+  private void checkOverload() {
     if (state != State.SERVING || warmth() >= 1) {
       return;
     }
@@ -428,107 +429,107 @@
     double asked = 0;
     double told = 0;
     for (Connection connection : connections) {
-      if (connection.up) {
+      if (connection.established) {
         asked += connection.load;
-        told += connection.told ? connection.load : 0;
+        told += connection.informed ? connection.load : 0;
       }
     }
     for (Arrival arrival : arrivals) {
       asked += ATTEMPT_WEIGHT * arrival.load();
-      told += arrival.told() ? ATTEMPT_WEIGHT * arrival.load() : 0;
+      told += arrival.informed() ? ATTEMPT_WEIGHT * arrival.load() : 0;
     }
-    pressures.add(new Pressure(now, asked, told, currentCapacity()));
-    while (pressures.peek().at() < from) {
-      pressures.removeFirst();
+    loadSamples.add(new LoadSample(now, asked, told, currentCapacity()));
+    while (loadSamples.peek().at() < from) {
+      loadSamples.removeFirst();
     }
-    int placed = (int) arrivals.stream().filter(Arrival::told).count();
+    int placed = (int) arrivals.stream().filter(Arrival::informed).count();
     Site site = world.site();
     double turnover = currentCapacity() / Client.meanLoadSeconds(site);
     double bears = site.fallMultiple() * turnover * site.fallWindow() / SECOND;
-    world.publish(new Event.ColdHostAsked(name, toldShare() * pushedBy(), placed, bears));
-    if (now - startedAt >= world.site().fallWindow() && pushedBy() > 1) {
+    world.publish(new Event.ColdHostAsked(name, informedShare() * overload(), placed, bears));
+    if (now - startedAt >= world.site().fallWindow() && overload() > 1) {
       fallen = true;
-      world.publish(new Event.HostFellOver(name, toldShare()));
+      world.publish(new Event.HostFellOver(name, informedShare()));
       kill();
       return;
     }
-    program.later(LOOK, this::look);
+    program.later(OVERLOAD_CHECK_INTERVAL, this::checkOverload);
   }
 
   /** What it is asked for over what it can bear, in the time that counts for its fall. */
-  private double pushedBy() {
+  private double overload() {
     double asked = 0;
     double could = 0;
-    for (Pressure pressure : pressures) {
-      asked += pressure.asked();
+    for (LoadSample pressure : loadSamples) {
+      asked += pressure.demand();
       could += pressure.capacity();
     }
-    return asked / (world.site().fallMultiple() * could + FALL_SLACK * pressures.size());
+    return asked / (world.site().fallMultiple() * could + OVERLOAD_SLACK * loadSamples.size());
   }
 
-  private double toldShare() {
+  private double informedShare() {
     double asked = 0;
     double told = 0;
-    for (Pressure pressure : pressures) {
-      asked += pressure.asked();
-      told += pressure.told();
+    for (LoadSample pressure : loadSamples) {
+      asked += pressure.demand();
+      told += pressure.informedDemand();
     }
     return asked == 0 ? 0 : told / asked;
   }
 
   // ------------------------------------------------------------ a connection
 
-  private final class Connection implements Lines.Taker {
-    private final Lines lines;
+  private final class Connection implements LineConnection.Listener {
+    private final LineConnection lines;
     private final String proxy;
     private String flow;
     private String group = "";
     private double load = 1;
 
     /** The proxy knew of the host's start when it sent this. */
-    private boolean told;
+    private boolean informed;
 
-    private boolean up;
-    private boolean over;
+    private boolean established;
+    private boolean closed;
 
     /** The proxy has ended its side, though nothing may tell the host of that. */
-    private boolean left;
+    private boolean leftByProxy;
 
     private long echoFreeAt;
     private Agenda.Entry idle;
 
     Connection(Endpoint endpoint) {
       proxy = endpoint.peerMachine().name();
-      lines = new Lines(endpoint, this);
+      lines = new LineConnection(endpoint, this);
       endpoint.whenPeerEnds(this::proxyEnded);
       waitForProbe();
     }
 
     private void waitForProbe() {
-      idle = program.later(IDLE, () -> end(false));
+      idle = program.later(IDLE_TIMEOUT, () -> end(false));
     }
 
     private void proxyEnded() {
-      if (flow != null && !left) {
-        world.flows().over(flow);
-        tell(new Event.ProxyEnded(flow, name, up));
+      if (flow != null && !leftByProxy) {
+        world.flows().closed(flow);
+        publish(new Event.ProxyEnded(flow, name, established));
       }
-      left = true;
+      leftByProxy = true;
     }
 
     /** What becomes of a connection that the proxy has left is of no interest to any rule. */
-    private void tell(Event event) {
-      if (!left) {
+    private void publish(Event event) {
+      if (!leftByProxy) {
         world.publish(event);
       }
     }
 
     @Override
-    public void line(String line) {
-      if (up) {
-        passed(line);
+    public void onLine(String line) {
+      if (established) {
+        echo(line);
       } else if (flow != null) {
-        unreadable(line);
+        rejectUnreadable(line);
       } else if (line.equals("PING") || line.equals("STATS")) {
         idle.cancel();
         waitForProbe();
@@ -537,11 +538,11 @@
         idle.cancel();
         open(line);
       } else {
-        unreadable(line);
+        rejectUnreadable(line);
       }
     }
 
-    private void unreadable(String line) {
+    private void rejectUnreadable(String line) {
       world.publish(new Event.HostCannotRead(name, proxy, line));
       lines.send("SYNTAX");
       end(false);
@@ -551,10 +552,10 @@
       long calm = Math.max(pausedUntil, lines.endpoint().calmSince());
       world.publish(new Event.ProbeArrived(name, proxy, line, calm));
       program.later(
-          work(stream.micros(PROBE_LEAST, PROBE_MOST)),
+          enqueueWork(stream.micros(MIN_PROBE_WORK, MAX_PROBE_WORK)),
           () -> {
-            if (!over) {
-              boolean errs = state == State.DRAINING || truth == LoadReports.ERRORS;
+            if (!closed) {
+              boolean errs = state == State.DRAINING || loadReports == LoadReports.ERRORS;
               lines.send(errs ? "ERR" : line.equals("PING") ? "PONG" : stats());
             }
           });
@@ -572,7 +573,7 @@
       }
       String wait = values.getOrDefault("d", "");
       if (!wait.matches("\\d{1,9}") || !values.containsKey("life") || !values.containsKey("c")) {
-        unreadable(line);
+        rejectUnreadable(line);
         return;
       }
       flow = parts[1];
@@ -585,23 +586,24 @@
               proxy,
               lines.endpoint().peerFirstWriteAt(),
               lines.endpoint().peerHasEnded()));
-      left = lines.endpoint().peerHasEnded();
-      if (!left) {
-        world.flows().host(flow, lines.endpoint(), StreamHost.this);
+      leftByProxy = lines.endpoint().peerHasEnded();
+      if (!leftByProxy) {
+        world.flows().setHost(flow, lines.endpoint(), StreamHost.this);
       }
-      told = world.discovery().hasToldStart(proxy, StreamHost.this);
-      arrivals.add(new Arrival(world.now(), told, load));
+      informed = world.discovery().hasReportedStart(proxy, StreamHost.this);
+      arrivals.add(new Arrival(world.now(), informed, load));
       long life = Long.parseLong(values.get("life")) * MILLI;
-      if (state == State.DRAINING || connections.size() > CAP * capacity) {
+      if (state == State.DRAINING || connections.size() > MAX_CONNECTIONS_FACTOR * capacity) {
         answer("BUSY");
         end(false);
-      } else if (behavior != Behavior.SERVES && stream.chance(mannerShare)) {
+      } else if (behavior != Behavior.SERVES && stream.chance(behaviorShare)) {
         misbehave(life);
       } else {
         long deadline = world.now() + Long.parseLong(wait) * MILLI;
         long micros =
-            stream.micros(HANDSHAKE_LEAST, HANDSHAKE_MOST) + stream.micros(SETUP_LEAST, SETUP_MOST);
-        program.later(work(micros), () -> serve(deadline, life));
+            stream.micros(MIN_HANDSHAKE_WORK, MAX_HANDSHAKE_WORK)
+                + stream.micros(MIN_SETUP_WORK, MAX_SETUP_WORK);
+        program.later(enqueueWork(micros), () -> serve(deadline, life));
       }
     }
 
@@ -618,8 +620,8 @@
         }
         case RESETS -> reset();
         case RESETS_ON_UP -> {
-          up = true;
-          answer("UP r" + ++receipts);
+          established = true;
+          answer("UP r" + ++receiptCount);
           reset();
         }
         case ENDS -> end(false);
@@ -632,10 +634,10 @@
           end(false);
         }
         case SERVES_BRIEFLY -> {
-          up = true;
-          String answer = "UP r" + ++receipts;
-          tell(new Event.AttemptAnswered(flow, name, answer, false));
-          tell(new Event.LineSent(flow, false, "LOAD 0.5"));
+          established = true;
+          String answer = "UP r" + ++receiptCount;
+          publish(new Event.AttemptAnswered(flow, name, answer, false));
+          publish(new Event.LineSent(flow, false, "LOAD 0.5"));
           lines.send(answer + "\r\nLOAD 0.5\r\nBYE");
           end(false);
         }
@@ -647,12 +649,12 @@
     }
 
     private void answer(String line) {
-      tell(new Event.AttemptAnswered(flow, name, line, !line.startsWith("UP")));
+      publish(new Event.AttemptAnswered(flow, name, line, !line.startsWith("UP")));
       lines.send(line);
     }
 
     private void serve(long deadline, long life) {
-      if (over) {
+      if (closed) {
         return;
       }
       if (state == State.DRAINING || world.now() > deadline) {
@@ -660,89 +662,89 @@
         end(false);
         return;
       }
-      up = true;
+      established = true;
       served++;
-      answer("UP r" + ++receipts);
-      stand(life);
+      answer("UP r" + ++receiptCount);
+      scheduleSession(life);
     }
 
     /** The answer comes slowly, and nothing else before it is whole. */
     private void drip(long life) {
-      String answer = "UP r" + ++receipts + "\r\n";
-      tell(new Event.AttemptAnswered(flow, name, answer.trim(), false));
+      String answer = "UP r" + ++receiptCount + "\r\n";
+      publish(new Event.AttemptAnswered(flow, name, answer.trim(), false));
       for (int i = 0; i < answer.length(); i++) {
         byte[] one = {(byte) answer.charAt(i)};
         boolean last = i == answer.length() - 1;
         program.later(
-            (i + 1) * DRIP,
+            (i + 1) * DRIP_INTERVAL,
             () -> {
-              if (!over) {
+              if (!closed) {
                 lines.sendBytes(one);
-                up = last;
+                established = last;
                 if (last) {
-                  stand(life);
+                  scheduleSession(life);
                 }
               }
             });
       }
     }
 
-    private void stand(long life) {
+    private void scheduleSession(long life) {
       program.later(life, this::bye);
       program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
-      if (stream.chance(PUSHES)) {
+      if (stream.chance(PUSH_SHARE)) {
         program.later(stream.micros(SECOND, 20 * SECOND), this::push);
       }
     }
 
     /** A picture of the walkthrough: more than all buffers on the way hold. */
     private void push() {
-      int count = stream.between(PUSH_LEAST, PUSH_MOST);
-      for (int i = 0; i < count && !over; i++) {
-        say("p " + i + " " + "#".repeat(stream.between(0, LONGEST_PUSH)));
+      int count = stream.between(MIN_PUSH_LINES, MAX_PUSH_LINES);
+      for (int i = 0; i < count && !closed; i++) {
+        sendLine("p " + i + " " + "#".repeat(stream.between(0, MAX_PUSH_LENGTH)));
       }
     }
 
     private void bye() {
-      if (!over) {
+      if (!closed) {
         lines.send("BYE");
         end(false);
       }
     }
 
     private void changeLoad() {
-      if (!over) {
+      if (!closed) {
         load = Math.round(load * stream.logNormal(0.4) * 1000) / 1000.0;
-        say("LOAD " + load);
+        sendLine("LOAD " + load);
         program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
       }
     }
 
-    private void passed(String line) {
-      tell(new Event.LineArrived(flow, true, line));
+    private void echo(String line) {
+      publish(new Event.LineArrived(flow, true, line));
       double asked = utilization();
-      long delay = (long) (ECHO * slowdown * Math.max(1, asked > 1 ? 20 * asked : 1));
+      long delay = (long) (ECHO_DELAY * slowdown * Math.max(1, asked > 1 ? 20 * asked : 1));
       echoFreeAt = Math.max(echoFreeAt, world.now() + delay);
       program.later(
           echoFreeAt - world.now(),
           () -> {
-            if (!over) {
-              say("r" + line.substring(1));
+            if (!closed) {
+              sendLine("r" + line.substring(1));
             }
           });
     }
 
-    private void say(String line) {
-      tell(new Event.LineSent(flow, false, line));
+    private void sendLine(String line) {
+      publish(new Event.LineSent(flow, false, line));
       lines.send(line);
     }
 
     @Override
-    public void ended(boolean reset) {
-      if (over) {
+    public void onEnd(boolean reset) {
+      if (closed) {
         return;
       }
-      over = true;
+      closed = true;
       connections.remove(this);
       idle.cancel();
       if (reset) {
@@ -754,15 +756,15 @@
 
     /** The host ends it, after what it has said. */
     private void end(boolean reset) {
-      if (over) {
+      if (closed) {
         return;
       }
-      over = true;
+      closed = true;
       connections.remove(this);
       idle.cancel();
       if (flow != null) {
-        world.flows().over(flow);
-        tell(new Event.HostEnded(flow, name, up, reset, false));
+        world.flows().closed(flow);
+        publish(new Event.HostEnded(flow, name, established, reset, false));
       }
       if (reset) {
         lines.reset();
--- a/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
+++ b/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
@@ -18,29 +18,29 @@
  * answered {@code PONG}, and learns only some seconds later that one has died.
  */
 public final class UpstreamLoadBalancer {
-  private static final long ASK_AGAIN = 100 * Agenda.MILLI;
+  private static final long PROBE_INTERVAL = 100 * Agenda.MILLI;
 
   /** How long a PING waits; the proxy may keep it until it knows a stream host. */
-  private static final long PATIENCE = 5 * Agenda.SECOND;
+  private static final long PROBE_TIMEOUT = 5 * Agenda.SECOND;
 
-  private static final long NOTICE_LEAST = 1_200 * Agenda.MILLI;
-  private static final long NOTICE_MOST = 3_100 * Agenda.MILLI;
+  private static final long MIN_DETECTION_DELAY = 1_200 * Agenda.MILLI;
+  private static final long MAX_DETECTION_DELAY = 3_100 * Agenda.MILLI;
 
   /** New connections keep arriving for so long after SIGTERM. */
-  private static final long STOP_LEAST = 200 * Agenda.MILLI;
+  private static final long MIN_REMOVAL_DELAY = 200 * Agenda.MILLI;
 
-  private static final long STOP_MOST = 400 * Agenda.MILLI;
+  private static final long MAX_REMOVAL_DELAY = 400 * Agenda.MILLI;
 
   /** A proxy that clients are sent to; {@code life} tells its processes apart. */
-  private static final class Entry {
+  private static final class Upstream {
     final String name;
     final Machine machine;
     final InetSocketAddress address;
-    int life;
+    int incarnation;
     boolean admitted;
-    double favour = 1;
+    double weight = 1;
 
-    Entry(String name, Machine machine, InetSocketAddress address) {
+    Upstream(String name, Machine machine, InetSocketAddress address) {
       this.name = name;
       this.machine = machine;
       this.address = address;
@@ -50,7 +50,7 @@
   private final World world;
   private final RandomStreams.Stream stream;
   private final Map<String, Program> programs = new LinkedHashMap<>();
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
+  private final Map<String, Upstream> upstreams = new LinkedHashMap<>();
 
   public UpstreamLoadBalancer(World world) {
     this.world = world;
@@ -64,21 +64,21 @@
 
   /** A proxy's process has begun: it is asked until it answers. */
   public void processStarted(String name, Machine machine, InetSocketAddress address) {
-    Entry entry = entries.computeIfAbsent(name, n -> new Entry(name, machine, address));
-    entry.life++;
-    ask(entry, entry.life);
+    Upstream entry = upstreams.computeIfAbsent(name, n -> new Upstream(name, machine, address));
+    entry.incarnation++;
+    probe(entry, entry.incarnation);
   }
 
   /** A proxy's process has ended without a word. */
   public void processFailed(String name) {
-    Entry entry = entries.get(name);
-    int life = entry.life;
+    Upstream entry = upstreams.get(name);
+    int life = entry.incarnation;
     world
         .agenda()
         .after(
-            stream.micros(NOTICE_LEAST, NOTICE_MOST),
+            stream.micros(MIN_DETECTION_DELAY, MAX_DETECTION_DELAY),
             () -> {
-              if (entry.life == life) {
+              if (entry.incarnation == life) {
                 entry.admitted = false;
               }
             });
@@ -86,21 +86,23 @@
 
   /** A planned stop has begun. */
   public void shutdownStarted(String name) {
-    Entry entry = entries.get(name);
-    world.agenda().after(stream.micros(STOP_LEAST, STOP_MOST), () -> entry.admitted = false);
+    Upstream entry = upstreams.get(name);
+    world
+        .agenda()
+        .after(stream.micros(MIN_REMOVAL_DELAY, MAX_REMOVAL_DELAY), () -> entry.admitted = false);
   }
 
   /** A proxy that was on standby is asked again until it answers. */
   public void returnedToService(String name) {
-    Entry entry = entries.get(name);
-    ask(entry, entry.life);
+    Upstream entry = upstreams.get(name);
+    probe(entry, entry.incarnation);
   }
 
   /** Where a client of this zone connects to, or null where no proxy is admitted. */
   InetSocketAddress pick(String zone, RandomStreams.Stream chance) {
-    List<Entry> near = new ArrayList<>();
-    List<Entry> all = new ArrayList<>();
-    for (Entry entry : entries.values()) {
+    List<Upstream> near = new ArrayList<>();
+    List<Upstream> all = new ArrayList<>();
+    for (Upstream entry : upstreams.values()) {
       if (entry.admitted) {
         all.add(entry);
         if (entry.machine.zone().equals(zone)) {
@@ -108,22 +110,22 @@
         }
       }
     }
-    List<Entry> from = near.isEmpty() ? all : near;
-    if (from.stream().allMatch(entry -> entry.favour == 1)) {
+    List<Upstream> from = near.isEmpty() ? all : near;
+    if (from.stream().allMatch(entry -> entry.weight == 1)) {
       return from.isEmpty() ? null : chance.pick(from).address;
     }
-    double[] favours = from.stream().mapToDouble(entry -> entry.favour).toArray();
+    double[] favours = from.stream().mapToDouble(entry -> entry.weight).toArray();
     return from.get(chance.pick(favours)).address;
   }
 
   /** Sends a proxy so many times as many clients as the others get, each. */
   public void setWeight(String name, double times) {
-    entries.get(name).favour = times;
+    upstreams.get(name).weight = times;
   }
 
   /** The name of the proxy at an address. */
   String name(InetSocketAddress address) {
-    for (Entry entry : entries.values()) {
+    for (Upstream entry : upstreams.values()) {
       if (entry.address.equals(address)) {
         return entry.name;
       }
@@ -131,68 +133,68 @@
     throw new IllegalArgumentException("no proxy is at " + address);
   }
 
-  private void ask(Entry entry, int life) {
-    if (entry.life == life && !entry.admitted) {
-      new Ping(entry, life).start();
+  private void probe(Upstream entry, int life) {
+    if (entry.incarnation == life && !entry.admitted) {
+      new Probe(entry, life).start();
     }
   }
 
-  private final class Ping implements Program.Connected, Lines.Taker {
-    private final Entry entry;
-    private final int life;
+  private final class Probe implements Program.Connected, LineConnection.Listener {
+    private final Upstream upstream;
+    private final int incarnation;
     private final Program program;
-    private Lines lines;
-    private boolean over;
+    private LineConnection lines;
+    private boolean finished;
 
-    Ping(Entry entry, int life) {
-      this.entry = entry;
-      this.life = life;
+    Probe(Upstream entry, int life) {
+      this.upstream = entry;
+      this.incarnation = life;
       this.program = programs.get(entry.machine.zone());
     }
 
     void start() {
-      Program.Connecting connecting = program.connect(entry.address, this);
+      Program.Connecting connecting = program.connect(upstream.address, this);
       program.later(
-          PATIENCE,
+          PROBE_TIMEOUT,
           () -> {
             connecting.cancel();
-            again();
+            retry();
           });
     }
 
     @Override
     public void up(Endpoint endpoint) {
-      lines = new Lines(endpoint, this);
+      lines = new LineConnection(endpoint, this);
       lines.send("PING");
     }
 
     @Override
     public void failed(IOException cause) {
-      again();
+      retry();
     }
 
     @Override
-    public void line(String line) {
-      if (!over && line.equals("PONG") && entry.life == life) {
-        over = true;
-        entry.admitted = true;
+    public void onLine(String line) {
+      if (!finished && line.equals("PONG") && upstream.incarnation == incarnation) {
+        finished = true;
+        upstream.admitted = true;
         lines.close();
-        world.publish(new Event.ProxyAdmitted(entry.name));
+        world.publish(new Event.ProxyAdmitted(upstream.name));
       }
     }
 
     @Override
-    public void ended(boolean reset) {
-      again();
+    public void onEnd(boolean reset) {
+      retry();
     }
 
-    private void again() {
-      if (!over) {
-        over = true;
+    private void retry() {
+      if (!finished) {
+        finished = true;
         if (lines != null) {
           lines.close();
         }
-        program.later(ASK_AGAIN, () -> ask(entry, life));
+        program.later(PROBE_INTERVAL, () -> probe(upstream, incarnation));
       }
     }
   }
--- a/src/main/java/brassbank/sim/check/FourAttempts.java
+++ b/src/main/java/brassbank/sim/check/AttemptLimit.java
@@ -7,11 +7,11 @@
 /**
  * No flow costs the stream hosts more attempts than are allowed, over all proxies and their lives.
  */
-final class FourAttempts extends Rule {
+final class AttemptLimit extends Rule {
   private final Checks.RuleParameters figures;
   private final Map<String, Integer> attempts = new HashMap<>();
 
-  FourAttempts(Checks.RuleParameters figures) {
+  AttemptLimit(Checks.RuleParameters figures) {
     super("no more attempts of a flow than are allowed");
     this.figures = figures;
   }
--- a/src/main/java/brassbank/sim/check/BadClients.java
+++ b/src/main/java/brassbank/sim/check/BadClientsRejected.java
@@ -8,12 +8,12 @@
  * A bad client is answered {@code ERR} or {@code BUSY}, or closed, within 3 s of connecting (6 s
  * where it has much to send), and never served.
  */
-final class BadClients extends Rule {
-  private record Bad(String proxy, String kind, long since, long within) {}
+final class BadClientsRejected extends Rule {
+  private record Bad(String proxy, String kind, long since, long limitMicros) {}
 
   private final Map<String, Bad> open = new LinkedHashMap<>();
 
-  BadClients() {
+  BadClientsRejected() {
     super("a bad client is answered or closed in time");
   }
 
@@ -40,8 +40,10 @@
           long from =
               Math.max(
                   bad.since(),
-                  Math.max(truth.clientCalmSince(client), truth.proxyCalmSince(bad.proxy())));
-          if (now - from > bad.within() + truth.slack()) {
+                  Math.max(
+                      groundTruth.clientCalmSince(client),
+                      groundTruth.proxyCalmSince(bad.proxy())));
+          if (now - from > bad.limitMicros() + groundTruth.slack()) {
             reportBreach(
                 now, client + " (" + bad.kind() + ") has had neither an answer nor an end");
           }
--- a/src/main/java/brassbank/sim/check/Checks.java
+++ b/src/main/java/brassbank/sim/check/Checks.java
@@ -12,7 +12,7 @@
   /** How often time alone is looked at, in microseconds. */
   public static final long TICK_MICROS = 50_000;
 
-  private static final int MOST = 20;
+  private static final int MAX_BREACHES = 20;
 
   private final List<Rule> rules;
   private final List<Breach> breaches = new ArrayList<>();
@@ -30,51 +30,51 @@
   /** Every rule there is; {@code figures} are the site's. */
   public static List<Rule> commonRules(RuleParameters figures) {
     return List.of(
-        new OneAnswer(figures),
-        new AnswerFromHost(),
-        new OneAttempt(),
-        new FourAttempts(figures),
-        new NoEffectDoubled(figures),
-        new AnsweredAtOnce(figures),
-        new DrainsKept(figures),
-        new ColdHosts(),
-        new ColdSum(),
-        new HostPace(HostPace.Of.PROBES, figures),
-        new HostPace(HostPace.Of.CONNECTS, figures),
-        new HostPace(HostPace.Of.SETUPS, figures),
-        new CallPace(figures),
-        new LinesIntact(),
-        new ConnectionsKept(),
-        new NobodyLeft(),
-        new EndsPassedOn(),
-        new SilenceNoticed(),
-        new BadClients(),
-        new PlannedStop(),
-        new StandbyEmpty(),
-        new OneDoor(),
-        new Descriptors(figures),
-        new NoFailure(),
+        new SingleTimelyAnswer(figures),
+        new AnswerProvenance(),
+        new SingleAttemptInFlight(),
+        new AttemptLimit(figures),
+        new NoDuplicateEffect(figures),
+        new PromptFinalAnswer(figures),
+        new DrainRespected(figures),
+        new NoColdHostOverload(),
+        new ColdHostCalls(),
+        new HostRequestRate(HostRequestRate.Operation.PROBES, figures),
+        new HostRequestRate(HostRequestRate.Operation.CONNECTS, figures),
+        new HostRequestRate(HostRequestRate.Operation.SETUPS, figures),
+        new DiscoveryCallRate(figures),
+        new LineIntegrity(),
+        new NoUnannouncedDisconnect(),
+        new NoOrphanedClient(),
+        new DisconnectRelayed(),
+        new SilenceDetection(),
+        new BadClientsRejected(),
+        new PlannedShutdown(),
+        new StandbyDrained(),
+        new SingleAcceptor(),
+        new DescriptorUse(figures),
+        new NoTaskFailure(),
         new Recovery(figures));
   }
 
   /** Those that a fleet with a view of itself has beside them. */
   public static List<Rule> membershipRules(RuleParameters figures, boolean shares) {
     return List.of(
-        new DeathsNoticed(figures),
-        new NoFalseDeath(),
-        new ViewsAgree(figures),
-        new ViewsGrow(),
-        new MembershipPace(figures, shares));
+        new FailureDetection(figures),
+        new NoFalseFailure(),
+        new ViewConvergence(figures),
+        new ViewMonotonicity(),
+        new MembershipTrafficRate(figures, shares));
   }
 
   /** Those that a fleet has besides whose proxies share its budgets. */
   public static List<Rule> sharedBudgetRules(RuleParameters figures) {
-    return List.of(new ColdPlaces(figures), new OneLeaves());
+    return List.of(new ColdHostSlots(figures), new SingleDrain());
   }
 
   /** Those that a fleet has besides whose proxies ask a part of the hosts each. */
   public static List<Rule> subsetRules(RuleParameters figures) {
-    return List.of(new FewAsk(figures), new SubsetCostsNobody(figures));
+    return List.of(new SubsetFanIn(figures), new SubsetAvailability(figures));
   }
 
   /**
@@ -130,7 +130,7 @@
 
   void record(Breach breach) {
     breachCounts.merge(breach.rule(), 1, Integer::sum);
-    if (breaches.size() < MOST) {
+    if (breaches.size() < MAX_BREACHES) {
       breaches.add(breach);
     }
   }
--- a/src/main/java/brassbank/sim/check/ColdSum.java
+++ b/src/main/java/brassbank/sim/check/ColdHostCalls.java
@@ -9,33 +9,33 @@
  * chance may add, whoever sent them: beyond N, twice the root of N and two (STANDING). Counted
  * where they arrive, of proxies that knew of its start.
  */
-final class ColdSum extends Rule {
+final class ColdHostCalls extends Rule {
   /** Those that it was broken at since they started. */
-  private final Set<String> told = new HashSet<>();
+  private final Set<String> reported = new HashSet<>();
 
-  ColdSum() {
+  ColdHostCalls() {
     super("a cold host's calls, of all proxies together");
   }
 
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.HostStarted started) {
-      told.remove(started.host());
+      reported.remove(started.host());
     } else if (event instanceof Event.ColdHostAsked asked
-        && asked.placed() > most(asked.bears())
-        && told.add(asked.host())) {
+        && asked.placed() > maxCalls(asked.bears())
+        && reported.add(asked.host())) {
       reportBreach(
           now,
           asked.host()
               + " was sent "
               + asked.placed()
               + " calls while it is cold, and "
-              + (int) most(asked.bears())
+              + (int) maxCalls(asked.bears())
               + " are allowed");
     }
   }
 
-  private static double most(double budget) {
+  private static double maxCalls(double budget) {
     return budget + 2 * Math.sqrt(budget) + 2;
   }
 }
--- a/src/main/java/brassbank/sim/check/ColdPlaces.java
+++ b/src/main/java/brassbank/sim/check/ColdHostSlots.java
@@ -7,17 +7,17 @@
  * of its start send it no more attempts than a budget and one each (docs/shares.md has the proof).
  * Counted where they arrive.
  */
-final class ColdPlaces extends Rule {
+final class ColdHostSlots extends Rule {
   /**
    * What proxies take the host's budget for, over what the host knows it to be: they guess how long
    * sessions live and how much they ask. Seen, less one for each proxy: 1.3 where clients came
    * three times as fast as hosts could take them; with a budget that each takes for his own, 3.4.
    */
-  private static final double GUESSED = 2;
+  private static final double ESTIMATE_FACTOR = 2;
 
   private final Checks.RuleParameters figures;
 
-  ColdPlaces(Checks.RuleParameters figures) {
+  ColdHostSlots(Checks.RuleParameters figures) {
     super("a cold host's places, of all proxies together");
     this.figures = figures;
   }
@@ -25,7 +25,7 @@
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.ColdHostAsked asked) {
-      double most = figures.proxies() + GUESSED * asked.bears();
+      double most = figures.proxies() + ESTIMATE_FACTOR * asked.bears();
       if (asked.placed() > most) {
         reportBreach(
             now,
--- a/src/main/java/brassbank/sim/check/Descriptors.java
+++ b/src/main/java/brassbank/sim/check/DescriptorUse.java
@@ -9,22 +9,22 @@
  * A proxy never meets its limit of descriptors, and gives back what it no longer needs: beside two
  * for each connection that stands or waits it holds no more than its probes and its calls need.
  */
-final class Descriptors extends Rule {
+final class DescriptorUse extends Rule {
   /** What is ended may linger for so long. */
-  private static final long LINGERS = 8 * SECOND;
+  private static final long LINGER_MICROS = 8 * SECOND;
 
   /** Idle connections of probes for each host, and a few calls and closings. */
-  private static final int PER_HOST = 4;
+  private static final int DESCRIPTORS_PER_HOST = 4;
 
-  private static final int OTHERS = 70;
+  private static final int BASE_DESCRIPTORS = 70;
 
   private final Checks.RuleParameters figures;
-  private final Map<String, String> open = new HashMap<>();
+  private final Map<String, String> proxyOfFlow = new HashMap<>();
   private final Map<String, Integer> flows = new HashMap<>();
   private final Map<String, Long> overSince = new LinkedHashMap<>();
-  private boolean calm;
+  private boolean faultsAreOver;
 
-  Descriptors(Checks.RuleParameters figures) {
+  DescriptorUse(Checks.RuleParameters figures) {
     super("descriptors within their limits and given back");
     this.figures = figures;
   }
@@ -34,23 +34,23 @@
     if (event instanceof Event.DescriptorsExhausted exhausted) {
       reportBreach(now, exhausted.proxy() + " met its limit: " + exhausted.held());
     } else if (event instanceof Event.FlowSent sent) {
-      open.put(sent.flow(), sent.proxy());
+      proxyOfFlow.put(sent.flow(), sent.proxy());
       flows.merge(sent.proxy(), 1, Integer::sum);
     } else if (event instanceof Event.FlowAnswered answered && !answered.line().startsWith("UP ")) {
-      gone(answered.flow());
+      flowClosed(answered.flow());
     } else if (event instanceof Event.ClientSawEnd end) {
-      gone(end.flow());
+      flowClosed(end.flow());
     } else if (event instanceof Event.ClientLeft left) {
-      gone(left.flow());
+      flowClosed(left.flow());
     } else if (event instanceof Event.ProxyStarted started) {
       overSince.put(started.proxy(), -1L);
     } else if (event instanceof Event.AllFaultsOver) {
-      calm = true;
+      faultsAreOver = true;
     }
   }
 
-  private void gone(String flow) {
-    String proxy = open.remove(flow);
+  private void flowClosed(String flow) {
+    String proxy = proxyOfFlow.remove(flow);
     if (proxy != null) {
       flows.merge(proxy, -1, Integer::sum);
     }
@@ -60,14 +60,21 @@
   void onTick(long now) {
     overSince.replaceAll(
         (proxy, since) -> {
-          int needed = 2 * flows.getOrDefault(proxy, 0) + PER_HOST * figures.hosts() + OTHERS;
-          if (!calm || truth.descriptors(proxy) <= needed) {
+          int needed =
+              2 * flows.getOrDefault(proxy, 0)
+                  + DESCRIPTORS_PER_HOST * figures.hosts()
+                  + BASE_DESCRIPTORS;
+          if (!faultsAreOver || groundTruth.descriptors(proxy) <= needed) {
             return -1L;
           }
-          if (since >= 0 && now - since > LINGERS) {
+          if (since >= 0 && now - since > LINGER_MICROS) {
             reportBreach(
                 now,
-                proxy + " holds " + truth.descriptors(proxy) + " descriptors and needs " + needed);
+                proxy
+                    + " holds "
+                    + groundTruth.descriptors(proxy)
+                    + " descriptors and needs "
+                    + needed);
           }
           return since < 0 ? now : since;
         });
--- a/src/main/java/brassbank/sim/check/CallPace.java
+++ b/src/main/java/brassbank/sim/check/DiscoveryCallRate.java
@@ -8,20 +8,20 @@
  * No proxy calls discovery more than so many times a second, nor all of them together: it handles
  * calls one after another, four to six a second, and turns away who has waited.
  */
-final class CallPace extends Rule {
+final class DiscoveryCallRate extends Rule {
   /** Seen of one proxy whose calls are refused at once: 7. */
-  private static final int EACH_PROXY = 8;
+  private static final int MAX_CALLS_PER_PROXY = 8;
 
   /** Seen at a start of 3 proxies: 12; of 56: 32. */
-  private static final int ALL_FOR_EACH = 4;
+  private static final int MAX_TOTAL_CALLS_PER_PROXY = 4;
 
-  private static final int ALL_BESIDE = 8;
+  private static final int MAX_TOTAL_CALLS_BASE = 8;
 
   private final Checks.RuleParameters figures;
-  private final Map<String, Window> calls = new HashMap<>();
-  private final Window all = new Window();
+  private final Map<String, SlidingWindowCounter> calls = new HashMap<>();
+  private final SlidingWindowCounter allCalls = new SlidingWindowCounter();
 
-  CallPace(Checks.RuleParameters figures) {
+  DiscoveryCallRate(Checks.RuleParameters figures) {
     super("calls a second at discovery");
     this.figures = figures;
   }
@@ -29,10 +29,10 @@
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.ListCalled call) {
-      int own = calls.computeIfAbsent(call.proxy(), p -> new Window()).add(now);
-      int together = all.add(now);
-      int most = ALL_FOR_EACH * figures.proxies() + ALL_BESIDE;
-      if (own > EACH_PROXY) {
+      int own = calls.computeIfAbsent(call.proxy(), p -> new SlidingWindowCounter()).add(now);
+      int together = allCalls.add(now);
+      int most = MAX_TOTAL_CALLS_PER_PROXY * figures.proxies() + MAX_TOTAL_CALLS_BASE;
+      if (own > MAX_CALLS_PER_PROXY) {
         reportBreach(now, call.proxy() + " has called discovery " + own + " times within a second");
       } else if (together > most) {
         reportBreach(
--- a/src/main/java/brassbank/sim/check/DrainsKept.java
+++ b/src/main/java/brassbank/sim/check/DrainRespected.java
@@ -12,20 +12,20 @@
  * is gone. Told is what discovery has written to the proxy, and what it has had to tell for 6 s
  * while it worked and could be reached (4 s after a SIGHUP).
  */
-final class DrainsKept extends Rule {
-  private static final long COUNTS_AS_TOLD = 6 * SECOND;
-  private static final long AFTER_HANGUP = 4 * SECOND;
+final class DrainRespected extends Rule {
+  private static final long ASSUMED_REPORTED_MICROS = 6 * SECOND;
+  private static final long ASSUMED_AFTER_HANGUP_MICROS = 4 * SECOND;
 
   private record Pair(String proxy, String host) {}
 
   private final Checks.RuleParameters figures;
-  private final Map<Pair, Long> toldAt = new HashMap<>();
-  private final Map<String, Long> leavesSince = new LinkedHashMap<>();
+  private final Map<Pair, Long> reportedAt = new HashMap<>();
+  private final Map<String, Long> unavailableSince = new LinkedHashMap<>();
   private final Map<String, Long> startedAt = new LinkedHashMap<>();
   private final Map<String, Long> hungUpAt = new HashMap<>();
   private final Set<String> resumed = new LinkedHashSet<>();
 
-  DrainsKept(Checks.RuleParameters figures) {
+  DrainRespected(Checks.RuleParameters figures) {
     super("nothing to a draining or gone host");
     this.figures = figures;
   }
@@ -34,30 +34,30 @@
   void onEvent(long now, Event event) {
     if (event instanceof Event.ProxyStarted started) {
       startedAt.put(started.proxy(), now);
-      toldAt.keySet().removeIf(pair -> pair.proxy().equals(started.proxy()));
+      reportedAt.keySet().removeIf(pair -> pair.proxy().equals(started.proxy()));
     } else if (event instanceof Event.ProxyHungUp hungUp) {
       hungUpAt.put(hungUp.proxy(), now);
     } else if (event instanceof Event.Listed listed) {
       if (listed.status().equals("SERVING")) {
-        leavesSince.remove(listed.host());
+        unavailableSince.remove(listed.host());
       } else {
-        leavesSince.putIfAbsent(listed.host(), now);
+        unavailableSince.putIfAbsent(listed.host(), now);
       }
     } else if (event instanceof Event.Told told) {
       Pair pair = new Pair(told.proxy(), told.host());
       if (told.status().equals("SERVING")) {
-        toldAt.remove(pair);
+        reportedAt.remove(pair);
       } else {
-        toldAt.putIfAbsent(pair, now);
+        reportedAt.putIfAbsent(pair, now);
       }
     } else if (event instanceof Event.AttemptArrived arrived) {
-      judge(now, arrived);
+      checkAttempt(now, arrived);
     }
   }
 
-  private void judge(long now, Event.AttemptArrived arrived) {
-    Long told = toldAt.get(new Pair(arrived.proxy(), arrived.host()));
-    if (told != null && arrived.firstByteAt() > told + figures.drainGrace() + truth.slack()) {
+  private void checkAttempt(long now, Event.AttemptArrived arrived) {
+    Long told = reportedAt.get(new Pair(arrived.proxy(), arrived.host()));
+    if (told != null && arrived.firstByteAt() > told + figures.drainGrace() + groundTruth.slack()) {
       long late = (arrived.firstByteAt() - told) / MILLI;
       reportBreach(
           now,
@@ -74,19 +74,19 @@
 
   @Override
   void onTick(long now) {
-    leavesSince.forEach(
+    unavailableSince.forEach(
         (host, since) ->
             startedAt.forEach(
                 (proxy, started) -> {
                   long reachable =
-                      Math.max(Math.max(since, started), truth.discoverySoundSince(proxy));
+                      Math.max(Math.max(since, started), groundTruth.discoverySoundSince(proxy));
                   long hungUp = hungUpAt.getOrDefault(proxy, -1L);
                   boolean told =
                       hungUp > reachable
-                          ? now - hungUp >= AFTER_HANGUP
-                          : now - reachable >= COUNTS_AS_TOLD;
+                          ? now - hungUp >= ASSUMED_AFTER_HANGUP_MICROS
+                          : now - reachable >= ASSUMED_REPORTED_MICROS;
                   if (told) {
-                    toldAt.putIfAbsent(new Pair(proxy, host), now);
+                    reportedAt.putIfAbsent(new Pair(proxy, host), now);
                   }
                 }));
   }
--- a/src/main/java/brassbank/sim/check/DeathsNoticed.java
+++ b/src/main/java/brassbank/sim/check/FailureDetection.java
@@ -7,32 +7,32 @@
 import java.util.Set;
 
 /** Whoever does not run is not there in each view of those that do, within a time. */
-final class DeathsNoticed extends Rule {
+final class FailureDetection extends Rule {
   /** Seen at 14 members: 2.9 s in 4,000 crashes. */
-  private static final long WITHIN = 8 * SECOND;
+  private static final long DETECTION_MICROS = 8 * SECOND;
 
   /** One that is left alone finds out about all others by itself; seen for 13: 13.5 s. */
-  private static final long EACH = SECOND;
+  private static final long MICROS_PER_FAILURE = SECOND;
 
   private final Checks.RuleParameters figures;
-  private final Views views = new Views();
+  private final ViewTracker views = new ViewTracker();
   private final Map<String, Long> downSince = new HashMap<>();
   private final Map<String, Long> upSince = new HashMap<>();
-  private final Set<String> told = new HashSet<>();
+  private final Set<String> reported = new HashSet<>();
 
-  DeathsNoticed(Checks.RuleParameters figures) {
+  FailureDetection(Checks.RuleParameters figures) {
     super("whoever is dead is dead in each view");
     this.figures = figures;
   }
 
   @Override
   void onEvent(long now, Event event) {
-    views.see(event);
+    views.onEvent(event);
   }
 
   @Override
   void onTick(long now) {
-    Set<String> running = truth.runningMembers();
+    Set<String> running = groundTruth.runningMembers();
     for (int i = 0; i < figures.proxies(); i++) {
       String name = "n" + i;
       if (running.contains(name)) {
@@ -43,19 +43,19 @@
         downSince.putIfAbsent(name, now);
       }
     }
-    views.last().forEach((viewer, view) -> judge(now, viewer, view));
+    views.latest().forEach((viewer, view) -> checkView(now, viewer, view));
   }
 
-  private void judge(long now, String viewer, Event.ViewSeen view) {
+  private void checkView(long now, String viewer, Event.ViewSeen view) {
     Long up = upSince.get(viewer);
     if (up == null || view.displaced()) {
       return;
     }
-    long since = Math.max(up, truth.proxyCalmSince(viewer));
-    long within = WITHIN + truth.slack() + EACH * downSince.size();
+    long since = Math.max(up, groundTruth.proxyCalmSince(viewer));
+    long within = DETECTION_MICROS + groundTruth.slack() + MICROS_PER_FAILURE * downSince.size();
     for (String name : view.liveMembers()) {
       Long down = downSince.get(name);
-      if (down != null && now - Math.max(down, since) > within && told.add(viewer + name)) {
+      if (down != null && now - Math.max(down, since) > within && reported.add(viewer + name)) {
         reportBreach(now, viewer + " takes " + name + " for there, which is gone since " + down);
       }
     }
--- a/src/main/java/brassbank/sim/check/HostPace.java
+++ b/src/main/java/brassbank/sim/check/HostRequestRate.java
@@ -10,41 +10,41 @@
  * since a flow that has failed at a host may have it asked, and one that goes there needs a
  * connection. Flows that waited for a host may all go there at once when it is back.
  */
-final class HostPace extends Rule {
+final class HostRequestRate extends Rule {
   /** A flow waits for a host no longer than its deadline. */
-  private static final long WAITS = 5 * SECOND;
+  private static final long MAX_WAIT_MICROS = 5 * SECOND;
 
   /** What is counted, and by what it is bounded. */
-  enum Of {
+  enum Operation {
     /** Seen of one proxy in a second, without flows that fail: 3. */
     PROBES("probes", "was asked", 4, 0.5, SECOND),
-    CONNECTS("connects", "was connected to", 8, 1, WAITS),
-    SETUPS("set-ups", "was sent flows", 4, 1, WAITS);
+    CONNECTS("connects", "was connected to", 8, 1, MAX_WAIT_MICROS),
+    SETUPS("set-ups", "was sent flows", 4, 1, MAX_WAIT_MICROS);
 
     private final String name;
-    private final String done;
-    private final int eachProxy;
-    private final double eachFlow;
-    private final long meanwhile;
+    private final String verb;
+    private final int perProxy;
+    private final double perFlow;
+    private final long flowWindowMicros;
 
-    Of(String name, String done, int eachProxy, double eachFlow, long meanwhile) {
+    Operation(String name, String done, int eachProxy, double eachFlow, long meanwhile) {
       this.name = name;
-      this.done = done;
-      this.eachProxy = eachProxy;
-      this.eachFlow = eachFlow;
-      this.meanwhile = meanwhile;
+      this.verb = done;
+      this.perProxy = eachProxy;
+      this.perFlow = eachFlow;
+      this.flowWindowMicros = meanwhile;
     }
   }
 
-  private final Of of;
+  private final Operation operation;
   private final Checks.RuleParameters figures;
-  private final Map<String, Window> counts = new HashMap<>();
-  private final Window flows;
+  private final Map<String, SlidingWindowCounter> counts = new HashMap<>();
+  private final SlidingWindowCounter flows;
 
-  HostPace(Of of, Checks.RuleParameters figures) {
+  HostRequestRate(Operation of, Checks.RuleParameters figures) {
     super(of.name + " a second at one stream host");
-    this.of = of;
-    flows = new Window(of.meanwhile);
+    this.operation = of;
+    flows = new SlidingWindowCounter(of.flowWindowMicros);
     this.figures = figures;
   }
 
@@ -52,27 +52,28 @@
   void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent) {
       flows.add(now);
-    } else if (of == Of.PROBES && event instanceof Event.ProbeArrived probe) {
+    } else if (operation == Operation.PROBES && event instanceof Event.ProbeArrived probe) {
       // What was held up on its way, and arrives all at once, is not counted.
       if (now - probe.calmSince() > SECOND) {
         count(now, probe.host(), probe.proxy());
       }
-    } else if (of == Of.CONNECTS && event instanceof Event.HostConnected connected) {
+    } else if (operation == Operation.CONNECTS && event instanceof Event.HostConnected connected) {
       count(now, connected.host(), connected.proxy());
-    } else if (of == Of.SETUPS && event instanceof Event.AttemptArrived attempt) {
+    } else if (operation == Operation.SETUPS && event instanceof Event.AttemptArrived attempt) {
       count(now, attempt.host(), attempt.proxy());
     }
   }
 
   private void count(long now, String host, String proxy) {
-    int count = counts.computeIfAbsent(host, h -> new Window()).add(now);
-    int most = of.eachProxy * figures.proxies() + (int) (of.eachFlow * flows.count(now));
+    int count = counts.computeIfAbsent(host, h -> new SlidingWindowCounter()).add(now);
+    int most =
+        operation.perProxy * figures.proxies() + (int) (operation.perFlow * flows.count(now));
     if (count > most) {
       reportBreach(
           now,
           host
               + " "
-              + of.done
+              + operation.verb
               + " "
               + count
               + " times within a second, last by "
--- a/src/main/java/brassbank/sim/check/NobodyLeft.java
+++ b/src/main/java/brassbank/sim/check/NoOrphanedClient.java
@@ -9,65 +9,65 @@
  * No client is left that no proxy holds and no one has told: when a proxy has ended, each of its
  * clients sees the end of its connection, at the latest with its next line, which comes every 2 s.
  */
-final class NobodyLeft extends Rule {
-  private static final long WITHIN = 3 * SECOND;
+final class NoOrphanedClient extends Rule {
+  private static final long MAX_DELAY_MICROS = 3 * SECOND;
 
   /** Which proxy each flow was sent to. */
-  private final Map<String, String> sent = new HashMap<>();
+  private final Map<String, String> proxyOfFlow = new HashMap<>();
 
   /** Flows that stand, with their proxies; who waits for an answer knows himself how long. */
-  private final Map<String, String> open = new HashMap<>();
+  private final Map<String, String> proxyOfServedFlow = new HashMap<>();
 
   /** Those whose proxy has ended, and when. */
-  private final Map<String, Long> left = new LinkedHashMap<>();
+  private final Map<String, Long> orphanedAt = new LinkedHashMap<>();
 
-  NobodyLeft() {
+  NoOrphanedClient() {
     super("no client is left that no proxy holds");
   }
 
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent flow) {
-      sent.put(flow.flow(), flow.proxy());
+      proxyOfFlow.put(flow.flow(), flow.proxy());
     } else if (event instanceof Event.ClientServed client) {
-      open.put(client.flow(), sent.get(client.flow()));
+      proxyOfServedFlow.put(client.flow(), proxyOfFlow.get(client.flow()));
     } else if (event instanceof Event.ClientSawEnd end) {
-      gone(end.flow());
+      flowClosed(end.flow());
     } else if (event instanceof Event.ClientLeft client) {
-      gone(client.flow());
+      flowClosed(client.flow());
     } else if (event instanceof Event.ProxyKilled killed && !killed.overdue()) {
-      ended(now, killed.proxy());
+      proxyEnded(now, killed.proxy());
     } else if (event instanceof Event.ProxyExited exited) {
-      ended(now, exited.proxy());
+      proxyEnded(now, exited.proxy());
     }
   }
 
-  private void gone(String flow) {
-    sent.remove(flow);
-    open.remove(flow);
-    left.remove(flow);
+  private void flowClosed(String flow) {
+    proxyOfFlow.remove(flow);
+    proxyOfServedFlow.remove(flow);
+    orphanedAt.remove(flow);
   }
 
-  private void ended(long now, String proxy) {
-    open.forEach(
+  private void proxyEnded(long now, String proxy) {
+    proxyOfServedFlow.forEach(
         (flow, at) -> {
           if (at.equals(proxy)) {
-            left.put(flow, now);
+            orphanedAt.put(flow, now);
           }
         });
   }
 
   @Override
   void onTick(long now) {
-    left.forEach(
+    orphanedAt.forEach(
         (flow, since) -> {
-          long from = Math.max(since, truth.clientCalmSince(flow));
-          if (now - from > WITHIN + truth.slack()) {
+          long from = Math.max(since, groundTruth.clientCalmSince(flow));
+          if (now - from > MAX_DELAY_MICROS + groundTruth.slack()) {
             reportBreach(
                 now,
                 flow
                     + " still stands at "
-                    + open.get(flow)
+                    + proxyOfServedFlow.get(flow)
                     + ", which ended at "
                     + since / 1e6
                     + " s");
--- a/src/main/java/brassbank/sim/check/NoFailure.java
+++ b/src/main/java/brassbank/sim/check/NoTaskFailure.java
@@ -3,8 +3,8 @@
 import brassbank.sim.event.Event;
 
 /** No part of the proxy fails: what its loop would only log here ends the run. */
-final class NoFailure extends Rule {
-  NoFailure() {
+final class NoTaskFailure extends Rule {
+  NoTaskFailure() {
     super("no task of the proxy fails");
   }
 
--- a/src/main/java/brassbank/sim/check/ConnectionsKept.java
+++ b/src/main/java/brassbank/sim/check/NoUnannouncedDisconnect.java
@@ -10,45 +10,45 @@
  * No standing connection is cut off without {@code MOVE} while its stream host still answers, by
  * whatever the proxy does, its planned stop among that.
  */
-final class ConnectionsKept extends Rule {
-  private final Map<String, String> standing = new HashMap<>();
+final class NoUnannouncedDisconnect extends Rule {
+  private final Map<String, String> openFlows = new HashMap<>();
   private final Set<String> endedByHost = new HashSet<>();
   private final Set<String> killed = new HashSet<>();
 
-  ConnectionsKept() {
+  NoUnannouncedDisconnect() {
     super("no connection cut off without MOVE");
   }
 
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent sent) {
-      standing.put(sent.flow(), sent.proxy());
+      openFlows.put(sent.flow(), sent.proxy());
     } else if (event instanceof Event.HostEnded ended && ended.stood()) {
       endedByHost.add(ended.flow());
     } else if (event instanceof Event.ClientLeft left) {
-      standing.remove(left.flow());
+      openFlows.remove(left.flow());
     } else if (event instanceof Event.ProxyKilled proxy) {
-      standing.forEach(
+      openFlows.forEach(
           (flow, at) -> {
             if (at.equals(proxy.proxy())) {
               killed.add(flow);
             }
           });
     } else if (event instanceof Event.ClientSawEnd end) {
-      String proxy = standing.remove(end.flow());
+      String proxy = openFlows.remove(end.flow());
       if (end.served()
           && !end.moved()
           && proxy != null
           && !endedByHost.contains(end.flow())
           && !killed.contains(end.flow())
-          && !disturbed(now, end.flow())) {
+          && !wasDisturbed(now, end.flow())) {
         reportBreach(now, end.flow() + " was cut off by " + proxy + " without MOVE");
       }
     }
   }
 
-  private boolean disturbed(long now, String flow) {
-    long calm = Math.max(truth.clientCalmSince(flow), truth.hostCalmSince(flow));
+  private boolean wasDisturbed(long now, String flow) {
+    long calm = Math.max(groundTruth.clientCalmSince(flow), groundTruth.hostCalmSince(flow));
     return now - calm < 7 * SECOND;
   }
 }
--- a/src/main/java/brassbank/sim/check/PlannedStop.java
+++ b/src/main/java/brassbank/sim/check/PlannedShutdown.java
@@ -3,8 +3,8 @@
 import brassbank.sim.event.Event;
 
 /** A planned stop is done before the kill, and ends with status 0. */
-final class PlannedStop extends Rule {
-  PlannedStop() {
+final class PlannedShutdown extends Rule {
+  PlannedShutdown() {
     super("a planned stop is done before the kill");
   }
 
--- a/src/main/java/brassbank/sim/check/AnsweredAtOnce.java
+++ b/src/main/java/brassbank/sim/check/PromptFinalAnswer.java
@@ -10,18 +10,18 @@
  * answer is kept back. (That nothing is kept back before that cannot be seen from outside: a flow
  * may wait for a stream host with room.)
  */
-final class AnsweredAtOnce extends Rule {
+final class PromptFinalAnswer extends Rule {
   /** Both ways of the two connections. */
-  private static final long WAYS = 10 * MILLI;
+  private static final long TRANSIT_MICROS = 10 * MILLI;
 
-  private record Over(String proxy, long at) {}
+  private record Exhausted(String proxy, long at) {}
 
   private final Checks.RuleParameters figures;
   private final Map<String, Integer> attempts = new HashMap<>();
   private final Map<String, String> proxies = new HashMap<>();
-  private final Map<String, Over> over = new LinkedHashMap<>();
+  private final Map<String, Exhausted> exhausted = new LinkedHashMap<>();
 
-  AnsweredAtOnce(Checks.RuleParameters figures) {
+  PromptFinalAnswer(Checks.RuleParameters figures) {
     super("what is given up is answered at once");
     this.figures = figures;
   }
@@ -32,9 +32,9 @@
       attempts.merge(arrived.flow(), 1, Integer::sum);
       proxies.put(arrived.flow(), arrived.proxy());
     } else if (event instanceof Event.AttemptAnswered answered && answered.ends()) {
-      failed(now, answered.flow());
+      attemptFailed(now, answered.flow());
     } else if (event instanceof Event.ProxyEnded ended) {
-      failed(now, ended.flow());
+      attemptFailed(now, ended.flow());
     } else if (event instanceof Event.FlowAnswered answered) {
       forget(answered.flow());
     } else if (event instanceof Event.ClientLeft left) {
@@ -42,33 +42,34 @@
     } else if (event instanceof Event.ClientSawEnd end) {
       forget(end.flow());
     } else if (event instanceof Event.ProxyKilled killed) {
-      over.values().removeIf(o -> o.proxy().equals(killed.proxy()));
+      exhausted.values().removeIf(o -> o.proxy().equals(killed.proxy()));
     }
   }
 
-  private void failed(long now, String flow) {
+  private void attemptFailed(long now, String flow) {
     if (attempts.getOrDefault(flow, 0) >= figures.maxAttempts()) {
-      over.putIfAbsent(flow, new Over(proxies.get(flow), now));
+      exhausted.putIfAbsent(flow, new Exhausted(proxies.get(flow), now));
     }
   }
 
   private void forget(String flow) {
     attempts.remove(flow);
     proxies.remove(flow);
-    over.remove(flow);
+    exhausted.remove(flow);
   }
 
   @Override
   void onTick(long now) {
-    over.forEach(
+    exhausted.forEach(
         (flow, given) -> {
           long from =
               Math.max(
                   given.at(),
                   Math.max(
-                      truth.proxyCalmSince(given.proxy()),
-                      Math.max(truth.clientCalmSince(flow), truth.hostCalmSince(flow))));
-          if (now > from + truth.slack() + WAYS) {
+                      groundTruth.proxyCalmSince(given.proxy()),
+                      Math.max(
+                          groundTruth.clientCalmSince(flow), groundTruth.hostCalmSince(flow))));
+          if (now > from + groundTruth.slack() + TRANSIT_MICROS) {
             reportBreach(now, flow + " has failed " + attempts.get(flow) + " times and waits");
           }
         });
--- a/src/main/java/brassbank/sim/check/Recovery.java
+++ b/src/main/java/brassbank/sim/check/Recovery.java
@@ -13,23 +13,23 @@
    * Up to so many hosts that is enough for each of them. The more there are, the likelier chance
    * leaves one out: of 60 hosts with 7 attempts each, it did on every second night.
    */
-  private static final double FEW_HOSTS = 12;
+  private static final double SMALL_FLEET_HOSTS = 12;
 
   /** A host that serves for this long must have been chosen. */
-  private static final long IN_USE_WITHIN = 14 * SECOND;
+  private static final long IN_USE_MICROS = 14 * SECOND;
 
   private final Checks.RuleParameters figures;
 
   /** With so many attempts for each host, one that got none was left out. */
-  private static final int ENOUGH = 8;
+  private static final int MIN_ATTEMPTS_PER_HOST = 8;
 
   /** A fleet that is asked for less of what it can do has room for everybody. */
-  private static final double ROOM = 0.5;
+  private static final double MAX_LOAD = 0.5;
 
   private int attempts;
-  private boolean fleetHadRoom = true;
-  private final Set<String> used = new HashSet<>();
-  private long soundFrom = Long.MAX_VALUE;
+  private boolean fleetHadCapacity = true;
+  private final Set<String> usedHosts = new HashSet<>();
+  private long recoveredFrom = Long.MAX_VALUE;
 
   Recovery(Checks.RuleParameters figures) {
     super("all sound again after the last fault");
@@ -39,32 +39,35 @@
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.AllFaultsOver) {
-      soundFrom = now + figures.recovery();
-    } else if (event instanceof Event.ClientGaveUp gaveUp && gaveUp.cameAt() >= soundFrom) {
-      if (!figures.descriptorsAreScarce() && figures.demand() < ROOM && fleetHadRoom) {
+      recoveredFrom = now + figures.recovery();
+    } else if (event instanceof Event.ClientGaveUp gaveUp && gaveUp.cameAt() >= recoveredFrom) {
+      if (!figures.descriptorsAreScarce() && figures.demand() < MAX_LOAD && fleetHadCapacity) {
         reportBreach(now, gaveUp.client() + " was not served");
       }
-    } else if (event instanceof Event.AttemptArrived arrived && now >= soundFrom) {
-      used.add(arrived.host());
+    } else if (event instanceof Event.AttemptArrived arrived && now >= recoveredFrom) {
+      usedHosts.add(arrived.host());
       attempts++;
     }
   }
 
   @Override
   void onTick(long now) {
-    if (now >= soundFrom) {
-      fleetHadRoom &= truth.fleetLoad() < ROOM;
+    if (now >= recoveredFrom) {
+      fleetHadCapacity &= groundTruth.fleetLoad() < MAX_LOAD;
     }
   }
 
   @Override
   void onEnd(long now) {
-    if (now - soundFrom < IN_USE_WITHIN
-        || attempts < ENOUGH * figures.hosts() * Math.max(1, figures.hosts() / FEW_HOSTS)) {
+    if (now - recoveredFrom < IN_USE_MICROS
+        || attempts
+            < MIN_ATTEMPTS_PER_HOST
+                * figures.hosts()
+                * Math.max(1, figures.hosts() / SMALL_FLEET_HOSTS)) {
       return;
     }
-    for (String host : truth.usableHosts(now - soundFrom)) {
-      if (!used.contains(host)) {
+    for (String host : groundTruth.usableHosts(now - recoveredFrom)) {
+      if (!usedHosts.contains(host)) {
         reportBreach(now, host + " serves and was sent nothing");
       }
     }
--- a/src/main/java/brassbank/sim/check/Rule.java
+++ b/src/main/java/brassbank/sim/check/Rule.java
@@ -11,7 +11,7 @@
 
   private final String name;
   private Checks checks;
-  GroundTruth truth;
+  GroundTruth groundTruth;
 
   /** {@code name} is what reports and tables call it. */
   Rule(String name) {
@@ -24,7 +24,7 @@
 
   final void attach(Checks by, GroundTruth known) {
     checks = by;
-    truth = known;
+    groundTruth = known;
   }
 
   /** An event has happened. */
--- a/src/main/java/brassbank/sim/check/SilenceNoticed.java
+++ b/src/main/java/brassbank/sim/check/SilenceDetection.java
@@ -8,38 +8,38 @@
  * A connection on which nothing comes back, whatever the cause behind the proxy, is ended or moved
  * within 7 s.
  */
-final class SilenceNoticed extends Rule {
-  private static final long WITHIN = 7 * SECOND;
+final class SilenceDetection extends Rule {
+  private static final long MAX_SILENCE_MICROS = 7 * SECOND;
 
-  private static final class Standing {
+  private static final class MonitoredFlow {
     final String proxy;
-    long askedAt = -1;
+    long unansweredSince = -1;
 
-    Standing(String proxy) {
+    MonitoredFlow(String proxy) {
       this.proxy = proxy;
     }
   }
 
-  private final Map<String, Standing> flows = new LinkedHashMap<>();
+  private final Map<String, MonitoredFlow> flows = new LinkedHashMap<>();
 
-  SilenceNoticed() {
+  SilenceDetection() {
     super("a silent connection is moved within 7 s");
   }
 
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent sent) {
-      flows.put(sent.flow(), new Standing(sent.proxy()));
+      flows.put(sent.flow(), new MonitoredFlow(sent.proxy()));
     } else if (event instanceof Event.LineSent sent && sent.byClient()) {
-      Standing standing = flows.get(sent.flow());
-      if (standing != null && standing.askedAt < 0) {
-        standing.askedAt = now;
+      MonitoredFlow standing = flows.get(sent.flow());
+      if (standing != null && standing.unansweredSince < 0) {
+        standing.unansweredSince = now;
       }
     } else if (event instanceof Event.LineArrived arrived && !arrived.byClient()) {
-      Standing standing = flows.get(arrived.flow());
+      MonitoredFlow standing = flows.get(arrived.flow());
       if (standing != null) {
         // More may be unanswered still: then the client's next line begins the count again.
-        standing.askedAt = -1;
+        standing.unansweredSince = -1;
       }
     } else if (event instanceof Event.ClientSawEnd end) {
       flows.remove(end.flow());
@@ -54,15 +54,19 @@
   void onTick(long now) {
     flows.forEach(
         (flow, standing) -> {
-          if (standing.askedAt < 0 || now - standing.askedAt <= WITHIN) {
+          if (standing.unansweredSince < 0
+              || now - standing.unansweredSince <= MAX_SILENCE_MICROS) {
             return;
           }
           long from =
               Math.max(
-                  standing.askedAt,
-                  Math.max(truth.clientCalmSince(flow), truth.proxyCalmSince(standing.proxy)));
-          if (now - from > WITHIN + truth.slack()) {
-            reportBreach(now, flow + " has heard nothing since " + standing.askedAt / 1e6 + " s");
+                  standing.unansweredSince,
+                  Math.max(
+                      groundTruth.clientCalmSince(flow),
+                      groundTruth.proxyCalmSince(standing.proxy)));
+          if (now - from > MAX_SILENCE_MICROS + groundTruth.slack()) {
+            reportBreach(
+                now, flow + " has heard nothing since " + standing.unansweredSince / 1e6 + " s");
           }
         });
   }
--- a/src/main/java/brassbank/sim/check/OneDoor.java
+++ b/src/main/java/brassbank/sim/check/SingleAcceptor.java
@@ -8,19 +8,19 @@
  * Of the processes that hold a proxy's listening socket one at a time takes connections: none
  * before its yes, and the one before it none after that.
  */
-final class OneDoor extends Rule {
-  private final Map<String, Long> holders = new HashMap<>();
+final class SingleAcceptor extends Rule {
+  private final Map<String, Long> acceptors = new HashMap<>();
 
-  OneDoor() {
+  SingleAcceptor() {
     super("one process takes the connections");
   }
 
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.DoorHeld held) {
-      holders.put(held.proxy(), held.process());
+      acceptors.put(held.proxy(), held.process());
     } else if (event instanceof Event.DoorUsed used) {
-      Long holder = holders.get(used.proxy());
+      Long holder = acceptors.get(used.proxy());
       if (holder == null || holder != used.process()) {
         reportBreach(
             now,
--- a/src/main/java/brassbank/sim/check/OneAttempt.java
+++ b/src/main/java/brassbank/sim/check/SingleAttemptInFlight.java
@@ -5,28 +5,28 @@
 import java.util.Map;
 
 /** No flow has two attempts out, or one beside a connection that stands. */
-final class OneAttempt extends Rule {
+final class SingleAttemptInFlight extends Rule {
   /** Where each flow's attempt is out, or its connection stands. */
-  private final Map<String, String> out = new HashMap<>();
+  private final Map<String, String> hostOfFlow = new HashMap<>();
 
-  OneAttempt() {
+  SingleAttemptInFlight() {
     super("never two attempts out");
   }
 
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.AttemptArrived arrived && !arrived.givenUp()) {
-      String other = out.put(arrived.flow(), arrived.host());
+      String other = hostOfFlow.put(arrived.flow(), arrived.host());
       if (other != null) {
         reportBreach(
             now, arrived.flow() + " is sent to " + arrived.host() + " while out at " + other);
       }
     } else if (event instanceof Event.AttemptAnswered answered && answered.ends()) {
-      out.remove(answered.flow(), answered.host());
+      hostOfFlow.remove(answered.flow(), answered.host());
     } else if (event instanceof Event.HostEnded ended) {
-      out.remove(ended.flow(), ended.host());
+      hostOfFlow.remove(ended.flow(), ended.host());
     } else if (event instanceof Event.ProxyEnded ended) {
-      out.remove(ended.flow(), ended.host());
+      hostOfFlow.remove(ended.flow(), ended.host());
     }
   }
 }
--- a/src/main/java/brassbank/sim/check/Window.java
+++ b/src/main/java/brassbank/sim/check/SlidingWindowCounter.java
@@ -4,21 +4,21 @@
 import java.util.Deque;
 
 /** How many things have happened lately. */
-final class Window {
+final class SlidingWindowCounter {
   private static final long SECOND = 1_000_000;
 
-  private final long length;
+  private final long lengthMicros;
 
   private final Deque<Long> times = new ArrayDeque<>();
 
   /** Within the last second. */
-  Window() {
+  SlidingWindowCounter() {
     this(SECOND);
   }
 
   /** Within so many microseconds. */
-  Window(long length) {
-    this.length = length;
+  SlidingWindowCounter(long length) {
+    this.lengthMicros = length;
   }
 
   /** One more has happened; how many that makes. */
@@ -28,7 +28,7 @@
   }
 
   int count(long now) {
-    while (!times.isEmpty() && times.peek() <= now - length) {
+    while (!times.isEmpty() && times.peek() <= now - lengthMicros) {
       times.remove();
     }
     return times.size();
--- a/src/main/java/brassbank/sim/check/StandbyEmpty.java
+++ b/src/main/java/brassbank/sim/check/StandbyDrained.java
@@ -7,58 +7,58 @@
 import java.util.Set;
 
 /** Four seconds after the call for standby a proxy holds no client, until it is called back. */
-final class StandbyEmpty extends Rule {
-  private static final long WITHIN = 4 * SECOND;
+final class StandbyDrained extends Rule {
+  private static final long DRAIN_MICROS = 4 * SECOND;
 
   /** Which proxy a flow was sent to. */
-  private final Map<String, String> proxies = new HashMap<>();
+  private final Map<String, String> proxyOfFlow = new HashMap<>();
 
   private final Set<String> served = new HashSet<>();
-  private final Map<String, Long> standby = new HashMap<>();
+  private final Map<String, Long> standbySince = new HashMap<>();
 
-  StandbyEmpty() {
+  StandbyDrained() {
     super("a proxy on standby holds no client");
   }
 
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent sent) {
-      proxies.put(sent.flow(), sent.proxy());
+      proxyOfFlow.put(sent.flow(), sent.proxy());
     } else if (event instanceof Event.ClientServed client) {
       served.add(client.flow());
     } else if (event instanceof Event.ClientSawEnd end) {
-      gone(end.flow());
+      flowClosed(end.flow());
     } else if (event instanceof Event.ClientLeft left) {
-      gone(left.flow());
+      flowClosed(left.flow());
     } else if (event instanceof Event.ProxyOnStandby proxy) {
-      standby.put(proxy.proxy(), now);
+      standbySince.put(proxy.proxy(), now);
     } else if (event instanceof Event.ProxyCalledBack proxy) {
-      standby.remove(proxy.proxy());
+      standbySince.remove(proxy.proxy());
     } else if (event instanceof Event.ProxyKilled proxy) {
-      standby.remove(proxy.proxy());
+      standbySince.remove(proxy.proxy());
     } else if (event instanceof Event.ProxyExited proxy) {
-      standby.remove(proxy.proxy());
+      standbySince.remove(proxy.proxy());
     }
   }
 
-  private void gone(String flow) {
-    proxies.remove(flow);
+  private void flowClosed(String flow) {
+    proxyOfFlow.remove(flow);
     served.remove(flow);
   }
 
   @Override
   void onTick(long now) {
-    if (standby.isEmpty()) {
+    if (standbySince.isEmpty()) {
       return;
     }
     for (String flow : served) {
-      String proxy = proxies.get(flow);
-      Long since = standby.get(proxy);
-      if (since == null || now - since <= WITHIN) {
+      String proxy = proxyOfFlow.get(flow);
+      Long since = standbySince.get(proxy);
+      if (since == null || now - since <= DRAIN_MICROS) {
         continue;
       }
-      long calm = Math.max(truth.clientCalmSince(flow), truth.proxyCalmSince(proxy));
-      if (now - Math.max(since, calm) > WITHIN + truth.slack()) {
+      long calm = Math.max(groundTruth.clientCalmSince(flow), groundTruth.proxyCalmSince(proxy));
+      if (now - Math.max(since, calm) > DRAIN_MICROS + groundTruth.slack()) {
         reportBreach(
             now, flow + " is held by " + proxy + ", on standby since " + since / 1e6 + " s");
       }
--- a/src/main/java/brassbank/sim/check/SubsetCostsNobody.java
+++ b/src/main/java/brassbank/sim/check/SubsetAvailability.java
@@ -11,36 +11,38 @@
  * while most hosts of the proxy's zone have served for a while and have room: a subset costs nobody
  * his place. It holds where no fault is on; what faults do to a proxy is other rules' business.
  */
-final class SubsetCostsNobody extends Rule {
+final class SubsetAvailability extends Rule {
   /** After a fault a proxy may take so long to know its hosts again. */
-  private static final long KNOWS = 8 * SECOND;
+  private static final long RECOVERY_MICROS = 8 * SECOND;
 
   /** A heavy flow does not go to a host that may still be cold. */
-  private static final long WARM = 25 * SECOND;
+  private static final long WARM_UP_MICROS = 25 * SECOND;
 
   /** What a proxy that was called away or told to stop refuses is none of a subset's. */
-  private static final long LEFT = 10 * SECOND;
+  private static final long DRAIN_MICROS = 10 * SECOND;
 
   private final Checks.RuleParameters figures;
-  private final Calm calm = new Calm(KNOWS);
-  private final Set<String> tried = new HashSet<>();
-  private final Map<String, String> proxyOf = new HashMap<>();
-  private final Map<String, Long> left = new HashMap<>();
+  private final FaultFreePeriod faultFree = new FaultFreePeriod(RECOVERY_MICROS);
+  private final Set<String> attempted = new HashSet<>();
+  private final Map<String, String> proxyOfFlow = new HashMap<>();
+  private final Map<String, Long> drainingSince = new HashMap<>();
 
-  SubsetCostsNobody(Checks.RuleParameters figures) {
+  SubsetAvailability(Checks.RuleParameters figures) {
     super("a subset costs nobody his place");
     this.figures = figures;
   }
 
   @Override
   void onEvent(long now, Event event) {
-    calm.see(now, event);
+    faultFree.onEvent(now, event);
     if (event instanceof Event.FlowSent sent) {
-      proxyOf.put(sent.flow(), sent.proxy());
+      proxyOfFlow.put(sent.flow(), sent.proxy());
     } else if (event instanceof Event.AttemptArrived attempt) {
-      boolean first = tried.add(attempt.flow());
-      String zone = truth.zone(attempt.proxy());
-      if (first && !zone.equals(truth.zone(attempt.host())) && room(now, attempt.proxy())) {
+      boolean first = attempted.add(attempt.flow());
+      String zone = groundTruth.zone(attempt.proxy());
+      if (first
+          && !zone.equals(groundTruth.zone(attempt.host()))
+          && hasCapacity(now, attempt.proxy())) {
         reportBreach(
             now,
             attempt.flow()
@@ -51,21 +53,21 @@
                 + ", where most hosts have room");
       }
     } else if (event instanceof Event.FlowAnswered answer && answer.line().startsWith("BUSY")) {
-      String proxy = proxyOf.get(answer.flow());
-      boolean refused = !tried.contains(answer.flow()) && !figures.descriptorsAreScarce();
-      if (refused && proxy != null && room(now, proxy)) {
+      String proxy = proxyOfFlow.get(answer.flow());
+      boolean refused = !attempted.contains(answer.flow()) && !figures.descriptorsAreScarce();
+      if (refused && proxy != null && hasCapacity(now, proxy)) {
         reportBreach(now, answer.flow() + " is refused by " + proxy + ", whose hosts have room");
       }
     } else if (event instanceof Event.ProxyOnStandby proxy) {
-      left.put(proxy.proxy(), now);
+      drainingSince.put(proxy.proxy(), now);
     } else if (event instanceof Event.ProxyTerminated proxy) {
-      left.put(proxy.proxy(), now);
+      drainingSince.put(proxy.proxy(), now);
     }
   }
 
-  private boolean room(long now, String proxy) {
-    return calm.is(now)
-        && now - left.getOrDefault(proxy, -LEFT) >= LEFT
-        && truth.zoneHasCapacity(proxy, WARM);
+  private boolean hasCapacity(long now, String proxy) {
+    return faultFree.isActive(now)
+        && now - drainingSince.getOrDefault(proxy, -DRAIN_MICROS) >= DRAIN_MICROS
+        && groundTruth.zoneHasCapacity(proxy, WARM_UP_MICROS);
   }
 }
--- a/src/main/java/brassbank/sim/check/FewAsk.java
+++ b/src/main/java/brassbank/sim/check/SubsetFanIn.java
@@ -9,46 +9,47 @@
  * those that hold sessions there or have just tried to. It holds where nothing is wrong: while
  * views differ, or hosts have no room, more ask (docs/subsets.md has the bound).
  */
-final class FewAsk extends Rule {
+final class SubsetFanIn extends Rule {
   /** Hosts that a proxy has at least, by and large: more ask where there are few. */
-  private static final int HOSTS = 8;
+  private static final int MIN_HOSTS_PER_PROXY = 8;
 
-  private static final long WITHIN = 2 * SECOND;
+  private static final long WINDOW_MICROS = 2 * SECOND;
 
   /** Whoever has had to do with a host may ask it once more. */
-  private static final long AFTER = 4 * SECOND;
+  private static final long RECENT_USE_MICROS = 4 * SECOND;
 
   /** A proxy that missed room looks further for so long. */
-  private static final long NARROWED = 12 * SECOND;
+  private static final long WIDENED_MICROS = 12 * SECOND;
 
   /** A host that may still be cold has no room but for its places. */
-  private static final long WARM = 25 * SECOND;
+  private static final long WARM_UP_MICROS = 25 * SECOND;
 
   private final Checks.RuleParameters figures;
-  private final Calm calm;
-  private final Sessions sessions = new Sessions();
-  private final Map<String, Map<String, Long>> asked = new HashMap<>();
-  private long fullAt;
+  private final FaultFreePeriod faultFree;
+  private final SessionTracker sessions = new SessionTracker();
+  private final Map<String, Map<String, Long>> probers = new HashMap<>();
+  private long lastShortageAt;
 
-  FewAsk(Checks.RuleParameters figures) {
+  SubsetFanIn(Checks.RuleParameters figures) {
     super("a host is asked by few, with subsets");
     this.figures = figures;
-    calm = new Calm(figures.recovery());
+    faultFree = new FaultFreePeriod(figures.recovery());
   }
 
   @Override
   void onEvent(long now, Event event) {
-    calm.see(now, event);
-    sessions.see(now, event);
+    faultFree.onEvent(now, event);
+    sessions.onEvent(now, event);
     if (event instanceof Event.ProbeArrived probe && now - probe.calmSince() > SECOND) {
-      Map<String, Long> by = asked.computeIfAbsent(probe.host(), h -> new HashMap<>());
-      by.values().removeIf(at -> at <= now - WITHIN);
-      if (now - sessions.until(now, probe.proxy(), probe.host()) > AFTER) {
+      Map<String, Long> by = probers.computeIfAbsent(probe.host(), h -> new HashMap<>());
+      by.values().removeIf(at -> at <= now - WINDOW_MICROS);
+      if (now - sessions.lastUsedAt(now, probe.proxy(), probe.host()) > RECENT_USE_MICROS) {
         by.put(probe.proxy(), now);
       }
-      int enough = (HOSTS * figures.proxies() + figures.hosts() - 1) / figures.hosts();
+      int enough =
+          (MIN_HOSTS_PER_PROXY * figures.proxies() + figures.hosts() - 1) / figures.hosts();
       int most = Math.max(figures.minProxiesPerHost(), enough);
-      if (by.size() > most && calm.is(now) && now - fullAt > NARROWED) {
+      if (by.size() > most && faultFree.isActive(now) && now - lastShortageAt > WIDENED_MICROS) {
         reportBreach(
             now,
             probe.host()
@@ -65,6 +66,7 @@
 
   @Override
   void onTick(long now) {
-    fullAt = truth.usableHosts(WARM).size() < figures.hosts() ? now : fullAt;
+    lastShortageAt =
+        groundTruth.usableHosts(WARM_UP_MICROS).size() < figures.hosts() ? now : lastShortageAt;
   }
 }
--- a/src/main/java/brassbank/sim/check/ViewsAgree.java
+++ b/src/main/java/brassbank/sim/check/ViewConvergence.java
@@ -4,41 +4,41 @@
 import java.util.Set;
 
 /** Once the faults are over all views are equal, and equal to the truth. */
-final class ViewsAgree extends Rule {
-  private static final long EVERY = SECOND;
+final class ViewConvergence extends Rule {
+  private static final long INTERVAL_MICROS = SECOND;
 
   private final Checks.RuleParameters figures;
-  private final Views views = new Views();
-  private long from = Long.MAX_VALUE;
-  private boolean told;
+  private final ViewTracker views = new ViewTracker();
+  private long nextCheckAt = Long.MAX_VALUE;
+  private boolean reported;
 
-  ViewsAgree(Checks.RuleParameters figures) {
+  ViewConvergence(Checks.RuleParameters figures) {
     super("all views are equal, and the truth, after the faults");
     this.figures = figures;
   }
 
   @Override
   void onEvent(long now, Event event) {
-    views.see(event);
+    views.onEvent(event);
     if (event instanceof Event.AllFaultsOver) {
-      from = now + figures.recovery();
-    } else if (from < Long.MAX_VALUE && Calm.changesTheFleet(event)) {
+      nextCheckAt = now + figures.recovery();
+    } else if (nextCheckAt < Long.MAX_VALUE && FaultFreePeriod.isFleetChange(event)) {
       // A rolling restart of a large fleet goes on beyond the fault's own time.
-      from = Math.max(from, now + figures.recovery());
+      nextCheckAt = Math.max(nextCheckAt, now + figures.recovery());
     }
   }
 
   @Override
   void onTick(long now) {
-    if (now < from || told) {
+    if (now < nextCheckAt || reported) {
       return;
     }
-    from = now + EVERY;
-    Set<String> members = truth.runningMembers();
+    nextCheckAt = now + INTERVAL_MICROS;
+    Set<String> members = groundTruth.runningMembers();
     for (String name : members) {
-      Event.ViewSeen view = views.last().get(name);
+      Event.ViewSeen view = views.latest().get(name);
       if (view == null || !view.liveMembers().equals(members)) {
-        told = true;
+        reported = true;
         reportBreach(
             now,
             name
--- a/src/main/java/brassbank/sim/check/ViewsGrow.java
+++ b/src/main/java/brassbank/sim/check/ViewMonotonicity.java
@@ -8,16 +8,16 @@
  * A view's versions grow, and whoever was gone in it comes back by a higher incarnation only; one
  * that it has forgotten meanwhile is another's business.
  */
-final class ViewsGrow extends Rule {
-  private final Views views = new Views();
+final class ViewMonotonicity extends Rule {
+  private final ViewTracker views = new ViewTracker();
 
-  ViewsGrow() {
+  ViewMonotonicity() {
     super("the gone come back by a higher incarnation, and versions grow");
   }
 
   @Override
   void onEvent(long now, Event event) {
-    Event.ViewSeen before = views.see(event);
+    Event.ViewSeen before = views.onEvent(event);
     if (before == null) {
       return;
     }
--- a/src/main/java/brassbank/sim/check/Views.java
+++ b/src/main/java/brassbank/sim/check/ViewTracker.java
@@ -5,21 +5,21 @@
 import java.util.TreeMap;
 
 /** The last view of each proxy that runs. */
-final class Views {
-  private final Map<String, Event.ViewSeen> last = new TreeMap<>();
+final class ViewTracker {
+  private final Map<String, Event.ViewSeen> latest = new TreeMap<>();
 
   /** Takes the event; the view that the same process had before, or null. */
-  Event.ViewSeen see(Event event) {
+  Event.ViewSeen onEvent(Event event) {
     if (event instanceof Event.ViewSeen view) {
-      Event.ViewSeen before = last.put(view.proxy(), view);
+      Event.ViewSeen before = latest.put(view.proxy(), view);
       return before != null && before.process() == view.process() ? before : null;
     } else if (event instanceof Event.ProxyStarted started) {
-      last.remove(started.proxy());
+      latest.remove(started.proxy());
     }
     return null;
   }
 
-  Map<String, Event.ViewSeen> last() {
-    return last;
+  Map<String, Event.ViewSeen> latest() {
+    return latest;
   }
 }
--- a/src/main/java/brassbank/sim/cli/SimulateCommand.java
+++ b/src/main/java/brassbank/sim/cli/SimulateCommand.java
@@ -138,7 +138,7 @@
   private int one(Plan plan) {
     SimulationRun run = new SimulationRun(plan, UnaryOperator.identity());
     if (trace) {
-      run.withLogs();
+      run.includeLogs();
       run.trace()
           .addListener((now, event) -> output.printf("%11.6f %s%n", now / 1e6, event.text()));
     }
--- a/src/main/java/brassbank/sim/experiment/Counted.java
+++ b/src/main/java/brassbank/sim/experiment/Counted.java
@@ -129,7 +129,7 @@
 
   Map<Figure, Double> figures(long now, boolean sound) {
     pass(now);
-    all.end(now);
+    all.finish(now);
     double seconds = now / SECOND;
     int hosts = capacities.size();
     Map<Figure, Double> figures = new EnumMap<>(Figure.class);
@@ -154,7 +154,7 @@
   }
 
   private static double worst(long now, Map<String, ServiceStatistics> parts) {
-    parts.values().forEach(part -> part.end(now));
+    parts.values().forEach(part -> part.finish(now));
     return parts.values().stream().mapToDouble(part -> 100 * part.servedShare()).min().orElse(100);
   }
 
--- a/src/test/java/brassbank/sim/check/HostPaceTest.java
+++ b/src/test/java/brassbank/sim/check/HostRequestRateTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class HostPaceTest {
+class HostRequestRateTest {
   /** Three proxies; nobody asks for the truth. */
   private static Checks checks() {
     Checks.RuleParameters figures =
@@ -21,7 +21,8 @@
                 (proxy, method, arguments) -> {
                   throw new IllegalStateException(method.getName());
                 });
-    return new Checks(List.of(new HostPace(HostPace.Of.SETUPS, figures)), unasked);
+    return new Checks(
+        List.of(new HostRequestRate(HostRequestRate.Operation.SETUPS, figures)), unasked);
   }
 
   private static int broken(int setups, int flows) {
--- a/src/test/java/brassbank/sim/check/ViewsGrowTest.java
+++ b/src/test/java/brassbank/sim/check/ViewMonotonicityTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** No process of the program makes such a view, and none can be made to: these are told by hand. */
-class ViewsGrowTest {
+class ViewMonotonicityTest {
   private static final GroundTruth NOBODY =
       new GroundTruth() {
         @Override
@@ -57,7 +57,7 @@
   }
 
   private static int breaches(Event first, Event second) {
-    Checks checks = new Checks(List.of(new ViewsGrow()), NOBODY);
+    Checks checks = new Checks(List.of(new ViewMonotonicity()), NOBODY);
     checks.onEvent(1, first);
     checks.onEvent(2, second);
     return checks.breaches().size();
