--- a/src/main/java/brassbank/sim/experiment/FigureCounter.java
+++ b/src/main/java/brassbank/sim/experiment/FigureCounter.java
@@ -129,7 +129,7 @@
 
   Map<Figure, Double> figures(long now, boolean sound) {
     integrate(now);
-    all.end(now);
+    all.finish(now);
     double seconds = now / SECOND;
     int hosts = capacities.size();
     Map<Figure, Double> figures = new EnumMap<>(Figure.class);
@@ -155,7 +155,7 @@
   }
 
   private static double worst(long now, Map<String, ServiceStatistics> parts) {
-    parts.values().forEach(part -> part.end(now));
+    parts.values().forEach(part -> part.finish(now));
     return parts.values().stream().mapToDouble(part -> 100 * part.servedShare()).min().orElse(100);
   }
 
