--- a/src/main/java/brassbank/lab/Helpers.java
+++ b/src/main/java/brassbank/lab/BackgroundTasks.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 
 /** Threads for what would wait: each task runs apart and hands its result to the turner. */
-final class Helpers implements AutoCloseable {
+final class BackgroundTasks implements AutoCloseable {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** What may wait, and fail. */
@@ -16,10 +16,10 @@
     T run() throws Exception;
   }
 
-  private final Turner turner;
+  private final RealTimeDriver turner;
   private final ExecutorService threads;
 
-  Helpers(Turner turner) {
+  BackgroundTasks(RealTimeDriver turner) {
     this.turner = turner;
     AtomicInteger number = new AtomicInteger();
     threads =
@@ -32,7 +32,7 @@
   }
 
   /** Runs a task apart; exactly one of the two is told of its end, on the turner's thread. */
-  <T> void apart(Task<T> task, Consumer<T> then, Consumer<Exception> failed) {
+  <T> void submit(Task<T> task, Consumer<T> then, Consumer<Exception> failed) {
     try {
       threads.execute(
           () -> {
@@ -49,7 +49,7 @@
   }
 
   /** Waits on a helper's thread. */
-  static void pause(long millis) {
+  static void sleep(long millis) {
     LockSupport.parkNanos(millis * NANOS_PER_MILLI);
   }
 
--- a/src/main/java/brassbank/lab/BreachLog.java
+++ b/src/main/java/brassbank/lab/BreachLog.java
@@ -14,13 +14,13 @@
 final class BreachLog {
   private static final Pattern PROXY = Pattern.compile("\\bn\\d+\\b");
   private static final Pattern FLOW = Pattern.compile("\\bc\\d+\\.\\d+\\b");
-  private static final long BEFORE = 3_000_000;
-  private static final long AFTER = 500_000;
-  private static final int MOST = 40;
+  private static final long WINDOW_BEFORE_MICROS = 3_000_000;
+  private static final long WINDOW_AFTER_MICROS = 500_000;
+  private static final int MAX_LINES = 40;
 
   private BreachLog() {}
 
-  static List<String> lines(Breach breach, Collection<Lab.LogLine> all, Tally tally) {
+  static List<String> lines(Breach breach, Collection<Lab.LogLine> all, ClientStatistics tally) {
     Set<String> proxies = new TreeSet<>();
     Matcher named = PROXY.matcher(breach.description());
     while (named.find()) {
@@ -28,7 +28,7 @@
     }
     Matcher flow = FLOW.matcher(breach.description());
     while (flow.find()) {
-      String proxy = tally.proxy(flow.group());
+      String proxy = tally.proxyOf(flow.group());
       if (proxy != null) {
         proxies.add(proxy);
       }
@@ -36,13 +36,17 @@
     List<String> lines = new ArrayList<>();
     for (Lab.LogLine line : all) {
       if ((proxies.isEmpty() || proxies.contains(line.proxy()))
-          && line.at() >= breach.atMicros() - BEFORE
-          && line.at() <= breach.atMicros() + AFTER) {
+          && line.atMicros() >= breach.atMicros() - WINDOW_BEFORE_MICROS
+          && line.atMicros() <= breach.atMicros() + WINDOW_AFTER_MICROS) {
         lines.add(
             String.format(
-                Locale.ROOT, "%11.6f %s %s", Lab.seconds(line.at()), line.proxy(), line.text()));
+                Locale.ROOT,
+                "%11.6f %s %s",
+                Lab.seconds(line.atMicros()),
+                line.proxy(),
+                line.text()));
       }
     }
-    return lines.subList(Math.max(0, lines.size() - MOST), lines.size());
+    return lines.subList(Math.max(0, lines.size() - MAX_LINES), lines.size());
   }
 }
--- a/src/main/java/brassbank/lab/Tally.java
+++ b/src/main/java/brassbank/lab/ClientStatistics.java
@@ -7,9 +7,9 @@
 import java.util.TreeMap;
 
 /** What the clients had of each proxy, counted at the clients. */
-final class Tally implements Trace.Listener {
+final class ClientStatistics implements Trace.Listener {
   /** Of one proxy: flows sent, served, refused, without an answer, and clients moved by it. */
-  static final class Count {
+  static final class ProxyCounts {
     int sent;
     int served;
     int refused;
@@ -20,45 +20,45 @@
     }
   }
 
-  private final Map<String, Count> counts = new TreeMap<>();
-  private final Map<String, String> proxies = new HashMap<>();
-  private int standing;
+  private final Map<String, ProxyCounts> counts = new TreeMap<>();
+  private final Map<String, String> proxiesByFlow = new HashMap<>();
+  private int timesServed;
 
   @Override
   public void onEvent(long now, Event event) {
     if (event instanceof Event.FlowSent sent) {
-      proxies.put(sent.flow(), sent.proxy());
-      of(sent.proxy()).sent++;
+      proxiesByFlow.put(sent.flow(), sent.proxy());
+      countsOf(sent.proxy()).sent++;
     } else if (event instanceof Event.FlowAnswered answered) {
-      Count count = of(proxies.get(answered.flow()));
+      ProxyCounts count = countsOf(proxiesByFlow.get(answered.flow()));
       if (answered.line().startsWith("UP ")) {
         count.served++;
       } else {
         count.refused++;
       }
     } else if (event instanceof Event.ClientServed) {
-      standing++;
-    } else if (event instanceof Event.ClientOver over && proxies.containsKey(over.flow())) {
-      of(proxies.get(over.flow())).moved += over.moved() ? 1 : 0;
+      timesServed++;
+    } else if (event instanceof Event.ClientOver over && proxiesByFlow.containsKey(over.flow())) {
+      countsOf(proxiesByFlow.get(over.flow())).moved += over.moved() ? 1 : 0;
     }
   }
 
-  private Count of(String proxy) {
-    return counts.computeIfAbsent(proxy, p -> new Count());
+  private ProxyCounts countsOf(String proxy) {
+    return counts.computeIfAbsent(proxy, p -> new ProxyCounts());
   }
 
   /** By the proxies' names. */
-  Map<String, Count> counts() {
+  Map<String, ProxyCounts> counts() {
     return counts;
   }
 
   /** Times a client was served. */
   int served() {
-    return standing;
+    return timesServed;
   }
 
   /** The proxy that a flow was sent to, or null. */
-  String proxy(String flow) {
-    return proxies.get(flow);
+  String proxyOf(String flow) {
+    return proxiesByFlow.get(flow);
   }
 }
--- a/src/main/java/brassbank/lab/InheritedListener.java
+++ b/src/main/java/brassbank/lab/InheritedListener.java
@@ -27,7 +27,7 @@
       descriptor = (int) number.invoke(socket);
     } catch (ReflectiveOperationException | RuntimeException e) {
       socket.close();
-      throw closed(e);
+      throw unsupported(e);
     }
     socket.bind(address, BACKLOG);
   }
@@ -46,11 +46,11 @@
       value.setInt(holder.invoke(redirect), descriptor);
       return redirect;
     } catch (ReflectiveOperationException | RuntimeException e) {
-      throw closed(e);
+      throw unsupported(e);
     }
   }
 
-  private static LabException closed(Exception cause) {
+  private static LabException unsupported(Exception cause) {
     return new LabException(
         "this runtime hands no socket on, which upgrades need: start the lab by bin/brassbank ("
             + cause.getMessage()
--- a/src/main/java/brassbank/lab/Lab.java
+++ b/src/main/java/brassbank/lab/Lab.java
@@ -34,57 +34,58 @@
   /**
    * Time limits of the rules are extended by this, in microseconds: the protocol's 50 ms and 100.
    */
-  static final long SLACK = 150_000;
+  static final long RULE_SLACK_MICROS = 150_000;
 
   /** A play in which the lab was later than this tells nothing, in microseconds. */
-  static final long LATENESS = 50_000;
+  static final long MAX_LATENESS_MICROS = 50_000;
 
   /** Doors follow the simulated network this often, in microseconds, and so many at a time. */
-  private static final long MIRROR_EVERY = 5_000;
+  private static final long PORT_SYNC_INTERVAL_MICROS = 5_000;
 
-  private static final int DOORS_AT_ONCE = 64;
+  private static final int MAX_PORT_CHANGES_PER_SYNC = 64;
 
   /** Seconds of the plan that are played in virtual time first, and seeds for that. */
   private static final int WARM_UP_SECONDS = 20;
 
-  private static final int WARM_UPS = 2;
-  private static final long START_WITHIN_NANOS = 60_000_000_000L;
-  private static final int LOG_LINES_KEPT = 4_000;
+  private static final int WARM_UP_RUNS = 2;
+  private static final long START_TIMEOUT_NANOS = 60_000_000_000L;
+  private static final int MAX_LOG_LINES = 4_000;
 
   /** Kinds of fault that a machine of many processes cannot show. */
-  private static final List<String> NOT_HERE = List.of("clock-step");
+  private static final List<String> UNSUPPORTED_FAULTS = List.of("clock-step");
 
   /** Somebody who looks on. */
-  public interface Watcher {
+  public interface ProgressListener {
     /** Now and then, with the play's time in microseconds. */
-    void at(Lab lab, long now);
+    void onProgress(Lab lab, long now);
   }
 
   /** A line that a proxy has logged, and when that was seen. */
-  record LogLine(long at, String proxy, String text) {}
+  record LogLine(long atMicros, String proxy, String text) {}
 
   /**
    * What came of a play.
    *
    * @param counts how often each rule was broken
-   * @param late the lab's worst lateness, and {@code lateAt} when that was, in microseconds
+   * @param maxLatenessMicros the lab's worst lateness, and {@code lateAt} when that was, in
+   *     microseconds
    */
   public record Outcome(
       Plan plan,
       List<Breach> breaches,
       Map<String, Integer> counts,
-      double share,
-      String service,
-      Map<String, Tally.Count> tallies,
-      Map<String, Meter.Use> uses,
+      double servedShare,
+      String serviceSummary,
+      Map<String, ClientStatistics.ProxyCounts> clientCounts,
+      Map<String, ProcessMonitor.ResourceUsage> resourceUsage,
       double labProcessorSeconds,
       List<String> breachLog,
-      long late,
-      long lateUsual,
-      long lateAt,
-      boolean tooLate) {
+      long maxLatenessMicros,
+      long lateness999Micros,
+      long maxLatenessAtMicros,
+      boolean isVoid) {
 
-    public boolean sound() {
+    public boolean holdsAllRules() {
       return breaches.isEmpty();
     }
   }
@@ -92,21 +93,21 @@
   private final Plan plan;
   private final Path folder;
   private final Path logs;
-  private final Guard guard;
-  private final Loopback loopback;
-  private final Lateness lateness = new Lateness(LATENESS);
-  private final Tally tally = new Tally();
+  private final Watchdog watchdog;
+  private final LoopbackAddresses loopback;
+  private final Lateness lateness = new Lateness(MAX_LATENESS_MICROS);
+  private final ClientStatistics clientStatistics = new ClientStatistics();
   private final Clock clock = new SystemClock();
   private final Map<String, RealProxy> proxies = new LinkedHashMap<>();
-  private final List<Door> doors = new ArrayList<>();
+  private final List<ProxiedPort> ports = new ArrayList<>();
   private final Deque<LogLine> lines = new ArrayDeque<>();
   private final ScenarioRun scene;
-  private final Meter meter;
-  private Turner turner;
-  private Helpers helpers;
+  private final ProcessMonitor monitor;
+  private RealTimeDriver driver;
+  private BackgroundTasks backgroundTasks;
   private boolean logsInTrace;
-  private int nextDoor;
-  private long mirroredAt;
+  private int nextPort;
+  private long lastSyncMicros;
 
   /**
    * Builds the site; nothing is started yet.
@@ -116,31 +117,31 @@
    * @throws LabException where the plan cannot be played here, or the machine has no place for it
    */
   public Lab(Plan plan, Path root, Path logs) throws IOException {
-    this(plan, root, logs, Tamper.NONE);
+    this(plan, root, logs, LinkTampering.NONE);
   }
 
-  Lab(Plan plan, Path root, Path logs, Tamper tamper) throws IOException {
+  Lab(Plan plan, Path root, Path logs, LinkTampering tamper) throws IOException {
     for (Fault fault : plan.faults()) {
-      if (NOT_HERE.contains(fault.kind().name())) {
+      if (UNSUPPORTED_FAULTS.contains(fault.kind().name())) {
         throw new LabException(fault.kind() + " cannot be played on real processes");
       }
     }
     this.plan = plan;
     folder = Files.createTempDirectory("brassbank-lab");
-    guard = new Guard(folder);
+    watchdog = new Watchdog(folder);
     this.logs = Files.createDirectories(logs == null ? folder.resolve("logs") : logs);
-    loopback = new Loopback();
+    loopback = new LoopbackAddresses();
     boolean inherits =
         plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
-    ByteBuffer scratch = ByteBuffer.allocate(Splice.scratchSize());
+    ByteBuffer scratch = ByteBuffer.allocate(SocketBridge.scratchSize());
     scene =
         new ScenarioRun(
             plan,
-            new ScenarioRun.Environment(loopback, clock.unixMillis(), SLACK),
+            new ScenarioRun.Environment(loopback, clock.unixMillis(), RULE_SLACK_MICROS),
             (world, name, rank, machine) -> {
               RealProxy proxy =
                   new RealProxy(
-                      shared(world, root, tamper),
+                      sharedContext(world, root, tamper),
                       world,
                       ScenarioRun.site(plan),
                       name,
@@ -151,17 +152,18 @@
               proxies.put(name, proxy);
               return proxy;
             });
-    scene.trace().addListener(tally);
-    meter = new Meter(proxies, turner, this::logged);
+    scene.trace().addListener(clientStatistics);
+    monitor = new ProcessMonitor(proxies, driver, this::onLogLine);
   }
 
-  private RealProxy.Lab shared(World world, Path root, Tamper tamper) {
+  private RealProxy.SharedContext sharedContext(World world, Path root, LinkTampering tamper) {
     try {
-      if (turner == null) {
-        turner = new Turner(world.agenda(), lateness);
-        helpers = new Helpers(turner);
+      if (driver == null) {
+        driver = new RealTimeDriver(world.agenda(), lateness);
+        backgroundTasks = new BackgroundTasks(driver);
       }
-      return new RealProxy.Lab(turner, helpers, guard, loopback, tamper, root, folder, logs);
+      return new RealProxy.SharedContext(
+          driver, backgroundTasks, watchdog, loopback, tamper, root, folder, logs);
     } catch (IOException e) {
       throw new LabException("no selector: " + e.getMessage(), e);
     }
@@ -173,7 +175,7 @@
   }
 
   /** Puts what the proxies log into the trace. */
-  public void withLogs() {
+  public void includeLogsInTrace() {
     logsInTrace = true;
   }
 
@@ -181,8 +183,8 @@
     return scene;
   }
 
-  Tally tally() {
-    return tally;
+  ClientStatistics clientStatistics() {
+    return clientStatistics;
   }
 
   Map<String, RealProxy> proxies() {
@@ -193,25 +195,25 @@
     return folder;
   }
 
-  long late() {
-    return lateness.most();
+  long maxLatenessMicros() {
+    return lateness.maxMicros();
   }
 
   // -------------------------------------------------------------------- play
 
   /** Starts everybody and plays the plan to its end. */
-  public Outcome play(Watcher watcher) throws IOException {
+  public Outcome play(ProgressListener watcher) throws IOException {
     warmUp();
-    build();
+    connectProxies();
     scene.begin();
-    mirrorAll();
-    start();
-    meter.begin();
+    syncAllPorts();
+    awaitStart();
+    monitor.start();
     scene.world().setEpochMillis(clock.unixMillis());
-    turner.begin();
-    while (turner.now() < scene.end()) {
-      turn();
-      watcher.at(this, turner.now());
+    driver.startClock();
+    while (driver.nowMicros() < scene.end()) {
+      runOnce();
+      watcher.onProgress(this, driver.nowMicros());
     }
     scene.checks().onEnd(scene.agenda().now());
     scene.service().end(scene.agenda().now());
@@ -219,9 +221,9 @@
   }
 
   /** Goes on after its end, for whoever wants to look at the site, until interrupted. */
-  public void stay() throws IOException {
+  public void keepRunning() throws IOException {
     while (!Thread.currentThread().isInterrupted()) {
-      turn();
+      runOnce();
     }
   }
 
@@ -230,79 +232,79 @@
    * made of has been met before the clock runs.
    */
   private void warmUp() {
-    for (int i = 0; i < WARM_UPS; i++) {
+    for (int i = 0; i < WARM_UP_RUNS; i++) {
       new SimulationRun(
               plan.until(Math.min(plan.seconds(), WARM_UP_SECONDS)), UnaryOperator.identity())
           .execute();
     }
   }
 
-  private void turn() throws IOException {
-    turner.turn();
-    long now = turner.now();
-    if (now - mirroredAt >= MIRROR_EVERY || nextDoor > 0) {
-      mirroredAt = now;
-      mirrorSome();
+  private void runOnce() throws IOException {
+    driver.runOnce();
+    long now = driver.nowMicros();
+    if (now - lastSyncMicros >= PORT_SYNC_INTERVAL_MICROS || nextPort > 0) {
+      lastSyncMicros = now;
+      syncSomePorts();
     }
   }
 
-  private void build() throws IOException {
+  private void connectProxies() throws IOException {
     World world = scene.world();
     Map<SocketAddress, RealProxy> byAddress = new HashMap<>();
     proxies.values().forEach(proxy -> byAddress.put(proxy.address(), proxy));
     for (RealProxy proxy : proxies.values()) {
-      proxy.speaksWith(byAddress);
+      proxy.openDatagramPort(byAddress);
       for (StreamHost host : world.hosts().values()) {
-        proxy.meets(host.machine(), StreamHost.PORT);
+        proxy.addPort(host.machine(), StreamHost.PORT);
       }
       for (Machine machine : world.discovery().machines()) {
-        proxy.meets(machine, Discovery.PORT);
+        proxy.addPort(machine, Discovery.PORT);
       }
       for (RealProxy other : proxies.values()) {
         if (other != proxy) {
-          proxy.meets(other.machine(), StreamHost.PORT);
+          proxy.addPort(other.machine(), StreamHost.PORT);
         }
       }
-      doors.addAll(proxy.doors());
+      ports.addAll(proxy.ports());
     }
     if (plan.membership()) {
       List<RealProxy> seeds = List.copyOf(proxies.values()).subList(0, Math.min(2, proxies.size()));
       for (RealProxy proxy : proxies.values()) {
-        proxy.joins(seeds, plan);
+        proxy.joinFleet(seeds, plan);
         scene.agenda().after(0, proxy::watchView);
       }
     }
   }
 
-  private void mirrorAll() throws IOException {
-    for (Door door : doors) {
-      door.mirror();
+  private void syncAllPorts() throws IOException {
+    for (ProxiedPort door : ports) {
+      door.syncWithNetwork();
     }
   }
 
   /** All doors, but no more changes at a time than keep the sockets waiting for long. */
-  private void mirrorSome() throws IOException {
+  private void syncSomePorts() throws IOException {
     int changed = 0;
-    while (nextDoor < doors.size() && changed < DOORS_AT_ONCE) {
-      changed += doors.get(nextDoor++).mirror() ? 1 : 0;
+    while (nextPort < ports.size() && changed < MAX_PORT_CHANGES_PER_SYNC) {
+      changed += ports.get(nextPort++).syncWithNetwork() ? 1 : 0;
     }
-    if (nextDoor == doors.size()) {
-      nextDoor = 0;
+    if (nextPort == ports.size()) {
+      nextPort = 0;
     }
   }
 
   /** Time stands still until all proxies listen. */
-  private void start() throws IOException {
-    long until = clock.nanos() + START_WITHIN_NANOS;
-    while (!proxies.values().stream().allMatch(RealProxy::listening)) {
-      turner.lookOnly();
+  private void awaitStart() throws IOException {
+    long until = clock.nanos() + START_TIMEOUT_NANOS;
+    while (!proxies.values().stream().allMatch(RealProxy::isListening)) {
+      driver.pollWithoutClock();
       if (clock.nanos() > until || !scene.checks().breaches().isEmpty()) {
-        throw new LabException("the proxies do not start: " + lastWords());
+        throw new LabException("the proxies do not start: " + describeStartFailure());
       }
     }
   }
 
-  private String lastWords() {
+  private String describeStartFailure() {
     StringBuilder words = new StringBuilder();
     scene.checks().breaches().forEach(breach -> words.append(breach.description()).append("; "));
     for (RealProxy proxy : proxies.values()) {
@@ -320,10 +322,10 @@
     return words.toString();
   }
 
-  private void logged(String proxy, String text) {
+  private void onLogLine(String proxy, String text) {
     long now = scene.agenda().now();
     lines.add(new LogLine(now, proxy, text));
-    if (lines.size() > LOG_LINES_KEPT) {
+    if (lines.size() > MAX_LOG_LINES) {
       lines.remove();
     }
     String[] parts = text.split(" ", 3);
@@ -342,24 +344,24 @@
         new LinkedHashMap<>(scene.checks().breachCounts()),
         scene.service().servedShare(),
         scene.service().summary(),
-        tally.counts(),
-        meter.uses(),
+        clientStatistics.counts(),
+        monitor.usage(),
         ProcessHandle.current().info().totalCpuDuration().map(d -> d.toNanos() / 1e9).orElse(0.0),
-        breaches.isEmpty() ? List.of() : BreachLog.lines(breaches.get(0), lines, tally),
-        lateness.most(),
-        lateness.usual(),
-        lateness.mostAt(),
-        lateness.tooLate());
+        breaches.isEmpty() ? List.of() : BreachLog.lines(breaches.get(0), lines, clientStatistics),
+        lateness.maxMicros(),
+        lateness.percentile999Micros(),
+        lateness.maxAtMicros(),
+        lateness.exceedsLimit());
   }
 
   /** Ends all processes, and gives back sockets and files. */
   @Override
   public void close() throws IOException {
-    helpers.close();
-    meter.close();
+    backgroundTasks.close();
+    monitor.close();
     proxies.values().forEach(RealProxy::close);
-    guard.close();
-    turner.close();
+    watchdog.close();
+    driver.close();
     loopback.close();
   }
 
--- a/src/main/java/brassbank/lab/LabCommand.java
+++ b/src/main/java/brassbank/lab/LabCommand.java
@@ -31,7 +31,7 @@
       "Exit status 3: the lab itself was late, twice, and nothing is said of the rules."
     })
 public final class LabCommand implements Callable<Integer> {
-  private static final int MOST_PROXIES = 64;
+  private static final int MAX_PROXIES = 64;
 
   @Parameters(
       arity = "0..1",
@@ -74,25 +74,27 @@
     for (int play = 1; ; play++) {
       try (Lab lab = new Lab(plan, root(), logs)) {
         if (trace) {
-          lab.withLogs();
+          lab.includeLogsInTrace();
           lab.trace()
               .addListener((now, event) -> output.printf("%11.6f %s%n", now / 1e6, event.text()));
         }
-        Lab.Outcome outcome = lab.play(new LiveLine(notes));
-        if (outcome.tooLate() && play == 1) {
+        Lab.Outcome outcome = lab.play(new ProgressLine(notes));
+        if (outcome.isVoid() && play == 1) {
           notes.printf(
               "void: the lab was %.0f ms late at %.1f s, %.0f are allowed; it is played again%n",
-              outcome.late() / 1e3, Lab.seconds(outcome.lateAt()), Lab.LATENESS / 1e3);
+              outcome.maxLatenessMicros() / 1e3,
+              Lab.seconds(outcome.maxLatenessAtMicros()),
+              Lab.MAX_LATENESS_MICROS / 1e3);
           continue;
         }
         output.println(json ? Report.json(outcome) : Report.text(outcome));
-        if (keep && !outcome.sound()) {
-          notes.println(Report.standing(lab));
-          lab.stay();
+        if (keep && !outcome.holdsAllRules()) {
+          notes.println(Report.describeKeptSite(lab));
+          lab.keepRunning();
         }
-        return outcome.tooLate()
+        return outcome.isVoid()
             ? ExitStatus.INVALID_RUN
-            : outcome.sound() ? ExitStatus.OK : ExitStatus.FAILED;
+            : outcome.holdsAllRules() ? ExitStatus.OK : ExitStatus.FAILED;
       } catch (LabException e) {
         notes.println("lab: " + e.getMessage());
         return ExitStatus.FAILED;
@@ -108,7 +110,7 @@
           "a script says itself how many proxies, hosts and clients there are, and what they do");
       try {
         Plan read = Script.read(script);
-        require(read.proxies() <= MOST_PROXIES, "a lab has at most " + MOST_PROXIES + " proxies");
+        require(read.proxies() <= MAX_PROXIES, "a lab has at most " + MAX_PROXIES + " proxies");
         require(
             read.faults().equals(read.playable().faults()),
             script + ": clock-step cannot be played on real processes");
@@ -117,7 +119,7 @@
         throw new UsageException(e.getMessage());
       }
     }
-    site.check(MOST_PROXIES);
+    site.check(MAX_PROXIES);
     return site.plan(seed).playable();
   }
 
--- a/src/main/java/brassbank/lab/Tamper.java
+++ b/src/main/java/brassbank/lab/LinkTampering.java
@@ -3,27 +3,27 @@
 import brassbank.sim.net.Machine;
 
 /** Links that misbehave on purpose: the tests plant them, to show that a rule can be broken. */
-interface Tamper {
+interface LinkTampering {
   /** Nothing misbehaves. */
-  Tamper NONE = new Tamper() {};
+  LinkTampering NONE = new LinkTampering() {};
 
   /** What goes on in place of what a process has written to one whom it has connected to. */
-  default byte[] said(byte[] bytes) {
+  default byte[] alter(byte[] bytes) {
     return bytes;
   }
 
   /** Where a connect ends that is meant for this machine. */
-  default Machine meant(Machine to) {
+  default Machine redirect(Machine to) {
     return to;
   }
 
   /** How often a datagram of this proxy's goes on, once as it is. */
-  default int copies(String proxy) {
+  default int datagramCopies(String proxy) {
     return 1;
   }
 
   /** When this proxy is killed, it lives on, and its clients' connections are left as they are. */
-  default boolean keepsClientsOf(String proxy) {
+  default boolean survivesKill(String proxy) {
     return false;
   }
 }
--- a/src/main/java/brassbank/lab/Loopback.java
+++ b/src/main/java/brassbank/lab/LoopbackAddresses.java
@@ -14,38 +14,39 @@
  * simulated network under 127.(1+i).group.number, so that each pair has an address of its own and
  * it is known who connects. Labs that run at once differ by their port.
  */
-final class Loopback implements AddressMapping, AutoCloseable {
+final class LoopbackAddresses implements AddressMapping, AutoCloseable {
   /** The first of the ports at which labs tell each other which of them is whose. */
-  private static final int FIRST_CLAIM = 17_070;
+  private static final int FIRST_CLAIM_PORT = 17_070;
 
   private static final int FIRST_PORT = 7_070;
-  private static final int LABS = 64;
+  private static final int MAX_LABS = 64;
 
   /** No machine of the simulated network has this group: an instance's management is here. */
-  private static final int MANAGEMENT = 9;
+  private static final int MANAGEMENT_GROUP = 9;
 
   /** No proxy has this number: here each is met by all the others for datagrams. */
-  private static final int COMMON = 200;
+  private static final int DATAGRAM_OCTET = 200;
 
-  private final ServerSocket claim;
+  private final ServerSocket claimSocket;
   private final int port;
   private final Map<String, Integer> ranks = new HashMap<>();
 
   /** Claims a port that no other lab on this machine uses; it is given back by {@link #close}. */
-  Loopback() throws IOException {
+  LoopbackAddresses() throws IOException {
     ServerSocket free = null;
     int lab = 0;
-    for (; free == null && lab < LABS; lab++) {
+    for (; free == null && lab < MAX_LABS; lab++) {
       try {
-        free = new ServerSocket(FIRST_CLAIM + lab, 1, InetAddress.getByAddress(bytes(0, 0, 1)));
+        free =
+            new ServerSocket(FIRST_CLAIM_PORT + lab, 1, InetAddress.getByAddress(bytes(0, 0, 1)));
       } catch (IOException e) {
         // Another lab has it.
       }
     }
     if (free == null) {
-      throw new IOException("no port from " + FIRST_CLAIM + " on is free: too many labs run");
+      throw new IOException("no port from " + FIRST_CLAIM_PORT + " on is free: too many labs run");
     }
-    claim = free;
+    claimSocket = free;
     port = FIRST_PORT + lab - 1;
   }
 
@@ -63,20 +64,20 @@
   /** Where this proxy meets that machine; where it listens itself, for its own. */
   InetSocketAddress address(String proxy, Machine machine) {
     byte[] simulated = machine.address().getAddress();
-    return socket(bytes(1 + ranks.get(proxy), simulated[1], simulated[3] & 0xff));
+    return socketAddress(bytes(1 + ranks.get(proxy), simulated[1], simulated[3] & 0xff));
   }
 
   /** Where all the others meet this proxy for datagrams. */
-  InetSocketAddress common(String proxy) {
-    return socket(bytes(COMMON, 0, 1 + ranks.get(proxy)));
+  InetSocketAddress datagramAddress(String proxy) {
+    return socketAddress(bytes(DATAGRAM_OCTET, 0, 1 + ranks.get(proxy)));
   }
 
   /** Where operators call an instance of this proxy; {@code number} tells its processes apart. */
   InetSocketAddress management(String proxy, int number) {
-    return socket(bytes(1 + ranks.get(proxy), MANAGEMENT, 1 + number % 250));
+    return socketAddress(bytes(1 + ranks.get(proxy), MANAGEMENT_GROUP, 1 + number % 250));
   }
 
-  private InetSocketAddress socket(byte[] bytes) {
+  private InetSocketAddress socketAddress(byte[] bytes) {
     try {
       return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
     } catch (IOException e) {
@@ -90,6 +91,6 @@
 
   @Override
   public void close() throws IOException {
-    claim.close();
+    claimSocket.close();
   }
 }
--- a/src/main/java/brassbank/lab/Call.java
+++ b/src/main/java/brassbank/lab/ManagementCall.java
@@ -6,22 +6,23 @@
 import java.nio.charset.StandardCharsets;
 
 /** One operator's call, by HTTP/1.1, one to a connection; it waits, and belongs to a helper. */
-final class Call {
-  private static final int PATIENCE_MILLIS = 2_000;
-  private static final int LEAST_REFUSAL = 400;
+final class ManagementCall {
+  private static final int TIMEOUT_MILLIS = 2_000;
+  private static final int MIN_ERROR_STATUS = 400;
 
-  private Call() {}
+  private ManagementCall() {}
 
   /** Whether the answer is yes; throws where none comes in time. */
-  static boolean yes(InetSocketAddress address, String method, String path) throws IOException {
-    return status(said(address, method, path)) < LEAST_REFUSAL;
+  static boolean isAccepted(InetSocketAddress address, String method, String path)
+      throws IOException {
+    return status(exchange(address, method, path)) < MIN_ERROR_STATUS;
   }
 
   /** The text of a good answer; throws where none comes in time. */
-  static String text(InetSocketAddress address, String path) throws IOException {
-    String said = said(address, "GET", path);
+  static String fetchText(InetSocketAddress address, String path) throws IOException {
+    String said = exchange(address, "GET", path);
     int end = said.indexOf("\r\n\r\n");
-    if (status(said) >= LEAST_REFUSAL || end < 0) {
+    if (status(said) >= MIN_ERROR_STATUS || end < 0) {
       throw new IOException("no good answer to " + path);
     }
     return said.substring(end).strip();
@@ -34,11 +35,11 @@
     return Integer.parseInt(said.substring(9, 12));
   }
 
-  private static String said(InetSocketAddress address, String method, String path)
+  private static String exchange(InetSocketAddress address, String method, String path)
       throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(address, PATIENCE_MILLIS);
-      socket.setSoTimeout(PATIENCE_MILLIS);
+      socket.connect(address, TIMEOUT_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       String request =
           method
               + " "
@@ -50,9 +51,9 @@
   }
 
   /** Whether anybody listens there. */
-  static boolean listens(InetSocketAddress address) {
+  static boolean isListening(InetSocketAddress address) {
     try (Socket socket = new Socket()) {
-      socket.connect(address, PATIENCE_MILLIS);
+      socket.connect(address, TIMEOUT_MILLIS);
       return true;
     } catch (IOException e) {
       return false;
--- a/src/main/java/brassbank/lab/SeenView.java
+++ b/src/main/java/brassbank/lab/MemberViewParser.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /** A view as a process tells it at its management door. */
-final class SeenView {
-  private SeenView() {}
+final class MemberViewParser {
+  private MemberViewParser() {}
 
   /** Null where the process is no member now; throws where the text is no such thing. */
-  static Event.ViewSeen of(String proxy, int process, String text) {
+  static Event.ViewSeen parse(String proxy, int process, String text) {
     JsonObject json = JsonParser.parseString(text).getAsJsonObject();
     if (!json.get("member").getAsBoolean()) {
       return null;
--- a/src/main/java/brassbank/lab/LiveLine.java
+++ b/src/main/java/brassbank/lab/ProgressLine.java
@@ -4,26 +4,26 @@
 import java.util.Locale;
 
 /** On a terminal, what happens now: one line with a bar, a few times a second. */
-final class LiveLine implements Lab.Watcher {
-  private static final long EVERY = 250_000;
+final class ProgressLine implements Lab.ProgressListener {
+  private static final long INTERVAL_MICROS = 250_000;
   private static final int WIDTH = 24;
 
   private final PrintStream notes;
-  private final boolean shown = System.console() != null;
-  private long toldAt = -EVERY;
+  private final boolean isTerminal = System.console() != null;
+  private long lastShownMicros = -INTERVAL_MICROS;
 
-  LiveLine(PrintStream notes) {
+  ProgressLine(PrintStream notes) {
     this.notes = notes;
   }
 
   @Override
-  public void at(Lab lab, long now) {
+  public void onProgress(Lab lab, long now) {
     long end = lab.scene().end();
     boolean last = now >= end;
-    if (!shown || (!last && now - toldAt < EVERY)) {
+    if (!isTerminal || (!last && now - lastShownMicros < INTERVAL_MICROS)) {
       return;
     }
-    toldAt = now;
+    lastShownMicros = now;
     int full = (int) Math.min(WIDTH, WIDTH * now / end);
     notes.printf(
         Locale.ROOT,
@@ -32,11 +32,11 @@
         ".".repeat(WIDTH - full),
         Lab.seconds(now),
         Lab.seconds(end),
-        lab.proxies().values().stream().filter(RealProxy::listening).count(),
+        lab.proxies().values().stream().filter(RealProxy::isListening).count(),
         lab.proxies().size(),
-        lab.tally().served(),
+        lab.clientStatistics().served(),
         lab.scene().checks().breaches().size(),
-        lab.late() / 1e3);
+        lab.maxLatenessMicros() / 1e3);
     if (last) {
       notes.println();
     }
--- a/src/main/java/brassbank/lab/DatagramDoor.java
+++ b/src/main/java/brassbank/lab/ProxiedDatagramPort.java
@@ -12,21 +12,22 @@
  * tell each other where a third one is met: what their processes send here goes into the simulated
  * network, and what this proxy's process sends comes to them from here.
  */
-final class DatagramDoor implements Turner.Ready {
+final class ProxiedDatagramPort implements RealTimeDriver.ReadyHandler {
   /** One turn takes so many, and the rest waits in the kernel. */
-  private static final int AT_ONCE = 64;
+  private static final int MAX_DATAGRAMS_PER_READ = 64;
 
   /** Who is handed what has come, by the address that it came from. */
-  interface Sent {
-    void sent(SocketAddress from, byte[] bytes);
+  interface DatagramHandler {
+    void onDatagram(SocketAddress from, byte[] bytes);
   }
 
   private final DatagramChannel channel;
-  private final Sent sent;
+  private final DatagramHandler handler;
   private final ByteBuffer scratch = ByteBuffer.allocate(64 * 1024);
 
-  DatagramDoor(Turner turner, InetSocketAddress address, Sent sent) throws IOException {
-    this.sent = sent;
+  ProxiedDatagramPort(RealTimeDriver turner, InetSocketAddress address, DatagramHandler sent)
+      throws IOException {
+    this.handler = sent;
     channel = DatagramChannel.open();
     channel.bind(address);
     channel.configureBlocking(false);
@@ -34,9 +35,9 @@
   }
 
   @Override
-  public void ready(SelectionKey key) {
+  public void onReady(SelectionKey key) {
     try {
-      for (int i = 0; i < AT_ONCE; i++) {
+      for (int i = 0; i < MAX_DATAGRAMS_PER_READ; i++) {
         scratch.clear();
         SocketAddress from = channel.receive(scratch);
         if (from == null) {
@@ -44,7 +45,7 @@
         }
         byte[] bytes = new byte[scratch.flip().remaining()];
         scratch.get(bytes);
-        sent.sent(from, bytes);
+        handler.onDatagram(from, bytes);
       }
     } catch (IOException e) {
       // A process that has gone is told by an error of this kind; there is nothing to be read.
--- a/src/main/java/brassbank/lab/Door.java
+++ b/src/main/java/brassbank/lab/ProxiedPort.java
@@ -19,19 +19,19 @@
  * Where one proxy meets one machine of the site: a listening socket that does to a connect what the
  * simulated network would do to it at this moment. It owns the socket and whatever fills its queue.
  */
-final class Door implements Turner.Ready {
+final class ProxiedPort implements RealTimeDriver.ReadyHandler {
   /** Linux holds one connection more than this in the queue of a listening socket. */
   private static final int BACKLOG = 2;
 
-  private final Turner turner;
+  private final RealTimeDriver turner;
   private final Fabric fabric;
   private final Machine from;
   private final Machine to;
   private final int port;
   private final InetSocketAddress address;
-  private final Consumer<SocketChannel> accepted;
-  private final List<SocketChannel> fillers = new ArrayList<>();
-  private final Set<SocketAddress> filled = new HashSet<>();
+  private final Consumer<SocketChannel> acceptHandler;
+  private final List<SocketChannel> queueFillers = new ArrayList<>();
+  private final Set<SocketAddress> fillerAddresses = new HashSet<>();
   private Fabric.Reach reach = Fabric.Reach.REFUSED;
   private ServerSocketChannel listener;
   private SelectionKey key;
@@ -41,8 +41,8 @@
    * @param port what it means by that in the simulated network
    * @param accepted is handed each connection, and owns it
    */
-  Door(
-      Turner turner,
+  ProxiedPort(
+      RealTimeDriver turner,
       Fabric fabric,
       Machine from,
       Machine to,
@@ -55,7 +55,7 @@
     this.to = to;
     this.port = port;
     this.address = address;
-    this.accepted = accepted;
+    this.acceptHandler = accepted;
   }
 
   Machine to() {
@@ -67,7 +67,7 @@
   }
 
   /** Does as the network does now; whether anything had to change for it. */
-  boolean mirror() throws IOException {
+  boolean syncWithNetwork() throws IOException {
     Fabric.Reach now = fabric.reach(from, to, port);
     if (now == reach) {
       return false;
@@ -78,13 +78,13 @@
         listen();
         key.interestOps(SelectionKey.OP_ACCEPT);
         // Those who fill the queue make room, and who came beside them is let in.
-        ready(key);
-        empty();
+        onReady(key);
+        clearAcceptQueue();
       }
       default -> {
         listen();
         key.interestOps(0);
-        fill();
+        fillAcceptQueue();
       }
     }
     reach = now;
@@ -102,33 +102,33 @@
   }
 
   /** A SYN that meets a full queue is dropped, and its kernel sends it again after 1, 3, 7 s. */
-  private void fill() throws IOException {
+  private void fillAcceptQueue() throws IOException {
     for (int i = 0; i <= BACKLOG; i++) {
       SocketChannel filler = SocketChannel.open();
-      fillers.add(filler);
+      queueFillers.add(filler);
       filler.configureBlocking(false);
       filler.connect(address);
-      filled.add(filler.getLocalAddress());
+      fillerAddresses.add(filler.getLocalAddress());
     }
   }
 
-  private void empty() {
-    fillers.forEach(Splice::reset);
-    fillers.clear();
-    filled.clear();
+  private void clearAcceptQueue() {
+    queueFillers.forEach(SocketBridge::reset);
+    queueFillers.clear();
+    fillerAddresses.clear();
   }
 
   @Override
-  public void ready(SelectionKey ready) {
+  public void onReady(SelectionKey ready) {
     try {
       for (SocketChannel channel = listener.accept();
           channel != null;
           channel = listener.accept()) {
-        if (filled.contains(channel.getRemoteAddress())) {
+        if (fillerAddresses.contains(channel.getRemoteAddress())) {
           channel.close();
         } else {
           channel.configureBlocking(false);
-          accepted.accept(channel);
+          acceptHandler.accept(channel);
         }
       }
     } catch (IOException e) {
@@ -138,7 +138,7 @@
 
   /** Nobody is met here: connects are refused. */
   void close() throws IOException {
-    empty();
+    clearAcceptQueue();
     if (listener != null) {
       listener.close();
       listener = null;
--- a/src/main/java/brassbank/lab/ProxyProcess.java
+++ b/src/main/java/brassbank/lab/ProxyProcess.java
@@ -10,18 +10,19 @@
 
 /** One process of a proxy, started by {@code deploy/serve.sh} as the platform does. */
 final class ProxyProcess {
-  private static final String PRIVATE_PAGES = "VmRSS:";
-  private static final String MOST_PAGES = "VmHWM:";
+  private static final String RESIDENT_FIELD = "VmRSS:";
+  private static final String PEAK_RESIDENT_FIELD = "VmHWM:";
 
   /** The shell becomes the program once the guard knows its id; without a word it ends. */
-  private static final String GATED = "read -r go && exec sh deploy/serve.sh \"$@\" </dev/null";
+  private static final String GATED_SCRIPT =
+      "read -r go && exec sh deploy/serve.sh \"$@\" </dev/null";
 
-  private static final String INHERITING = "exec sh deploy/serve.sh \"$@\"";
+  private static final String INHERITING_SCRIPT = "exec sh deploy/serve.sh \"$@\"";
 
   private final int number;
   private final Process process;
   private final Path log;
-  private boolean stopped;
+  private boolean exitExpected;
 
   private ProxyProcess(int number, Process process, Path log) {
     this.number = number;
@@ -43,10 +44,10 @@
       Map<String, String> variables,
       List<String> arguments,
       InheritedListener listener,
-      Guard guard)
+      Watchdog guard)
       throws IOException {
     List<String> command = new ArrayList<>();
-    command.addAll(List.of("sh", "-c", listener == null ? GATED : INHERITING, "sh"));
+    command.addAll(List.of("sh", "-c", listener == null ? GATED_SCRIPT : INHERITING_SCRIPT, "sh"));
     command.addAll(arguments);
     ProcessBuilder builder =
         new ProcessBuilder(command)
@@ -61,7 +62,7 @@
       builder.redirectInput(listener.redirect());
     }
     Process process = builder.start();
-    guard.add(process.pid());
+    guard.track(process.pid());
     if (listener == null) {
       process.getOutputStream().write('\n');
       process.getOutputStream().close();
@@ -81,12 +82,12 @@
     return log;
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return process.isAlive();
   }
 
   /** Runs the task on some thread once the process has ended. */
-  void whenEnded(Runnable task) {
+  void onExit(Runnable task) {
     process.onExit().thenRun(task);
   }
 
@@ -95,24 +96,24 @@
   }
 
   /** Waits for its end. */
-  void join() throws InterruptedException {
+  void awaitExit() throws InterruptedException {
     process.waitFor();
   }
 
   /** It was told to end, in one way or another: that it ends is no surprise. */
-  void expectEnd() {
-    stopped = true;
+  void expectExit() {
+    exitExpected = true;
   }
 
-  boolean endExpected() {
-    return stopped;
+  boolean isExitExpected() {
+    return exitExpected;
   }
 
   // ------------------------------------------------- as the system counts it
 
   /** Descriptors that it holds; 0 once it has ended. */
-  int descriptors() {
-    try (DirectoryStream<Path> all = Files.newDirectoryStream(proc("fd"))) {
+  int openDescriptors() {
+    try (DirectoryStream<Path> all = Files.newDirectoryStream(procPath("fd"))) {
       int count = 0;
       for (Path one : all) {
         count++;
@@ -124,13 +125,13 @@
   }
 
   /** Most memory that was resident so far, in KiB; 0 once it has ended. */
-  long mostResident() {
-    return Math.max(status(MOST_PAGES), status(PRIVATE_PAGES));
+  long peakResidentKib() {
+    return Math.max(statusField(PEAK_RESIDENT_FIELD), statusField(RESIDENT_FIELD));
   }
 
-  private long status(String field) {
+  private long statusField(String field) {
     try {
-      for (String line : Files.readAllLines(proc("status"))) {
+      for (String line : Files.readAllLines(procPath("status"))) {
         if (line.startsWith(field)) {
           return Long.parseLong(line.replaceAll("\\D", ""));
         }
@@ -150,9 +151,9 @@
    * How long its threads have waited for a core, the one that waited most, in microseconds; 0 where
    * the system does not tell.
    */
-  long waitedForCore() {
+  long coreWaitMicros() {
     long most = 0;
-    try (DirectoryStream<Path> threads = Files.newDirectoryStream(proc("task"))) {
+    try (DirectoryStream<Path> threads = Files.newDirectoryStream(procPath("task"))) {
       for (Path thread : threads) {
         String[] parts = Files.readString(thread.resolve("schedstat")).trim().split(" ");
         most = Math.max(most, Long.parseLong(parts[1]) / 1_000);
@@ -163,7 +164,7 @@
     return most;
   }
 
-  private Path proc(String name) {
+  private Path procPath(String name) {
     return Path.of("/proc", String.valueOf(pid()), name);
   }
 }
--- a/src/main/java/brassbank/lab/RealProxy.java
+++ b/src/main/java/brassbank/lab/RealProxy.java
@@ -46,54 +46,54 @@
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** SIGKILL comes no earlier than this after SIGTERM, and may come later. */
-  private static final long KILL_LEAST = 3_700 * MILLI;
+  private static final long MIN_KILL_DELAY_MICROS = 3_700 * MILLI;
 
-  private static final long KILL_MOST = 4_200 * MILLI;
-  private static final long RESTART_LEAST = 200 * MILLI;
-  private static final long RESTART_MOST = 1_500 * MILLI;
+  private static final long MAX_KILL_DELAY_MICROS = 4_200 * MILLI;
+  private static final long MIN_RESTART_DELAY_MICROS = 200 * MILLI;
+  private static final long MAX_RESTART_DELAY_MICROS = 1_500 * MILLI;
 
   /** DAYS, Upgrades: the new process has so long to say yes. */
-  private static final long YES_WITHIN_MILLIS = 6_000;
+  private static final long UPGRADE_TIMEOUT_MILLIS = 6_000;
 
-  private static final long ASK_EVERY_MILLIS = 20;
-  private static final long START_WITHIN_MILLIS = 30_000;
+  private static final long POLL_INTERVAL_MILLIS = 20;
+  private static final long START_TIMEOUT_MILLIS = 30_000;
 
   /** What a process wrote before its end has passed the lab by then. */
-  private static final long LAST_WORDS = 50 * MILLI;
+  private static final long FINAL_OUTPUT_DELAY_MICROS = 50 * MILLI;
 
   /** A signal takes this long at most, and the process to run again. */
-  private static final long SIGNAL = 10 * MILLI;
+  private static final long SIGNAL_DELAY_MICROS = 10 * MILLI;
 
   /** Its view of the fleet is asked for this often. */
-  private static final long VIEW_EVERY = 100 * MILLI;
+  private static final long VIEW_INTERVAL_MICROS = 100 * MILLI;
 
   /** The file of what the platform's configuration does not know. */
-  private static final String OWN = "own.toml";
+  private static final String SUPPLEMENT_FILE = "own.toml";
 
   /** What all proxies of a lab share. */
-  record Lab(
-      Turner turner,
-      Helpers helpers,
-      Guard guard,
-      Loopback loopback,
-      Tamper tamper,
+  record SharedContext(
+      RealTimeDriver driver,
+      BackgroundTasks backgroundTasks,
+      Watchdog watchdog,
+      LoopbackAddresses loopback,
+      LinkTampering tampering,
       Path root,
       Path folder,
       Path logs) {}
 
-  private final Lab lab;
+  private final SharedContext shared;
   private final World world;
-  private final Site told;
+  private final Site site;
   private final String name;
   private final int rank;
   private final Machine machine;
   private final InetSocketAddress address;
   private final RandomStreams.Stream stream;
   private final ByteBuffer scratch;
-  private final List<Door> doors = new ArrayList<>();
-  private DatagramDoor datagramDoor;
-  private final Map<Machine, RealProxy> others = new LinkedHashMap<>();
-  private final Set<Splice> splices = new LinkedHashSet<>();
+  private final List<ProxiedPort> ports = new ArrayList<>();
+  private ProxiedDatagramPort datagramPort;
+  private final Map<Machine, RealProxy> peers = new LinkedHashMap<>();
+  private final Set<SocketBridge> bridges = new LinkedHashSet<>();
 
   /** Both are read by the meter's thread as well, and change seldom. */
   private final List<ProxyProcess> processes = new CopyOnWriteArrayList<>();
@@ -104,11 +104,11 @@
   private ProxyProcess process;
   private Program program;
   private Datagrams datagrams;
-  private String known;
+  private String lastKnownList;
   private boolean stopping;
-  private boolean listening;
-  private int started;
-  private long life;
+  private boolean isListening;
+  private int startedProcesses;
+  private long incarnation;
 
   /** Where it looks for its fleet; null where it is in none. */
   private List<RealProxy> seeds;
@@ -116,11 +116,11 @@
   private long viewProcess;
   private long viewVersion;
   private long pausedUntil;
-  private Agenda.Entry kill;
+  private Agenda.Entry killTimer;
   private volatile int descriptors;
 
   RealProxy(
-      Lab lab,
+      SharedContext lab,
       World world,
       Site told,
       String name,
@@ -128,9 +128,9 @@
       Machine machine,
       boolean inherits,
       ByteBuffer scratch) {
-    this.lab = lab;
+    this.shared = lab;
     this.world = world;
-    this.told = told;
+    this.site = told;
     this.name = name;
     this.rank = rank;
     this.machine = machine;
@@ -162,13 +162,13 @@
   }
 
   /** Where its process meets another proxy's streams. */
-  InetSocketAddress seen(RealProxy other) {
-    return lab.loopback().address(name, other.machine);
+  InetSocketAddress peerAddress(RealProxy other) {
+    return shared.loopback().address(name, other.machine);
   }
 
   /** Where all others meet it for datagrams. */
-  InetSocketAddress common() {
-    return lab.loopback().common(name);
+  InetSocketAddress datagramAddress() {
+    return shared.loopback().datagramAddress(name);
   }
 
   /** The files its processes have logged to, the oldest first. */
@@ -182,63 +182,63 @@
   }
 
   /** Whether its process takes connections. */
-  boolean listening() {
-    return listening;
+  boolean isListening() {
+    return isListening;
   }
 
   private Path folder() {
-    return lab.folder().resolve(name);
+    return shared.folder().resolve(name);
   }
 
   // ------------------------------------------------------------------- doors
 
   /** It meets this machine at this port; to be said before its first start. */
-  void meets(Machine other, int port) {
-    Door[] door = new Door[1];
+  void addPort(Machine other, int port) {
+    ProxiedPort[] door = new ProxiedPort[1];
     door[0] =
-        new Door(
-            lab.turner(),
+        new ProxiedPort(
+            shared.driver(),
             world.fabric(),
             machine,
             other,
             port,
-            lab.loopback().address(name, other),
-            channel -> opened(channel, door[0]));
-    doors.add(door[0]);
+            shared.loopback().address(name, other),
+            channel -> onProcessConnect(channel, door[0]));
+    ports.add(door[0]);
   }
 
   /** It is met for datagrams by all of these; to be said before its first start. */
-  void speaksWith(Map<SocketAddress, RealProxy> all) throws IOException {
-    datagramDoor =
-        new DatagramDoor(
-            lab.turner(),
-            common(),
+  void openDatagramPort(Map<SocketAddress, RealProxy> all) throws IOException {
+    datagramPort =
+        new ProxiedDatagramPort(
+            shared.driver(),
+            datagramAddress(),
             (from, bytes) -> {
               RealProxy sender = all.get(from);
               if (sender != null) {
-                sender.says(machine, bytes);
+                sender.sendDatagram(machine, bytes);
               }
             });
-    all.values().forEach(other -> others.put(other.machine, other));
+    all.values().forEach(other -> peers.put(other.machine, other));
   }
 
-  private void says(Machine to, byte[] bytes) {
+  private void sendDatagram(Machine to, byte[] bytes) {
     if (datagrams != null && bytes.length <= Datagrams.MOST_BYTES) {
-      for (int i = lab.tamper().copies(name); i > 0; i--) {
+      for (int i = shared.tampering().datagramCopies(name); i > 0; i--) {
         datagrams.send(to, PORT, bytes);
       }
     }
   }
 
-  private void hear() {
+  private void openStandInDatagrams() {
     try {
       datagrams =
           program.datagrams(
               PORT,
               (from, port, bytes) -> {
-                RealProxy sender = others.get(from);
+                RealProxy sender = peers.get(from);
                 if (sender != null) {
-                  sender.datagramDoor.deliver(address, bytes);
+                  sender.datagramPort.deliver(address, bytes);
                 }
               });
     } catch (IOException e) {
@@ -246,39 +246,39 @@
     }
   }
 
-  List<Door> doors() {
-    return doors;
+  List<ProxiedPort> ports() {
+    return ports;
   }
 
   /** The process has opened a connection. */
-  private void opened(SocketChannel channel, Door door) {
+  private void onProcessConnect(SocketChannel channel, ProxiedPort door) {
     if (program == null || !program.alive()) {
-      Splice.reset(channel);
+      SocketBridge.reset(channel);
       return;
     }
     program.connect(
-        new InetSocketAddress(lab.tamper().meant(door.to()).address(), door.port()),
+        new InetSocketAddress(shared.tampering().redirect(door.to()).address(), door.port()),
         new Program.Connected() {
           @Override
           public void up(Endpoint endpoint) {
-            join(channel, endpoint, lab.tamper()::said);
+            bridge(channel, endpoint, shared.tampering()::alter);
           }
 
           @Override
           public void failed(IOException cause) {
-            Splice.reset(channel);
+            SocketBridge.reset(channel);
           }
         });
   }
 
-  private void join(SocketChannel channel, Endpoint endpoint, UnaryOperator<byte[]> tampering) {
-    Splice splice = new Splice(channel, endpoint, scratch, tampering, splices::remove);
-    splices.add(splice);
-    splice.begin(lab.turner());
+  private void bridge(SocketChannel channel, Endpoint endpoint, UnaryOperator<byte[]> tampering) {
+    SocketBridge splice = new SocketBridge(channel, endpoint, scratch, tampering, bridges::remove);
+    bridges.add(splice);
+    splice.start(shared.driver());
   }
 
   /** Somebody of the site has connected to the proxy. */
-  private void take(Port port) {
+  private void acceptFromNetwork(Port port) {
     Endpoint endpoint = port.accept();
     if (endpoint == null) {
       return;
@@ -287,35 +287,36 @@
       SocketChannel channel = SocketChannel.open();
       channel.configureBlocking(false);
       if (channel.connect(address)) {
-        join(channel, endpoint, UnaryOperator.identity());
+        bridge(channel, endpoint, UnaryOperator.identity());
       } else {
-        lab.turner()
-            .register(channel, SelectionKey.OP_CONNECT, key -> connected(channel, endpoint, key));
+        shared
+            .driver()
+            .register(channel, SelectionKey.OP_CONNECT, key -> onConnected(channel, endpoint, key));
       }
     } catch (IOException e) {
       endpoint.reset();
     }
   }
 
-  private void connected(SocketChannel channel, Endpoint endpoint, SelectionKey key) {
+  private void onConnected(SocketChannel channel, Endpoint endpoint, SelectionKey key) {
     try {
       channel.finishConnect();
       key.interestOps(0);
-      join(channel, endpoint, UnaryOperator.identity());
+      bridge(channel, endpoint, UnaryOperator.identity());
     } catch (IOException e) {
-      Splice.reset(channel);
+      SocketBridge.reset(channel);
       endpoint.reset();
     }
   }
 
-  private void open() {
-    if (listening || program == null || !program.alive()) {
+  private void startListening() {
+    if (isListening || program == null || !program.alive()) {
       return;
     }
-    listening = true;
+    isListening = true;
     Port[] port = new Port[1];
     try {
-      port[0] = program.listen(PORT, BACKLOG, () -> take(port[0]));
+      port[0] = program.listen(PORT, BACKLOG, () -> acceptFromNetwork(port[0]));
     } catch (IOException e) {
       throw new LabException("the stand-in of " + name + " cannot listen", e);
     }
@@ -328,81 +329,85 @@
     if (program != null && program.alive()) {
       return;
     }
-    if (known == null) {
-      known = world.discovery().list(name);
+    if (lastKnownList == null) {
+      lastKnownList = world.discovery().list(name);
     }
     world.discovery().resetReported(name, true);
     stopping = false;
-    listening = false;
+    isListening = false;
     program = new Program(machine, name, 0, Integer.MAX_VALUE).passingOn();
-    if (datagrams == null || !lab.tamper().keepsClientsOf(name)) {
-      hear();
+    if (datagrams == null || !shared.tampering().survivesKill(name)) {
+      openStandInDatagrams();
     }
     world.publish(new Event.ProxyStarted(name));
     world
         .loadBalancer()
         .processStarted(name, machine, new InetSocketAddress(machine.address(), PORT));
-    long now = ++life;
+    long now = ++incarnation;
     List<ProxyProcess> before = List.copyOf(processes);
     spawn(
         before,
         next -> {
-          if (life != now) {
-            end(next);
+          if (incarnation != now) {
+            killProcess(next);
             return;
           }
           process = next;
-          lab.helpers()
-              .apart(
-                  () -> listens(next),
+          shared
+              .backgroundTasks()
+              .submit(
+                  () -> awaitListening(next),
                   up -> {
-                    if (life == now && up) {
-                      open();
+                    if (incarnation == now && up) {
+                      startListening();
                     }
                   },
-                  this::lost);
+                  this::reportFailure);
         });
   }
 
   /** Writes the file and starts a process, once those before it have given their place free. */
   private void spawn(List<ProxyProcess> before, Consumer<ProxyProcess> then) {
     String text = config(0);
-    int number = ++started;
-    Path log = lab.logs().resolve(name + "-" + number + ".log");
+    int number = ++startedProcesses;
+    Path log = shared.logs().resolve(name + "-" + number + ".log");
     logs.add(log);
-    InetSocketAddress management = lab.loopback().management(name, number);
+    InetSocketAddress management = shared.loopback().management(name, number);
     Map<String, String> variables = new LinkedHashMap<>();
     variables.put("LB_CONFIG", folder().resolve("config.json").toString());
     variables.put(
         "LB_MANAGEMENT", management.getAddress().getHostAddress() + ":" + management.getPort());
     List<String> arguments =
-        seeds == null ? List.of() : List.of("--config", folder().resolve(OWN).toString());
+        seeds == null
+            ? List.of()
+            : List.of("--config", folder().resolve(SUPPLEMENT_FILE).toString());
     variables.put("TMPDIR", folder().resolve("tmp").toString());
-    lab.helpers()
-        .apart(
+    shared
+        .backgroundTasks()
+        .submit(
             () -> {
               for (ProxyProcess one : before) {
-                one.join();
+                one.awaitExit();
               }
-              write(text);
+              writeConfig(text);
               return ProxyProcess.start(
-                  number, lab.root(), log, variables, arguments, listener, lab.guard());
+                  number, shared.root(), log, variables, arguments, listener, shared.watchdog());
             },
             next -> {
               processes.add(next);
-              next.whenEnded(() -> lab.turner().post(() -> ended(next)));
+              next.onExit(() -> shared.driver().post(() -> onProcessExit(next)));
               then.accept(next);
             },
-            this::lost);
+            this::reportFailure);
   }
 
-  private boolean listens(ProxyProcess next) throws IOException {
-    InetSocketAddress management = lab.loopback().management(name, next.number());
-    if (!becomes(
+  private boolean awaitListening(ProxyProcess next) throws IOException {
+    InetSocketAddress management = shared.loopback().management(name, next.number());
+    if (!poll(
         next,
-        START_WITHIN_MILLIS,
-        () -> listener == null ? Call.listens(address) : saysYes(management))) {
-      if (next.alive()) {
+        START_TIMEOUT_MILLIS,
+        () -> listener == null ? ManagementCall.isListening(address) : isReady(management))) {
+      if (next.isAlive()) {
         throw new IOException("it does not listen");
       }
       return false;
@@ -411,32 +416,32 @@
   }
 
   /** Asks again and again, for so long and while the process lives; on a helper's thread. */
-  private boolean becomes(ProxyProcess next, long millis, BooleanSupplier asked) {
-    long until = lab.turner().nanos() + millis * NANOS_PER_MILLI;
-    while (next.alive() && lab.turner().nanos() < until) {
+  private boolean poll(ProxyProcess next, long millis, BooleanSupplier asked) {
+    long until = shared.driver().nanos() + millis * NANOS_PER_MILLI;
+    while (next.isAlive() && shared.driver().nanos() < until) {
       if (asked.getAsBoolean()) {
         return true;
       }
-      Helpers.pause(ASK_EVERY_MILLIS);
+      BackgroundTasks.sleep(POLL_INTERVAL_MILLIS);
     }
     return false;
   }
 
-  private static boolean saysYes(InetSocketAddress management) {
+  private static boolean isReady(InetSocketAddress management) {
     try {
-      return Call.yes(management, "GET", "/status");
+      return ManagementCall.isAccepted(management, "GET", "/status");
     } catch (IOException e) {
       return false;
     }
   }
 
-  private void lost(Exception cause) {
+  private void reportFailure(Exception cause) {
     world.publish(new Event.ProxyFailed(name, "the lab could not go on with it: " + cause));
   }
 
   private String config(int further) {
     return ProxyConfig.text(
-        told,
+        site,
         name,
         rank,
         machine.zone(),
@@ -444,65 +449,68 @@
         world.discovery().address(name, further),
         stream.bits(),
         world.site().sockets(),
-        known);
+        lastKnownList);
   }
 
   /** At once for whoever reads: the file is never seen half written. */
-  private void write(String text) throws IOException {
+  private void writeConfig(String text) throws IOException {
     Path file = folder().resolve("config.json");
     Path next = folder().resolve("config.json.next");
     Files.writeString(next, text);
     Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  private void end(ProxyProcess one) {
-    one.expectEnd();
-    if (one.alive()) {
-      lab.guard().signal("KILL", one.pid());
+  private void killProcess(ProxyProcess one) {
+    one.expectExit();
+    if (one.isAlive()) {
+      shared.watchdog().signal("KILL", one.pid());
     }
   }
 
   /** A process has ended, by itself or not. */
-  private void ended(ProxyProcess one) {
+  private void onProcessExit(ProxyProcess one) {
     processes.remove(one);
-    lab.guard().drop(one.pid());
-    if (one == process && listening && processes.isEmpty()) {
-      List.copyOf(splices).forEach(Splice::fromReal);
+    shared.watchdog().untrack(one.pid());
+    if (one == process && isListening && processes.isEmpty()) {
+      List.copyOf(bridges).forEach(SocketBridge::readFromProcess);
     }
-    if (!one.endExpected()) {
+    if (!one.isExitExpected()) {
       world.publish(
           new Event.ProxyFailed(
               name, "process " + one.number() + " ended by itself, status " + one.exitStatus()));
     }
-    if (one == process && stopping && kill != null && program.alive()) {
+    if (one == process && stopping && killTimer != null && program.alive()) {
       int status = one.exitStatus();
-      kill.cancel();
+      killTimer.cancel();
       program.stopListening();
-      world.agenda().after(LAST_WORDS, () -> exited(status));
+      world.agenda().after(FINAL_OUTPUT_DELAY_MICROS, () -> onPlannedExit(status));
     }
   }
 
-  private void exited(int status) {
-    known = world.discovery().list(name);
-    kill = null;
+  private void onPlannedExit(int status) {
+    lastKnownList = world.discovery().list(name);
+    killTimer = null;
     program.exit();
-    life++;
+    incarnation++;
     world.publish(new Event.ProxyExited(name, status));
-    world.agenda().after(stream.micros(RESTART_LEAST, RESTART_MOST), () -> start(false));
+    world
+        .agenda()
+        .after(
+            stream.micros(MIN_RESTART_DELAY_MICROS, MAX_RESTART_DELAY_MICROS), () -> start(false));
   }
 
   // -------------------------------------------------------------- membership
 
   /** Its processes share the fleet's budgets, and leave in turn. */
-  private boolean sharing;
+  private boolean sharesBudgets;
 
   /** Its processes join a fleet, which they look for at these proxies' places. */
-  void joins(List<RealProxy> others, Plan plan) throws IOException {
+  void joinFleet(List<RealProxy> others, Plan plan) throws IOException {
     seeds = List.copyOf(others);
-    sharing = plan.shares();
+    sharesBudgets = plan.shares();
     StringBuilder text = new StringBuilder("[membership]\nfleet = \"lab\"\n");
-    text.append("advertise = \"").append(text(common())).append("\"\nseeds = [");
-    seeds.forEach(other -> text.append('"').append(text(other.common())).append("\","));
+    text.append("advertise = \"").append(text(datagramAddress())).append("\"\nseeds = [");
+    seeds.forEach(other -> text.append('"').append(text(other.datagramAddress())).append("\","));
     text.append("]\n");
     if (plan.shares()) {
       text.append("[shares]\nbase = ").append(LeaseSettings.DEFAULT_BASE_SHARE).append('\n');
@@ -510,7 +518,7 @@
     if (plan.subsets()) {
       text.append("[subsets]\naskers = ").append(plan.askers()).append('\n');
     }
-    Files.writeString(folder().resolve(OWN), text.toString());
+    Files.writeString(folder().resolve(SUPPLEMENT_FILE), text.toString());
   }
 
   private static String text(InetSocketAddress address) {
@@ -520,14 +528,17 @@
   /** Asks its process whom it sees, again and again, from the start on. */
   void watchView() {
     ProxyProcess asked = process;
-    if (asked == null || !listening || !asked.alive()) {
-      world.agenda().after(VIEW_EVERY, this::watchView);
+    if (asked == null || !isListening || !asked.isAlive()) {
+      world.agenda().after(VIEW_INTERVAL_MICROS, this::watchView);
       return;
     }
-    InetSocketAddress management = lab.loopback().management(name, asked.number());
-    lab.helpers()
-        .apart(
-            () -> SeenView.of(name, asked.number(), Call.text(management, "/members")),
+    InetSocketAddress management = shared.loopback().management(name, asked.number());
+    shared
+        .backgroundTasks()
+        .submit(
+            () ->
+                MemberViewParser.parse(
+                    name, asked.number(), ManagementCall.fetchText(management, "/members")),
             view -> {
               if (view != null
                   && asked == process
@@ -536,18 +547,18 @@
                 viewVersion = view.version();
                 world.publish(view);
               }
-              world.agenda().after(VIEW_EVERY, this::watchView);
+              world.agenda().after(VIEW_INTERVAL_MICROS, this::watchView);
             },
-            gone -> world.agenda().after(VIEW_EVERY, this::watchView));
+            gone -> world.agenda().after(VIEW_INTERVAL_MICROS, this::watchView));
   }
 
   @Override
   public boolean isMember() {
-    return seeds != null && serving();
+    return seeds != null && isServing();
   }
 
-  private boolean serving() {
-    return listening && !stopping && process != null && process.alive();
+  private boolean isServing() {
+    return isListening && !stopping && process != null && process.isAlive();
   }
 
   // ------------------------------------------------------------------ faults
@@ -555,17 +566,17 @@
   @Override
   public void crash(long downFor) {
     if (program != null && program.alive()) {
-      known = world.discovery().list(name);
+      lastKnownList = world.discovery().list(name);
       stopping = true;
-      listening = false;
-      life++;
-      if (lab.tamper().keepsClientsOf(name)) {
+      isListening = false;
+      incarnation++;
+      if (shared.tampering().survivesKill(name)) {
         program.stopListening();
         program = null;
       } else {
-        processes.forEach(this::end);
+        processes.forEach(this::killProcess);
         program.kill();
-        List.copyOf(splices).forEach(splice -> splice.abandon(lab.turner()));
+        List.copyOf(bridges).forEach(splice -> splice.abandon(shared.driver()));
       }
       world.loadBalancer().processFailed(name);
       world.publish(new Event.ProxyKilled(name, false));
@@ -582,58 +593,68 @@
 
   @Override
   public void restart() {
-    if (!serving()) {
+    if (!isServing()) {
       return;
     }
     stopping = true;
     ProxyProcess old = process;
-    old.expectEnd();
+    old.expectExit();
     world.publish(new Event.ProxyTerminated(name));
     world.loadBalancer().shutdownStarted(name);
-    kill = world.agenda().after(stream.micros(KILL_LEAST, KILL_MOST), () -> overdue(old));
-    lab.guard().signal("TERM", old.pid());
-  }
-
-  private void overdue(ProxyProcess old) {
-    if (old.alive()) {
-      known = world.discovery().list(name);
-      kill = null;
-      life++;
-      end(old);
+    killTimer =
+        world
+            .agenda()
+            .after(
+                stream.micros(MIN_KILL_DELAY_MICROS, MAX_KILL_DELAY_MICROS),
+                () -> killOverdue(old));
+    shared.watchdog().signal("TERM", old.pid());
+  }
+
+  private void killOverdue(ProxyProcess old) {
+    if (old.isAlive()) {
+      lastKnownList = world.discovery().list(name);
+      killTimer = null;
+      incarnation++;
+      killProcess(old);
       program.kill();
-      List.copyOf(splices).forEach(Splice::breakBoth);
+      List.copyOf(bridges).forEach(SocketBridge::resetBoth);
       world.publish(new Event.ProxyKilled(name, true));
-      world.agenda().after(stream.micros(RESTART_LEAST, RESTART_MOST), () -> start(false));
+      world
+          .agenda()
+          .after(
+              stream.micros(MIN_RESTART_DELAY_MICROS, MAX_RESTART_DELAY_MICROS),
+              () -> start(false));
     }
   }
 
   @Override
   public void standby(long awayFor) {
-    if (!serving()) {
+    if (!isServing()) {
       return;
     }
     ProxyProcess called = process;
-    InetSocketAddress management = lab.loopback().management(name, called.number());
-    if (sharing) {
-      lab.helpers()
-          .apart(
-              () -> Call.yes(management, "PUT", "/standby"),
+    InetSocketAddress management = shared.loopback().management(name, called.number());
+    if (sharesBudgets) {
+      shared
+          .backgroundTasks()
+          .submit(
+              () -> ManagementCall.isAccepted(management, "PUT", "/standby"),
               yes -> {
                 if (yes) {
-                  away(called, management, awayFor);
+                  onStandby(called, management, awayFor);
                 } else {
                   world.publish(new Event.ProxyPutOff(name));
                 }
               },
-              this::lost);
+              this::reportFailure);
       return;
     }
-    away(called, management, awayFor);
+    onStandby(called, management, awayFor);
     call(management, "/standby", () -> {});
   }
 
   /** Its clients are sent away from here on. */
-  private void away(ProxyProcess called, InetSocketAddress management, long awayFor) {
+  private void onStandby(ProxyProcess called, InetSocketAddress management, long awayFor) {
     world.publish(new Event.ProxyOnStandby(name));
     world.loadBalancer().shutdownStarted(name);
     world
@@ -641,7 +662,7 @@
         .after(
             awayFor,
             () -> {
-              if (serving() && process == called) {
+              if (isServing() && process == called) {
                 call(
                     management,
                     "/active",
@@ -654,9 +675,10 @@
   }
 
   private void call(InetSocketAddress management, String path, Runnable then) {
-    lab.helpers()
-        .apart(
-            () -> Call.yes(management, "PUT", path),
+    shared
+        .backgroundTasks()
+        .submit(
+            () -> ManagementCall.isAccepted(management, "PUT", path),
             yes -> {
               if (yes) {
                 then.run();
@@ -664,50 +686,51 @@
                 world.publish(new Event.ProxyFailed(name, "PUT " + path + " was answered no"));
               }
             },
-            this::lost);
+            this::reportFailure);
   }
 
   @Override
   public void upgrade() {
-    if (listener == null || !serving() || processes.size() > 1) {
+    if (listener == null || !isServing() || processes.size() > 1) {
       return;
     }
     ProxyProcess old = process;
-    long now = life;
+    long now = incarnation;
     spawn(
         List.of(),
         next ->
-            lab.helpers()
-                .apart(
-                    () -> upgraded(next),
+            shared
+                .backgroundTasks()
+                .submit(
+                    () -> awaitReady(next),
                     yes -> {
-                      if (life != now) {
-                        end(next);
-                      } else if (yes && old.alive()) {
+                      if (incarnation != now) {
+                        killProcess(next);
+                      } else if (yes && old.isAlive()) {
                         process = next;
-                        leave(old);
+                        terminate(old);
                       } else {
-                        end(next);
+                        killProcess(next);
                       }
                     },
-                    this::lost));
+                    this::reportFailure));
   }
 
-  private boolean upgraded(ProxyProcess next) {
-    InetSocketAddress management = lab.loopback().management(name, next.number());
-    return becomes(next, YES_WITHIN_MILLIS, () -> saysYes(management));
+  private boolean awaitReady(ProxyProcess next) {
+    InetSocketAddress management = shared.loopback().management(name, next.number());
+    return poll(next, UPGRADE_TIMEOUT_MILLIS, () -> isReady(management));
   }
 
-  private void leave(ProxyProcess old) {
-    old.expectEnd();
-    lab.guard().signal("TERM", old.pid());
+  private void terminate(ProxyProcess old) {
+    old.expectExit();
+    shared.watchdog().signal("TERM", old.pid());
     world
         .agenda()
         .after(
-            stream.micros(KILL_LEAST, KILL_MOST),
+            stream.micros(MIN_KILL_DELAY_MICROS, MAX_KILL_DELAY_MICROS),
             () -> {
-              if (old.alive()) {
-                end(old);
+              if (old.isAlive()) {
+                killProcess(old);
                 world.publish(new Event.ProxyKilled(name, true));
               }
             });
@@ -715,33 +738,34 @@
 
   @Override
   public void hangUp(int further) {
-    if (serving()) {
+    if (isServing()) {
       hangUp(config(further), () -> world.publish(new Event.ProxyHungUp(name, further > 0)));
     }
   }
 
   @Override
   public void hangUpDamaged() {
-    if (serving()) {
+    if (isServing()) {
       hangUp(ProxyConfig.damaged(config(1)), () -> {});
     }
   }
 
   private void hangUp(String text, Runnable sent) {
     ProxyProcess asked = process;
-    lab.helpers()
-        .apart(
+    shared
+        .backgroundTasks()
+        .submit(
             () -> {
-              write(text);
+              writeConfig(text);
               return true;
             },
             done -> {
-              if (asked.alive()) {
+              if (asked.isAlive()) {
                 sent.run();
-                processes.forEach(one -> lab.guard().signal("HUP", one.pid()));
+                processes.forEach(one -> shared.watchdog().signal("HUP", one.pid()));
               }
             },
-            this::lost);
+            this::reportFailure);
   }
 
   @Override
@@ -756,17 +780,17 @@
       return;
     }
     long until = world.now() + micros;
-    pausedUntil = Math.max(pausedUntil, until + SIGNAL);
-    stopped.forEach(one -> lab.guard().signal("STOP", one.pid()));
+    pausedUntil = Math.max(pausedUntil, until + SIGNAL_DELAY_MICROS);
+    stopped.forEach(one -> shared.watchdog().signal("STOP", one.pid()));
     world
         .agenda()
         .at(
             until,
             () -> {
-              if (world.now() + SIGNAL >= pausedUntil) {
+              if (world.now() + SIGNAL_DELAY_MICROS >= pausedUntil) {
                 stopped.stream()
-                    .filter(ProxyProcess::alive)
-                    .forEach(one -> lab.guard().signal("CONT", one.pid()));
+                    .filter(ProxyProcess::isAlive)
+                    .forEach(one -> shared.watchdog().signal("CONT", one.pid()));
               }
             });
   }
@@ -788,14 +812,14 @@
 
   /** Ends what lives of it. */
   void close() {
-    processes.forEach(this::end);
-    List.copyOf(splices).forEach(Splice::breakBoth);
+    processes.forEach(this::killProcess);
+    List.copyOf(bridges).forEach(SocketBridge::resetBoth);
     try {
-      for (Door door : doors) {
+      for (ProxiedPort door : ports) {
         door.close();
       }
-      if (datagramDoor != null) {
-        datagramDoor.close();
+      if (datagramPort != null) {
+        datagramPort.close();
       }
       if (listener != null) {
         listener.close();
--- a/src/main/java/brassbank/lab/Turner.java
+++ b/src/main/java/brassbank/lab/RealTimeDriver.java
@@ -18,22 +18,22 @@
  * late each task of the agenda ran is measured. Only {@link #post} and {@link #nanos} may be called
  * from other threads.
  */
-final class Turner implements AutoCloseable {
+final class RealTimeDriver implements AutoCloseable {
   private static final long NANOS_PER_MICRO = 1_000;
 
   /** Sockets are looked at this often at least, in microseconds, however much is due. */
-  private static final long LOOK_AT_SOCKETS = 1_000;
+  private static final long MAX_POLL_INTERVAL_MICROS = 1_000;
 
   /** The selector waits in whole milliseconds: shorter waits are slept in parts. */
-  private static final long SHORTEST_SELECT = 2_000;
+  private static final long MIN_SELECT_MICROS = 2_000;
 
-  private static final long LONGEST_SELECT_MILLIS = 20;
-  private static final int IDLE_AT_ONCE = 16;
-  private static final long NAP_NANOS = 60_000;
+  private static final long MAX_SELECT_MILLIS = 20;
+  private static final int MAX_IDLE_TASKS_PER_ITERATION = 16;
+  private static final long MAX_PARK_NANOS = 60_000;
 
   /** Who is told what a socket is ready for. */
-  interface Ready {
-    void ready(SelectionKey key);
+  interface ReadyHandler {
+    void onReady(SelectionKey key);
   }
 
   private final Agenda agenda;
@@ -41,26 +41,26 @@
   private final Clock clock = new SystemClock();
   private final Selector selector;
   private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
-  private boolean begun;
-  private final Deque<Runnable> idle = new ArrayDeque<>();
-  private long origin;
-  private long lookedAt;
+  private boolean clockStarted;
+  private final Deque<Runnable> idleTasks = new ArrayDeque<>();
+  private long originNanos;
+  private long lastPollMicros;
 
-  Turner(Agenda agenda, Lateness lateness) throws IOException {
+  RealTimeDriver(Agenda agenda, Lateness lateness) throws IOException {
     this.agenda = agenda;
     this.lateness = lateness;
     selector = Selector.open();
   }
 
   /** From here on time goes by; it was 0 until now. */
-  void begin() {
-    begun = true;
-    origin = clock.nanos();
+  void startClock() {
+    clockStarted = true;
+    originNanos = clock.nanos();
   }
 
-  /** Microseconds since {@link #begin}. */
-  long now() {
-    return (clock.nanos() - origin) / NANOS_PER_MICRO;
+  /** Microseconds since {@link #startClock}. */
+  long nowMicros() {
+    return (clock.nanos() - originNanos) / NANOS_PER_MICRO;
   }
 
   /** The monotonic clock; from any thread. */
@@ -76,65 +76,66 @@
 
   /** Runs a task of the turner's thread when there is time, a few in a turn. */
   void whenIdle(Runnable task) {
-    idle.add(task);
+    idleTasks.add(task);
   }
 
   /** The channel must not block; whoever registers it closes it. */
-  SelectionKey register(SelectableChannel channel, int interest, Ready ready) throws IOException {
+  SelectionKey register(SelectableChannel channel, int interest, ReadyHandler ready)
+      throws IOException {
     return channel.register(selector, interest, ready);
   }
 
   /** Tells of sockets and posted tasks while time has not begun; one look. */
-  void lookOnly() throws IOException {
-    selector.select(this::tell, LONGEST_SELECT_MILLIS);
+  void pollWithoutClock() throws IOException {
+    selector.select(this::dispatch, MAX_SELECT_MILLIS);
     for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
       task.run();
     }
   }
 
   /** One turn: all that is due, then the sockets, with a wait where nothing is to be done. */
-  void turn() throws IOException {
-    for (long now = now(); agenda.nextDue() <= now; now = now()) {
+  void runOnce() throws IOException {
+    for (long now = nowMicros(); agenda.nextDue() <= now; now = nowMicros()) {
       long due = agenda.nextDue();
       if (agenda.step(now)) {
-        lateness.ran(now, Math.max(0, now - due));
+        lateness.record(now, Math.max(0, now - due));
       }
-      if (now - lookedAt > LOOK_AT_SOCKETS) {
-        look(0);
+      if (now - lastPollMicros > MAX_POLL_INTERVAL_MICROS) {
+        poll(0);
       }
     }
-    agenda.step(Math.min(now(), agenda.nextDue() - 1));
-    for (int i = 0; i < IDLE_AT_ONCE && !idle.isEmpty(); i++) {
-      idle.remove().run();
+    agenda.step(Math.min(nowMicros(), agenda.nextDue() - 1));
+    for (int i = 0; i < MAX_IDLE_TASKS_PER_ITERATION && !idleTasks.isEmpty(); i++) {
+      idleTasks.remove().run();
     }
-    look(idle.isEmpty() ? agenda.nextDue() - now() : 0);
+    poll(idleTasks.isEmpty() ? agenda.nextDue() - nowMicros() : 0);
   }
 
-  private void look(long waitMicros) throws IOException {
-    if (waitMicros >= SHORTEST_SELECT && posted.isEmpty()) {
-      selector.select(this::tell, Math.min(waitMicros / 1_000 - 1, LONGEST_SELECT_MILLIS));
-    } else if (selector.selectNow(this::tell) == 0 && waitMicros > 0 && posted.isEmpty()) {
-      LockSupport.parkNanos(Math.min(waitMicros * NANOS_PER_MICRO, NAP_NANOS));
+  private void poll(long waitMicros) throws IOException {
+    if (waitMicros >= MIN_SELECT_MICROS && posted.isEmpty()) {
+      selector.select(this::dispatch, Math.min(waitMicros / 1_000 - 1, MAX_SELECT_MILLIS));
+    } else if (selector.selectNow(this::dispatch) == 0 && waitMicros > 0 && posted.isEmpty()) {
+      LockSupport.parkNanos(Math.min(waitMicros * NANOS_PER_MICRO, MAX_PARK_NANOS));
     }
-    lookedAt = now();
+    lastPollMicros = nowMicros();
     for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
       task.run();
     }
   }
 
-  private void tell(SelectionKey key) {
+  private void dispatch(SelectionKey key) {
     // What is told first may have ended what is told now.
     if (key.isValid()) {
-      if (begun) {
-        agenda.step(Math.min(now(), agenda.nextDue() - 1));
+      if (clockStarted) {
+        agenda.step(Math.min(nowMicros(), agenda.nextDue() - 1));
       }
-      ((Ready) key.attachment()).ready(key);
+      ((ReadyHandler) key.attachment()).onReady(key);
     }
   }
 
   @Override
   public void close() throws IOException {
-    idle.forEach(Runnable::run);
+    idleTasks.forEach(Runnable::run);
     selector.close();
   }
 }
--- a/src/main/java/brassbank/lab/Report.java
+++ b/src/main/java/brassbank/lab/Report.java
@@ -31,10 +31,11 @@
             "memory MB",
             "descriptors"));
     outcome
-        .uses()
+        .resourceUsage()
         .forEach(
             (proxy, use) -> {
-              Tally.Count count = outcome.tallies().getOrDefault(proxy, new Tally.Count());
+              ClientStatistics.ProxyCounts count =
+                  outcome.clientCounts().getOrDefault(proxy, new ClientStatistics.ProxyCounts());
               text.append(
                   String.format(
                       Locale.ROOT,
@@ -46,10 +47,10 @@
                       count.unanswered(),
                       count.moved,
                       use.processorSeconds,
-                      use.mostResidentKib / 1024.0,
-                      use.mostDescriptors));
+                      use.peakResidentKib / 1024.0,
+                      use.peakDescriptors));
             });
-    text.append(String.format("%n%s%n", outcome.service()));
+    text.append(String.format("%n%s%n", outcome.serviceSummary()));
     if (!outcome.breaches().isEmpty()) {
       Breach first = outcome.breaches().get(0);
       text.append(String.format("%nfirst breach: %s%n", first));
@@ -62,28 +63,29 @@
                 + " %.1f s of processor time",
             outcome.plan().seed(),
             verdict(outcome),
-            outcome.late() / 1e3,
-            Lab.seconds(outcome.lateAt()),
-            outcome.lateUsual() / 1e3,
+            outcome.maxLatenessMicros() / 1e3,
+            Lab.seconds(outcome.maxLatenessAtMicros()),
+            outcome.lateness999Micros() / 1e3,
             outcome.labProcessorSeconds()));
     return text.toString();
   }
 
   private static String verdict(Lab.Outcome outcome) {
-    if (outcome.tooLate()) {
+    if (outcome.isVoid()) {
       return "void, twice: nothing is said of the rules";
     }
-    return outcome.sound() ? "all rules hold" : "a rule is broken";
+    return outcome.holdsAllRules() ? "all rules hold" : "a rule is broken";
   }
 
   static String json(Lab.Outcome outcome) {
     JsonObject json = new JsonObject();
     json.addProperty("seed", outcome.plan().seed());
-    json.addProperty("verdict", outcome.tooLate() ? "void" : outcome.sound() ? "holds" : "broken");
-    json.addProperty("served_share", Math.round(outcome.share() * 1e5) / 1e5);
-    json.addProperty("late_most_ms", outcome.late() / 1e3);
-    json.addProperty("late_most_at_s", Lab.seconds(outcome.lateAt()));
-    json.addProperty("late_99_9_ms", outcome.lateUsual() / 1e3);
+    json.addProperty(
+        "verdict", outcome.isVoid() ? "void" : outcome.holdsAllRules() ? "holds" : "broken");
+    json.addProperty("served_share", Math.round(outcome.servedShare() * 1e5) / 1e5);
+    json.addProperty("late_most_ms", outcome.maxLatenessMicros() / 1e3);
+    json.addProperty("late_most_at_s", Lab.seconds(outcome.maxLatenessAtMicros()));
+    json.addProperty("late_99_9_ms", outcome.lateness999Micros() / 1e3);
     json.addProperty("lab_processor_s", Math.round(outcome.labProcessorSeconds() * 10) / 10.0);
     JsonObject rules = new JsonObject();
     outcome.counts().forEach(rules::addProperty);
@@ -101,8 +103,10 @@
     outcome.breachLog().forEach(log::add);
     json.add("breach_log", log);
     JsonObject proxies = new JsonObject();
-    for (Map.Entry<String, Meter.Use> entry : outcome.uses().entrySet()) {
-      Tally.Count count = outcome.tallies().getOrDefault(entry.getKey(), new Tally.Count());
+    for (Map.Entry<String, ProcessMonitor.ResourceUsage> entry :
+        outcome.resourceUsage().entrySet()) {
+      ClientStatistics.ProxyCounts count =
+          outcome.clientCounts().getOrDefault(entry.getKey(), new ClientStatistics.ProxyCounts());
       JsonObject one = new JsonObject();
       one.addProperty("flows", count.sent);
       one.addProperty("served", count.served);
@@ -110,9 +114,9 @@
       one.addProperty("unanswered", count.unanswered());
       one.addProperty("moved", count.moved);
       one.addProperty("processor_s", Math.round(entry.getValue().processorSeconds * 100) / 100.0);
-      one.addProperty("resident_kib", entry.getValue().mostResidentKib);
-      one.addProperty("descriptors", entry.getValue().mostDescriptors);
-      one.addProperty("waited_for_core_ms", entry.getValue().waitedMicros / 1e3);
+      one.addProperty("resident_kib", entry.getValue().peakResidentKib);
+      one.addProperty("descriptors", entry.getValue().peakDescriptors);
+      one.addProperty("waited_for_core_ms", entry.getValue().coreWaitMicros / 1e3);
       proxies.add(entry.getKey(), one);
     }
     json.add("proxies", proxies);
@@ -120,7 +124,7 @@
   }
 
   /** Where to look at a site that is left standing. */
-  static String standing(Lab lab) {
+  static String describeKeptSite(Lab lab) {
     StringBuilder text = new StringBuilder("the site stands until Ctrl-C; its files: ");
     text.append(lab.folder()).append('\n');
     lab.proxies()
--- a/src/main/java/brassbank/lab/Splice.java
+++ b/src/main/java/brassbank/lab/SocketBridge.java
@@ -16,28 +16,28 @@
  * and resets pass both ways, as far as the windows of both sides allow. It owns both halves and
  * gives them back together.
  */
-final class Splice implements Endpoint.Handler, Turner.Ready {
+final class SocketBridge implements Endpoint.Handler, RealTimeDriver.ReadyHandler {
   private static final int READ_SIZE = 16 * 1024;
 
   /** One connection may not keep the others waiting. */
-  private static final int READS_AT_ONCE = 8;
+  private static final int MAX_READS_PER_EVENT = 8;
 
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY = {};
 
   private final SocketChannel channel;
   private final Endpoint endpoint;
-  private final Consumer<Splice> over;
+  private final Consumer<SocketBridge> closeListener;
   private final ByteBuffer scratch;
   private final UnaryOperator<byte[]> tampering;
   private SelectionKey key;
 
   /** What one side has given and the other has not taken yet. */
-  private byte[] toSim = NOTHING;
+  private byte[] pendingToNetwork = EMPTY;
 
-  private byte[] toReal = NOTHING;
-  private boolean realEnded;
-  private boolean simEnded;
-  private boolean ended;
+  private byte[] pendingToProcess = EMPTY;
+  private boolean processEnded;
+  private boolean networkEnded;
+  private boolean closed;
 
   /**
    * Joins two halves that both stand.
@@ -46,29 +46,29 @@
    * @param tampering what goes on of what the process has written
    * @param over is told once, when both halves have been given back
    */
-  Splice(
+  SocketBridge(
       SocketChannel channel,
       Endpoint endpoint,
       ByteBuffer scratch,
       UnaryOperator<byte[]> tampering,
-      Consumer<Splice> over) {
+      Consumer<SocketBridge> over) {
     this.channel = channel;
     this.endpoint = endpoint;
     this.scratch = scratch;
     this.tampering = tampering;
-    this.over = over;
+    this.closeListener = over;
   }
 
   static int scratchSize() {
     return READ_SIZE;
   }
 
-  void begin(Turner turner) {
+  void start(RealTimeDriver turner) {
     try {
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
       key = turner.register(channel, SelectionKey.OP_READ, this);
     } catch (IOException e) {
-      breakBoth();
+      resetBoth();
       return;
     }
     endpoint.handler(this);
@@ -77,68 +77,70 @@
   // ----------------------------------------------------- from the real process
 
   @Override
-  public void ready(SelectionKey ready) {
+  public void onReady(SelectionKey ready) {
     if (ready.isWritable()) {
-      flushToReal();
+      flushToProcess();
     }
-    if (!ended && key.isValid() && (ready.readyOps() & SelectionKey.OP_READ) != 0) {
-      fromReal();
+    if (!closed && key.isValid() && (ready.readyOps() & SelectionKey.OP_READ) != 0) {
+      readFromProcess();
     }
   }
 
   /** Takes what the process has written, and its end. */
-  void fromReal() {
+  void readFromProcess() {
     try {
-      for (int i = 0; i < READS_AT_ONCE && !ended && toSim.length == 0 && !realEnded; i++) {
+      for (int i = 0;
+          i < MAX_READS_PER_EVENT && !closed && pendingToNetwork.length == 0 && !processEnded;
+          i++) {
         scratch.clear();
         int count = channel.read(scratch);
         if (count == 0) {
           break;
         }
         if (count < 0) {
-          realEnded = true;
+          processEnded = true;
           key.interestOpsAnd(~SelectionKey.OP_READ);
         } else {
           byte[] said = tampering.apply(Arrays.copyOf(scratch.array(), count));
           int taken = endpoint.write(said, 0, said.length);
           if (taken < said.length) {
-            toSim = Arrays.copyOfRange(said, taken, said.length);
+            pendingToNetwork = Arrays.copyOfRange(said, taken, said.length);
             key.interestOpsAnd(~SelectionKey.OP_READ);
             endpoint.writing(true);
           }
         }
       }
-      if (realEnded && toSim.length == 0) {
-        passRealEnd();
+      if (processEnded && pendingToNetwork.length == 0) {
+        forwardProcessEndOfStream();
       }
     } catch (ResetException e) {
-      breakBoth();
+      resetBoth();
     } catch (IOException e) {
       // The process, or its kernel for it, has reset the connection.
-      breakBoth();
+      resetBoth();
     }
   }
 
-  private void passRealEnd() throws ResetException {
+  private void forwardProcessEndOfStream() throws ResetException {
     endpoint.shutdownOutput();
-    endIfBoth();
+    closeIfBothEnded();
   }
 
   @Override
   public void writable() {
     try {
-      int taken = endpoint.write(toSim, 0, toSim.length);
-      toSim = Arrays.copyOfRange(toSim, taken, toSim.length);
-      if (toSim.length == 0) {
+      int taken = endpoint.write(pendingToNetwork, 0, pendingToNetwork.length);
+      pendingToNetwork = Arrays.copyOfRange(pendingToNetwork, taken, pendingToNetwork.length);
+      if (pendingToNetwork.length == 0) {
         endpoint.writing(false);
-        if (realEnded) {
-          passRealEnd();
+        if (processEnded) {
+          forwardProcessEndOfStream();
         } else {
           key.interestOpsOr(SelectionKey.OP_READ);
         }
       }
     } catch (ResetException e) {
-      breakBoth();
+      resetBoth();
     }
   }
 
@@ -146,7 +148,7 @@
 
   @Override
   public void readable() {
-    if (toReal.length > 0) {
+    if (pendingToProcess.length > 0) {
       endpoint.reading(false);
       return;
     }
@@ -154,72 +156,72 @@
       int count = endpoint.read(READ_SIZE);
       if (count < 0) {
         endpoint.reading(false);
-        simEnded = true;
+        networkEnded = true;
         channel.shutdownOutput();
-        endIfBoth();
+        closeIfBothEnded();
       } else {
-        toReal = Arrays.copyOf(endpoint.lastRead(), count);
-        flushToReal();
+        pendingToProcess = Arrays.copyOf(endpoint.lastRead(), count);
+        flushToProcess();
       }
     } catch (ResetException e) {
-      breakBoth();
+      resetBoth();
     } catch (IOException e) {
-      breakBoth();
+      resetBoth();
     }
   }
 
-  private void flushToReal() {
-    if (ended) {
+  private void flushToProcess() {
+    if (closed) {
       return;
     }
     try {
-      int count = channel.write(ByteBuffer.wrap(toReal));
-      toReal = Arrays.copyOfRange(toReal, count, toReal.length);
+      int count = channel.write(ByteBuffer.wrap(pendingToProcess));
+      pendingToProcess = Arrays.copyOfRange(pendingToProcess, count, pendingToProcess.length);
       endpoint.passedOn(count);
-      boolean empty = toReal.length == 0;
+      boolean empty = pendingToProcess.length == 0;
       if (empty) {
         key.interestOpsAnd(~SelectionKey.OP_WRITE);
       } else {
         key.interestOpsOr(SelectionKey.OP_WRITE);
       }
-      endpoint.reading(empty && !simEnded);
+      endpoint.reading(empty && !networkEnded);
     } catch (IOException e) {
-      breakBoth();
+      resetBoth();
     }
   }
 
   // -------------------------------------------------------------------- ends
 
-  private void endIfBoth() {
-    if (realEnded && simEnded && !ended) {
-      ended = true;
+  private void closeIfBothEnded() {
+    if (processEnded && networkEnded && !closed) {
+      closed = true;
       endpoint.close();
       close(channel);
-      over.accept(this);
+      closeListener.accept(this);
     }
   }
 
   /** A reset on one side is one on the other. */
-  void breakBoth() {
-    if (ended) {
+  void resetBoth() {
+    if (closed) {
       return;
     }
-    ended = true;
+    closed = true;
     endpoint.reset();
     reset(channel);
-    over.accept(this);
+    closeListener.accept(this);
   }
 
   /**
    * The process is being killed: the other half is reset at once, and this one given back when
    * there is time. Ten proxies with a thousand connections are killed at one moment.
    */
-  void abandon(Turner turner) {
-    if (!ended) {
-      ended = true;
+  void abandon(RealTimeDriver turner) {
+    if (!closed) {
+      closed = true;
       endpoint.reset();
       turner.whenIdle(() -> reset(channel));
-      over.accept(this);
+      closeListener.accept(this);
     }
   }
 
--- a/src/main/java/brassbank/lab/Guard.java
+++ b/src/main/java/brassbank/lab/Watchdog.java
@@ -13,8 +13,8 @@
  * kill, the guard kills the processes it was told of and removes the lab's folder. May be used from
  * any thread; no call waits for the signal to have been sent.
  */
-final class Guard implements AutoCloseable {
-  private static final long ENDS_WITHIN_SECONDS = 10;
+final class Watchdog implements AutoCloseable {
+  private static final long EXIT_TIMEOUT_SECONDS = 10;
 
   private final Process process;
   private final OutputStream pipe;
@@ -22,9 +22,9 @@
   /**
    * @param folder removed when the lab is over
    */
-  Guard(Path folder) throws IOException {
+  Watchdog(Path folder) throws IOException {
     Path script = folder.resolve("guard.sh");
-    try (InputStream text = Guard.class.getResourceAsStream("guard.sh")) {
+    try (InputStream text = Watchdog.class.getResourceAsStream("guard.sh")) {
       Files.copy(text, script);
     }
     process =
@@ -36,21 +36,21 @@
   }
 
   /** This process is the lab's from here on. */
-  void add(long pid) {
-    say("add " + pid);
+  void track(long pid) {
+    writeCommand("add " + pid);
   }
 
   /** This process has ended, and its id may be somebody else's. */
-  void drop(long pid) {
-    say("drop " + pid);
+  void untrack(long pid) {
+    writeCommand("drop " + pid);
   }
 
   /** Sends a signal, by its name without SIG. */
   void signal(String name, long pid) {
-    say(name + " " + pid);
+    writeCommand(name + " " + pid);
   }
 
-  private synchronized void say(String line) {
+  private synchronized void writeCommand(String line) {
     try {
       pipe.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
       pipe.flush();
@@ -64,7 +64,7 @@
   public void close() {
     try {
       pipe.close();
-      if (!process.waitFor(ENDS_WITHIN_SECONDS, TimeUnit.SECONDS)) {
+      if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
         process.destroyForcibly();
       }
     } catch (IOException e) {
--- a/src/main/java/brassbank/lab/package-info.java
+++ b/src/main/java/brassbank/lab/package-info.java
@@ -5,8 +5,8 @@
  * Nothing of the program itself is used: the proxies are met as processes only. docs/lab.md says
  * how to use it and what it leaves out.
  *
- * <p>One thread ({@link brassbank.lab.Turner}) does everything but what would wait: starting
- * processes, operators' calls and reading {@code /proc} are done by helpers, which hand back what
- * they found as tasks.
+ * <p>One thread ({@link brassbank.lab.RealTimeDriver}) does everything but what would wait:
+ * starting processes, operators' calls and reading {@code /proc} are done by helpers, which hand
+ * back what they found as tasks.
  */
 package brassbank.lab;
--- a/src/main/java/brassbank/rehearsal/Rehearsal.java
+++ b/src/main/java/brassbank/rehearsal/Rehearsal.java
@@ -24,14 +24,14 @@
  * <p>Each wait is bounded; a run that goes wrong throws, and the program is ended in any case.
  */
 public final class Rehearsal {
-  private static final int LIMIT_MILLIS = 10_000;
-  private static final int LOOK_AGAIN_MILLIS = 10;
+  private static final int TIMEOUT_MILLIS = 10_000;
+  private static final int POLL_INTERVAL_MILLIS = 10;
 
   /** The classes' longest deadline, in microseconds: the planned stop takes this long and 0.7 s. */
-  private static final long SHORT_DEADLINE = 600_000;
+  private static final long CLASS_DEADLINE_MICROS = 600_000;
 
-  private final List<ToyHost> hosts = new ArrayList<>();
-  private final ToyDiscovery discovery = new ToyDiscovery();
+  private final List<StubHost> hosts = new ArrayList<>();
+  private final StubDiscovery discovery = new StubDiscovery();
   private final JsonObject config;
   private final InetSocketAddress address;
   private Process process;
@@ -47,14 +47,14 @@
     config.addProperty("discovery", discovery.address());
     JsonObject known = config.getAsJsonObject("known");
     for (JsonElement entry : known.getAsJsonArray("endpoints")) {
-      ToyHost host = new ToyHost();
+      StubHost host = new StubHost();
       hosts.add(host);
       entry.getAsJsonObject().addProperty("address", host.address());
     }
     known.addProperty("index", 1);
-    discovery.list(known.toString());
+    discovery.setList(known.toString());
     for (JsonElement type : config.getAsJsonObject("settings").getAsJsonArray("profiles")) {
-      type.getAsJsonObject().addProperty("give-up", SHORT_DEADLINE);
+      type.getAsJsonObject().addProperty("give-up", CLASS_DEADLINE_MICROS);
     }
   }
 
@@ -85,7 +85,7 @@
       rehearsal.start(file, command);
       rehearsal.play();
     } finally {
-      rehearsal.end();
+      rehearsal.killProcess();
       Files.delete(file);
     }
   }
@@ -99,43 +99,43 @@
 
   private void play() throws IOException, InterruptedException {
     awaitPong();
-    try (ToyClient bad = new ToyClient(address, LIMIT_MILLIS)) {
+    try (StubClient bad = new StubClient(address, TIMEOUT_MILLIS)) {
       bad.send("nonsense");
-      bad.expect("ERR");
+      bad.expectLine("ERR");
     }
-    List<ToyClient> clients = new ArrayList<>();
+    List<StubClient> clients = new ArrayList<>();
     for (int i = 0; i < 2 * hosts.size(); i++) {
-      ToyClient client = new ToyClient(address, LIMIT_MILLIS);
+      StubClient client = new StubClient(address, TIMEOUT_MILLIS);
       clients.add(client);
       client.send("OPEN " + i + " key-" + i + " c=preview,t=kelvin-stone,d=600");
-      client.expect("UP");
-      client.expect("LOAD");
+      client.expectLine("UP");
+      client.expectLine("LOAD");
       client.send("m 1");
-      client.expect("m 1");
+      client.expectLine("m 1");
     }
     signal("HUP");
     JsonArray entries = config.getAsJsonObject("known").getAsJsonArray("endpoints");
-    discovery.change(entries.get(0).getAsJsonObject());
-    hosts.get(hosts.size() - 1).awaitProbe(LIMIT_MILLIS);
+    discovery.reportDraining(entries.get(0).getAsJsonObject());
+    hosts.get(hosts.size() - 1).awaitProbe(TIMEOUT_MILLIS);
     clients.remove(0).close();
     signal("TERM");
-    for (ToyClient client : clients) {
-      client.expect("MOVE");
+    for (StubClient client : clients) {
+      client.expectLine("MOVE");
       client.close();
     }
-    if (!process.waitFor(LIMIT_MILLIS, TimeUnit.MILLISECONDS) || process.exitValue() != 0) {
+    if (!process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) || process.exitValue() != 0) {
       throw new IOException("the program did not end as planned");
     }
   }
 
   private void awaitPong() throws IOException, InterruptedException {
-    for (int tries = LIMIT_MILLIS / LOOK_AGAIN_MILLIS; tries > 0; tries--) {
-      try (ToyClient front = new ToyClient(address, LIMIT_MILLIS)) {
+    for (int tries = TIMEOUT_MILLIS / POLL_INTERVAL_MILLIS; tries > 0; tries--) {
+      try (StubClient front = new StubClient(address, TIMEOUT_MILLIS)) {
         front.send("PING");
-        front.expect("PONG");
+        front.expectLine("PONG");
         return;
       } catch (ConnectException e) {
-        if (process.waitFor(LOOK_AGAIN_MILLIS, TimeUnit.MILLISECONDS)) {
+        if (process.waitFor(POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)) {
           break;
         }
       }
@@ -148,7 +148,7 @@
     new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
   }
 
-  private void end() throws InterruptedException {
+  private void killProcess() throws InterruptedException {
     if (process != null) {
       process.destroyForcibly().waitFor();
     }
--- a/src/main/java/brassbank/rehearsal/ToyClient.java
+++ b/src/main/java/brassbank/rehearsal/StubClient.java
@@ -8,11 +8,11 @@
 import java.nio.charset.StandardCharsets;
 
 /** A client, or the front that sends PING: it sends lines and waits for the answers it expects. */
-final class ToyClient implements AutoCloseable {
+final class StubClient implements AutoCloseable {
   private final Socket socket = new Socket();
   private final BufferedReader in;
 
-  ToyClient(InetSocketAddress proxy, int limitMillis) throws IOException {
+  StubClient(InetSocketAddress proxy, int limitMillis) throws IOException {
     try {
       socket.connect(proxy, limitMillis);
       socket.setSoTimeout(limitMillis);
@@ -30,7 +30,7 @@
   }
 
   /** Waits for a line that begins so; throws where another comes, or none in time. */
-  void expect(String start) throws IOException {
+  void expectLine(String start) throws IOException {
     String line = in.readLine();
     if (line == null || !line.startsWith(start)) {
       throw new IOException("instead of " + start + " came " + line);
--- a/src/main/java/brassbank/rehearsal/ToyDiscovery.java
+++ b/src/main/java/brassbank/rehearsal/StubDiscovery.java
@@ -13,21 +13,21 @@
 import java.util.concurrent.TimeUnit;
 
 /** Discovery: the whole list, and one watch that tells of one drain. */
-final class ToyDiscovery {
+final class StubDiscovery {
   private static final int EMPTY_LINE_MILLIS = 500;
 
   private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
   private final CountDownLatch changed = new CountDownLatch(1);
 
   /** Never counted down: a wait that only its time ends. */
-  private final CountDownLatch over = new CountDownLatch(1);
+  private final CountDownLatch neverReleased = new CountDownLatch(1);
 
-  private volatile String list;
-  private volatile String change;
+  private volatile String setList;
+  private volatile String reportDraining;
 
-  ToyDiscovery() throws IOException {
+  StubDiscovery() throws IOException {
     server.setExecutor(Executors.newCachedThreadPool());
-    server.createContext("/api/targets", this::answer);
+    server.createContext("/api/targets", this::handleRequest);
     server.start();
   }
 
@@ -35,12 +35,12 @@
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  void list(String whole) {
-    list = whole;
+  void setList(String whole) {
+    setList = whole;
   }
 
   /** Tells the watch that this target drains. */
-  void change(JsonObject entry) {
+  void reportDraining(JsonObject entry) {
     JsonObject draining = entry.deepCopy();
     draining.addProperty("status", "DRAINING");
     JsonArray entries = new JsonArray();
@@ -49,32 +49,32 @@
     delta.addProperty("index", 2);
     delta.addProperty("snapshot", false);
     delta.add("endpoints", entries);
-    change = delta.toString();
+    reportDraining = delta.toString();
     changed.countDown();
   }
 
-  private void answer(HttpExchange exchange) throws IOException {
+  private void handleRequest(HttpExchange exchange) throws IOException {
     exchange.sendResponseHeaders(200, 0);
     try (OutputStream body = exchange.getResponseBody()) {
-      tell(body, list);
+      writeLine(body, setList);
       String query = exchange.getRequestURI().getQuery();
       if (query == null || !query.contains("follow=1")) {
         return;
       }
       while (!changed.await(EMPTY_LINE_MILLIS, TimeUnit.MILLISECONDS)) {
-        tell(body, "");
+        writeLine(body, "");
       }
-      tell(body, change);
+      writeLine(body, reportDraining);
       // The watch stays open: the program that keeps it ends first.
-      while (!over.await(EMPTY_LINE_MILLIS, TimeUnit.MILLISECONDS)) {
-        tell(body, "");
+      while (!neverReleased.await(EMPTY_LINE_MILLIS, TimeUnit.MILLISECONDS)) {
+        writeLine(body, "");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static void tell(OutputStream body, String line) throws IOException {
+  private static void writeLine(OutputStream body, String line) throws IOException {
     body.write((line + "\n").getBytes(StandardCharsets.UTF_8));
     body.flush();
   }
--- a/src/main/java/brassbank/rehearsal/ToyHost.java
+++ b/src/main/java/brassbank/rehearsal/StubHost.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.TimeUnit;
 
 /** A stream host that takes every flow, returns its lines, and answers probes with some load. */
-final class ToyHost {
+final class StubHost {
   private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   private final CountDownLatch probed = new CountDownLatch(1);
 
-  ToyHost() throws IOException {
-    daemon(this::accept);
+  StubHost() throws IOException {
+    startDaemonThread(this::accept);
   }
 
-  static void daemon(Runnable task) {
+  static void startDaemonThread(Runnable task) {
     Thread thread = new Thread(task);
     thread.setDaemon(true);
     thread.start();
@@ -40,7 +40,7 @@
     try {
       while (true) {
         Socket connection = socket.accept();
-        daemon(() -> serve(connection));
+        startDaemonThread(() -> serve(connection));
       }
     } catch (IOException e) {
       System.err.println("a toy host has ended: " + e.getMessage());
--- a/src/test/java/brassbank/lab/DatagramLinksIT.java
+++ b/src/test/java/brassbank/lab/DatagramLinksIT.java
@@ -115,9 +115,9 @@
       Map<String, RealProxy> proxies = lab.proxies();
       InetSocketAddress one = proxies.get("n0").address();
       InetSocketAddress other = proxies.get("n1").address();
-      InetSocketAddress otherSeen = proxies.get("n1").common();
-      InetSocketAddress oneSeen = proxies.get("n0").common();
-      InetSocketAddress otherStream = proxies.get("n0").seen(proxies.get("n1"));
+      InetSocketAddress otherSeen = proxies.get("n1").datagramAddress();
+      InetSocketAddress oneSeen = proxies.get("n0").datagramAddress();
+      InetSocketAddress otherStream = proxies.get("n0").peerAddress(proxies.get("n1"));
       try (DatagramChannel first = at(one);
           DatagramChannel second = at(other);
           DatagramChannel stranger =
--- a/src/test/java/brassbank/lab/LabIT.java
+++ b/src/test/java/brassbank/lab/LabIT.java
@@ -35,7 +35,7 @@
 class LabIT {
   private static final Path SCRIPTS = Path.of("src/test/resources/lab");
   private static final Path ROOT = Path.of("").toAbsolutePath();
-  private static final Lab.Watcher NOBODY = (lab, now) -> {};
+  private static final Lab.ProgressListener NOBODY = (lab, now) -> {};
   private static final Supplier<Hand> NONE = Nothing::new;
 
   /**
@@ -55,11 +55,11 @@
   }
 
   /** What is done to one play: what is planted is planted anew where a play was void. */
-  private interface Hand extends Tamper, Lab.Watcher {}
+  private interface Hand extends LinkTampering, Lab.ProgressListener {}
 
   private static final class Nothing implements Hand {
     @Override
-    public void at(Lab lab, long now) {}
+    public void onProgress(Lab lab, long now) {}
   }
 
   /** Plays it, and once more where the lab was late; a second time says nothing of the rules. */
@@ -68,9 +68,11 @@
       Hand hand = hands.get();
       try (Lab lab = new Lab(Script.read(script), ROOT, null, hand)) {
         Lab.Outcome outcome = lab.play(hand);
-        if (!outcome.tooLate() || play == 2) {
-          assertThat(outcome.tooLate())
-              .as("void, twice: %d us late at %d", outcome.late(), outcome.lateAt())
+        if (!outcome.isVoid() || play == 2) {
+          assertThat(outcome.isVoid())
+              .as(
+                  "void, twice: %d us late at %d",
+                  outcome.maxLatenessMicros(), outcome.maxLatenessAtMicros())
               .isFalse();
           return outcome;
         }
@@ -83,9 +85,9 @@
   void holdsAllRules(Path script) throws Exception {
     Lab.Outcome outcome = played(script, NONE);
     assertThat(outcome.breaches()).as("log: %s", List.copyOf(outcome.breachLog())).isEmpty();
-    assertThat(outcome.tallies().values()).allMatch(count -> count.served > 0);
-    assertThat(outcome.uses().values())
-        .allMatch(use -> use.mostDescriptors > 20 && use.mostResidentKib > 10_000);
+    assertThat(outcome.clientCounts().values()).allMatch(count -> count.served > 0);
+    assertThat(outcome.resourceUsage().values())
+        .allMatch(use -> use.peakDescriptors > 20 && use.peakResidentKib > 10_000);
   }
 
   /** Links that ask thirty times for once, give ids to others, lead astray, and keep the dead. */
@@ -96,7 +98,7 @@
     private int done;
 
     @Override
-    public void at(Lab lab, long now) {
+    public void onProgress(Lab lab, long now) {
       World world = lab.scene().world();
       RealProxy proxy = lab.proxies().get("n0");
       if (done == 0 && now > 2_000_000) {
@@ -119,7 +121,7 @@
     }
 
     @Override
-    public byte[] said(byte[] bytes) {
+    public byte[] alter(byte[] bytes) {
       String text = new String(bytes, StandardCharsets.ISO_8859_1);
       var id = ID.matcher(text);
       if (text.equals("STATS\r\n")) {
@@ -132,12 +134,12 @@
     }
 
     @Override
-    public Machine meant(Machine to) {
+    public Machine redirect(Machine to) {
       return newest != null && to.name().startsWith("s-") ? newest : to;
     }
 
     @Override
-    public boolean keepsClientsOf(String proxy) {
+    public boolean survivesKill(String proxy) {
       return true;
     }
   }
@@ -190,19 +192,19 @@
     private long now;
 
     @Override
-    public void at(Lab lab, long now) {
+    public void onProgress(Lab lab, long now) {
       this.now = now;
     }
 
     @Override
-    public int copies(String proxy) {
+    public int datagramCopies(String proxy) {
       return proxy.equals("n1") && now > 12_000_000
           ? 0
           : proxy.equals("n3") && now > 3_000_000 ? 60 : 1;
     }
 
     @Override
-    public boolean keepsClientsOf(String proxy) {
+    public boolean survivesKill(String proxy) {
       return true;
     }
   }
