--- a/src/main/java/brassbank/lab/Lab.java
+++ b/src/main/java/brassbank/lab/Lab.java
@@ -216,7 +216,7 @@
       watcher.onProgress(this, driver.nowMicros());
     }
     scene.checks().onEnd(scene.agenda().now());
-    scene.service().end(scene.agenda().now());
+    scene.service().finish(scene.agenda().now());
     return outcome();
   }
 
