--- a/src/main/java/brassbank/lab/Lab.java
+++ b/src/main/java/brassbank/lab/Lab.java
@@ -132,7 +132,8 @@
     this.logs = Files.createDirectories(logs == null ? folder.resolve("logs") : logs);
     loopback = new LoopbackAddresses();
     boolean inherits =
-        plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(FaultKinds.PROXY_UPGRADE));
+        plan.faults().stream()
+            .anyMatch(fault -> fault.kind().name().equals(FaultKinds.PROXY_UPGRADE));
     ByteBuffer scratch = ByteBuffer.allocate(SocketBridge.scratchSize());
     scene =
         new ScenarioRun(
