--- a/src/main/java/brassbank/sim/fault/Fault.java
+++ b/src/main/java/brassbank/sim/fault/Fault.java
@@ -1,12 +1,12 @@
 package brassbank.sim.fault;
 
 /**
- * One fault of a run.
+ * One fault of a simulation run.
  *
- * @param atMillis when it begins, from the beginning of the run
- * @param forMillis how long it lasts; 0 for what happens at once
- * @param target the name of a machine or a zone, or empty where the kind has none
- * @param size what the kind's page says; 0 where it has none
+ * @param atMillis start time in milliseconds since the start of the run
+ * @param forMillis duration in milliseconds; 0 for an instantaneous fault
+ * @param target name of a machine or zone or a link selector; empty if the kind has no target
+ * @param size magnitude, whose unit depends on the kind; 0 if the kind has none
  */
 public record Fault(FaultKind kind, long atMillis, long forMillis, String target, double size) {
   public long untilMillis() {
--- a/src/main/java/brassbank/sim/fault/FaultContext.java
+++ b/src/main/java/brassbank/sim/fault/FaultContext.java
@@ -11,14 +11,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What faults may act upon: the world, the proxies, and what a fault has left to take back. */
+/**
+ * Gives faults access to the parts of the simulation that they act on, and keeps the network
+ * disturbances that active faults have yet to remove.
+ */
 public final class FaultContext {
-  /** Brings clients: the run does, since it knows their numbers. */
+  /** Adds clients; implemented by the run, which assigns client numbers. */
   public interface ClientGenerator {
-    /** Extra usual clients for a while, so many a second. */
+    /** Adds well-behaved clients at {@code rate} per second for {@code millis}. */
     void addClients(double rate, long millis);
 
-    /** Bad clients for a while, so many a second. */
+    /** Adds misbehaving clients at {@code rate} per second for {@code millis}. */
     void addBadClients(BadClient.Kind kind, double rate, long millis);
   }
 
@@ -27,10 +30,11 @@
   private final ClientGenerator clientGenerator;
   private final Map<Fault, Deque<Disturbance>> disturbances = new HashMap<>();
 
-  public FaultContext(World world, Map<String, ProxyInstance> proxies, ClientGenerator crowd) {
+  public FaultContext(
+      World world, Map<String, ProxyInstance> proxies, ClientGenerator clientGenerator) {
     this.world = world;
     this.proxies = proxies;
-    this.clientGenerator = crowd;
+    this.clientGenerator = clientGenerator;
   }
 
   World world() {
--- a/src/main/java/brassbank/sim/fault/FaultKind.java
+++ b/src/main/java/brassbank/sim/fault/FaultKind.java
@@ -4,10 +4,14 @@
 import java.util.List;
 
 /**
- * A kind of fault: on what, for how long, how strong, and what it does. Its name is its own.
+ * A kind of fault: its type of target, ranges of duration and magnitude, and its actions. Names are
+ * unique.
  *
- * @param about one line for those who write scripts
- * @param maxPerRun how many of them one run may have; 0 for what only scripts use
+ * @param about one-line description for authors of scripts
+ * @param maxPerRun maximum number of such faults that a seed draws; 0 for kinds that only scripts
+ *     use
+ * @param begin runs when the fault begins
+ * @param end runs when the fault ends
  */
 public record FaultKind(
     String name,
@@ -21,22 +25,25 @@
     Action begin,
     Action end) {
 
-  /** What a fault of the kind is aimed at. */
+  /** Type of target of a fault. */
   public enum TargetType {
     HOST,
     PROXY,
     ZONE,
-    /** Links between machines, as {@link LinkSelector} has them. */
+    /** Links between machines, written as a {@link LinkSelector}. */
     LINK,
     ALL
   }
 
-  /** What a fault does to the stage, at its beginning or at its end. */
+  /** Effect of a fault on the simulation when it begins or ends. */
   public interface Action {
-    void apply(FaultContext stage, Fault fault);
+    void apply(FaultContext context, Fault fault);
   }
 
-  /** Draws one fault that begins and ends within these times. */
+  /**
+   * Draws a fault that begins no earlier than {@code fromMillis} and, unless its duration exceeds
+   * the interval, ends no later than {@code untilMillis}.
+   */
   Fault draw(RandomStreams.Stream stream, List<String> targets, long fromMillis, long untilMillis) {
     long length = stream.micros(minMillis, maxMillis);
     long latest = Math.max(fromMillis, untilMillis - length);
--- a/src/main/java/brassbank/sim/fault/FaultKinds.java
+++ b/src/main/java/brassbank/sim/fault/FaultKinds.java
@@ -10,24 +10,28 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.function.BiFunction;
 import java.util.function.BiPredicate;
 
-/** Every kind of fault that there is, by what it is aimed at. */
+/** All kinds of fault, grouped by type of target. */
 public final class FaultKinds {
   private static final long MILLI = 1_000;
 
-  /** How late discovery learns of a host's process: that it has ended, gone silent, begun. */
+  /** Range of delays, in microseconds, before discovery notices that a host's process has ended. */
   private static final long[] NOTICE_MICROS = {1_800 * MILLI, 4_200 * MILLI};
 
+  /** Range of delays before discovery notices that a host no longer responds. */
   private static final long[] SILENT_NOTICE_MICROS = {4_100 * MILLI, 13_000 * MILLI};
+
+  /** Range of delays before discovery lists a host that has started. */
   private static final long[] ADD_MICROS = {1_200 * MILLI, 2_400 * MILLI};
 
-  private static final FaultKind.Action NOTHING = (stage, fault) -> {};
+  private static final FaultKind.Action NOTHING = (context, fault) -> {};
 
-  /** Needs a listening socket that the platform holds, from the start of the run. */
+  /** A kind that requires the platform to hold the listening socket from the start of the run. */
   public static final String PROXY_UPGRADE = "proxy-upgrade";
 
-  /** All kinds, in a fixed order. */
+  /** All kinds in a fixed order, in which {@link Plan#drawn} considers them. */
   public static final List<FaultKind> ALL = all();
 
   private FaultKinds() {}
@@ -44,12 +48,12 @@
     return List.copyOf(all);
   }
 
-  /** The kind with this name, or null. */
+  /** Returns the kind with this name, or null. */
   public static FaultKind byName(String name) {
     return ALL.stream().filter(kind -> kind.name().equals(name)).findFirst().orElse(null);
   }
 
-  // ------------------------------------------------------------ stream hosts
+  // Faults of stream hosts.
 
   private static List<FaultKind> hosts() {
     List<FaultKind> all = new ArrayList<>();
@@ -63,9 +67,9 @@
             0,
             0,
             3,
-            (stage, fault) -> {
-              stage.host(fault).kill();
-              notifyDiscovery(stage, fault, "DELETED", NOTICE_MICROS);
+            (context, fault) -> {
+              context.host(fault).kill();
+              notifyDiscovery(context, fault, "DELETED", NOTICE_MICROS);
             },
             FaultKinds::restartHost));
     all.add(
@@ -78,13 +82,13 @@
             0,
             0,
             2,
-            (stage, fault) -> {
-              stage.host(fault).losePower();
-              notifyDiscovery(stage, fault, "DELETED", SILENT_NOTICE_MICROS);
+            (context, fault) -> {
+              context.host(fault).losePower();
+              notifyDiscovery(context, fault, "DELETED", SILENT_NOTICE_MICROS);
             },
-            (stage, fault) -> {
-              stage.host(fault).machine().restorePower();
-              restartHost(stage, fault);
+            (context, fault) -> {
+              context.host(fault).machine().restorePower();
+              restartHost(context, fault);
             }));
     all.add(
         new FaultKind(
@@ -96,18 +100,18 @@
             0,
             0,
             4,
-            (stage, fault) -> {
-              StreamHost host = stage.host(fault);
+            (context, fault) -> {
+              StreamHost host = context.host(fault);
               host.drain();
-              notifyDiscovery(stage, fault, "DRAINING", NOTICE_MICROS);
-              stage
+              notifyDiscovery(context, fault, "DRAINING", NOTICE_MICROS);
+              context
                   .world()
                   .agenda()
                   .after(
                       fault.forMillis() * MILLI / 2,
                       () -> {
                         host.kill();
-                        notifyDiscovery(stage, fault, "DELETED", NOTICE_MICROS);
+                        notifyDiscovery(context, fault, "DELETED", NOTICE_MICROS);
                       });
             },
             FaultKinds::restartHost));
@@ -121,8 +125,8 @@
             1.9,
             3,
             3,
-            (stage, fault) -> stage.host(fault).setSlowdown(fault.size()),
-            (stage, fault) -> stage.host(fault).setSlowdown(1)));
+            (context, fault) -> context.host(fault).setSlowdown(fault.size()),
+            (context, fault) -> context.host(fault).setSlowdown(1)));
     all.add(
         new FaultKind(
             "all-hosts-slow",
@@ -133,8 +137,8 @@
             1.9,
             3,
             1,
-            (stage, fault) -> stage.hosts().forEach(host -> host.setSlowdown(fault.size())),
-            (stage, fault) -> stage.hosts().forEach(host -> host.setSlowdown(1))));
+            (context, fault) -> context.hosts().forEach(host -> host.setSlowdown(fault.size())),
+            (context, fault) -> context.hosts().forEach(host -> host.setSlowdown(1))));
     all.add(
         new FaultKind(
             "all-hosts-err",
@@ -145,12 +149,12 @@
             0.5,
             1,
             2,
-            (stage, fault) ->
-                stage
+            (context, fault) ->
+                context
                     .hosts()
                     .forEach(host -> host.setBehavior(StreamHost.Behavior.ERRS, fault.size())),
-            (stage, fault) ->
-                stage.hosts().forEach(host -> host.setBehavior(StreamHost.Behavior.SERVES, 1))));
+            (context, fault) ->
+                context.hosts().forEach(host -> host.setBehavior(StreamHost.Behavior.SERVES, 1))));
     all.add(
         new FaultKind(
             "host-pause",
@@ -161,7 +165,7 @@
             0,
             0,
             3,
-            (stage, fault) -> stage.host(fault).pause(fault.forMillis() * MILLI),
+            (context, fault) -> context.host(fault).pause(fault.forMillis() * MILLI),
             NOTHING));
     all.add(
         new FaultKind(
@@ -173,44 +177,45 @@
             0.2,
             1,
             4,
-            (stage, fault) -> stage.host(fault).resetConnections(fault.size()),
+            (context, fault) -> context.host(fault).resetConnections(fault.size()),
             NOTHING));
-    for (StreamHost.Behavior manner : StreamHost.Behavior.values()) {
-      if (manner != StreamHost.Behavior.SERVES) {
+    for (StreamHost.Behavior behavior : StreamHost.Behavior.values()) {
+      if (behavior != StreamHost.Behavior.SERVES) {
         all.add(
             new FaultKind(
-                "host-" + byName(manner),
-                "this share of attempts at a stream host: it " + manner.about(),
+                "host-" + kebabCase(behavior),
+                "this share of attempts at a stream host: it " + behavior.about(),
                 FaultKind.TargetType.HOST,
                 1_000,
                 12_000,
                 0.2,
                 1,
                 2,
-                (stage, fault) -> stage.host(fault).setBehavior(manner, fault.size()),
-                (stage, fault) -> stage.host(fault).setBehavior(StreamHost.Behavior.SERVES, 1)));
+                (context, fault) -> context.host(fault).setBehavior(behavior, fault.size()),
+                (context, fault) ->
+                    context.host(fault).setBehavior(StreamHost.Behavior.SERVES, 1)));
       }
     }
     return all;
   }
 
-  private static String byName(Enum<?> constant) {
+  private static String kebabCase(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
   private static void notifyDiscovery(
-      FaultContext stage, Fault fault, String status, long[] notice) {
+      FaultContext context, Fault fault, String status, long[] notice) {
     RandomStreams.Stream stream =
-        stage.world().draws().of("notice " + fault.target() + status + fault.atMillis());
-    stage
+        context.world().draws().of("notice " + fault.target() + status + fault.atMillis());
+    context
         .world()
         .discovery()
-        .receiveStatus(stage.host(fault), status, stream.micros(notice[0], notice[1]));
+        .receiveStatus(context.host(fault), status, stream.micros(notice[0], notice[1]));
   }
 
-  private static void restartHost(FaultContext stage, Fault fault) {
-    stage.host(fault).start(false);
-    notifyDiscovery(stage, fault, "SERVING", ADD_MICROS);
+  private static void restartHost(FaultContext context, Fault fault) {
+    context.host(fault).start(false);
+    notifyDiscovery(context, fault, "SERVING", ADD_MICROS);
   }
 
   private static List<FaultKind> reports() {
@@ -225,16 +230,16 @@
             1.2,
             4.6,
             1,
-            (stage, fault) ->
-                stage
+            (context, fault) ->
+                context
                     .hosts()
                     .forEach(host -> host.setReportDelay((long) (fault.size() * 1_000_000))),
-            (stage, fault) -> stage.hosts().forEach(host -> host.setReportDelay(0))));
+            (context, fault) -> context.hosts().forEach(host -> host.setReportDelay(0))));
     for (StreamHost.LoadReports reports : StreamHost.LoadReports.values()) {
       if (reports != StreamHost.LoadReports.TRUE) {
         all.add(
             new FaultKind(
-                "reports-" + byName(reports),
+                "reports-" + kebabCase(reports),
                 "a stream host answers probes " + reports.about(),
                 FaultKind.TargetType.HOST,
                 2_000,
@@ -242,83 +247,86 @@
                 0,
                 0,
                 2,
-                (stage, fault) -> stage.host(fault).setLoadReports(reports),
-                (stage, fault) -> stage.host(fault).setLoadReports(StreamHost.LoadReports.TRUE)));
+                (context, fault) -> context.host(fault).setLoadReports(reports),
+                (context, fault) ->
+                    context.host(fault).setLoadReports(StreamHost.LoadReports.TRUE)));
       }
     }
     return all;
   }
 
-  // ----------------------------------------------------------------- network
+  // Faults of the network.
 
   private static FaultKind disturbanceKind(
       String name,
       String about,
       FaultKind.TargetType on,
-      long most,
-      double[] size,
-      java.util.function.BiFunction<FaultContext, Fault, Disturbance> disturbance) {
+      long maxMillis,
+      double[] sizeRange,
+      BiFunction<FaultContext, Fault, Disturbance> disturbance) {
     return new FaultKind(
         name,
         about,
         on,
         500,
-        most,
-        size[0],
-        size[1],
+        maxMillis,
+        sizeRange[0],
+        sizeRange[1],
         2,
-        (stage, fault) -> stage.beginDisturbance(fault, disturbance.apply(stage, fault)),
+        (context, fault) -> context.beginDisturbance(fault, disturbance.apply(context, fault)),
         FaultContext::endDisturbance);
   }
 
-  /** Nothing passes between machines of which one is meant and the other is not. */
-  private static Disturbance blocking(BiPredicate<Machine, Machine> meant) {
+  /** Returns a disturbance that blocks all traffic in the selected directions. */
+  private static Disturbance blocking(BiPredicate<Machine, Machine> selected) {
     return new Disturbance() {
       @Override
       public boolean blocks(Machine from, Machine to) {
-        return meant.test(from, to);
+        return selected.test(from, to);
       }
     };
   }
 
-  private static Disturbance delaying(BiPredicate<Machine, Machine> meant, long micros) {
+  private static Disturbance delaying(BiPredicate<Machine, Machine> selected, long micros) {
     return new Disturbance() {
       @Override
       public long delayMicros(Machine from, Machine to) {
-        return meant.test(from, to) ? micros : 0;
+        return selected.test(from, to) ? micros : 0;
       }
     };
   }
 
-  private static Disturbance throttling(BiPredicate<Machine, Machine> meant, long bytes) {
+  private static Disturbance throttling(
+      BiPredicate<Machine, Machine> selected, long bytesPerSecond) {
     return new Disturbance() {
       @Override
       public long maxBytesPerSecond(Machine from, Machine to) {
-        return meant.test(from, to) ? bytes : Long.MAX_VALUE;
+        return selected.test(from, to) ? bytesPerSecond : Long.MAX_VALUE;
       }
     };
   }
 
-  private static Disturbance connectDisturbance(BiPredicate<Machine, Machine> meant, long micros) {
+  private static Disturbance connectDisturbance(
+      BiPredicate<Machine, Machine> selected, long micros) {
     return new Disturbance() {
       @Override
       public boolean blocksConnects(Machine from, Machine to) {
-        return micros == 0 && meant.test(from, to);
+        return micros == 0 && selected.test(from, to);
       }
 
       @Override
       public long connectDelayMicros(Machine from, Machine to) {
-        return meant.test(from, to) ? micros : 0;
+        return selected.test(from, to) ? micros : 0;
       }
     };
   }
 
-  private static boolean clients(Machine machine) {
+  private static boolean isClientMachine(Machine machine) {
     return machine.name().startsWith("clients-");
   }
 
   private static List<FaultKind> network() {
-    double[] none = {0, 0};
+    double[] noSize = {0, 0};
     List<FaultKind> all = new ArrayList<>();
     all.add(
         disturbanceKind(
@@ -326,8 +334,8 @@
             "nothing passes between a zone and the others",
             FaultKind.TargetType.ZONE,
             17_000,
-            none,
-            (stage, fault) ->
+            noSize,
+            (context, fault) ->
                 blocking(
                     (a, b) -> a.zone().equals(fault.target()) != b.zone().equals(fault.target()))));
     all.add(
@@ -336,8 +344,8 @@
             "nothing passes out of a zone, while everything comes in",
             FaultKind.TargetType.ZONE,
             9_000,
-            none,
-            (stage, fault) ->
+            noSize,
+            (context, fault) ->
                 blocking(
                     (a, b) ->
                         a.zone().equals(fault.target()) && !b.zone().equals(fault.target()))));
@@ -347,8 +355,8 @@
             "nothing passes to or from a stream host",
             FaultKind.TargetType.HOST,
             12_000,
-            none,
-            (stage, fault) ->
+            noSize,
+            (context, fault) ->
                 blocking(
                     (a, b) -> a.name().equals(fault.target()) || b.name().equals(fault.target()))));
     all.add(
@@ -357,16 +365,16 @@
             "nothing passes from a stream host, while everything arrives",
             FaultKind.TargetType.HOST,
             9_000,
-            none,
-            (stage, fault) -> blocking((a, b) -> a.name().equals(fault.target()))));
+            noSize,
+            (context, fault) -> blocking((a, b) -> a.name().equals(fault.target()))));
     all.add(
         disturbanceKind(
             "proxy-cut",
             "nothing passes between a proxy and any stream host",
             FaultKind.TargetType.PROXY,
             6_000,
-            none,
-            (stage, fault) ->
+            noSize,
+            (context, fault) ->
                 blocking(
                     (a, b) ->
                         (a.name().equals(fault.target()) && b.name().startsWith("s-"))
@@ -377,12 +385,12 @@
             "nothing passes between a zone's clients and the proxies",
             FaultKind.TargetType.ZONE,
             4_000,
-            none,
-            (stage, fault) ->
+            noSize,
+            (context, fault) ->
                 blocking(
                     (a, b) ->
-                        (clients(a) && a.zone().equals(fault.target()))
-                            || (clients(b) && b.zone().equals(fault.target())))));
+                        (isClientMachine(a) && a.zone().equals(fault.target()))
+                            || (isClientMachine(b) && b.zone().equals(fault.target())))));
     all.add(
         disturbanceKind(
             "zones-late",
@@ -390,7 +398,7 @@
             FaultKind.TargetType.ALL,
             15_000,
             new double[] {3, 60},
-            (stage, fault) ->
+            (context, fault) ->
                 delaying((a, b) -> !a.zone().equals(b.zone()), (long) (fault.size() * MILLI))));
     all.add(
         disturbanceKind(
@@ -399,7 +407,7 @@
             FaultKind.TargetType.HOST,
             10_000,
             new double[] {5, 150},
-            (stage, fault) ->
+            (context, fault) ->
                 delaying(
                     (a, b) -> a.name().equals(fault.target()) || b.name().equals(fault.target()),
                     (long) (fault.size() * MILLI))));
@@ -410,9 +418,9 @@
             FaultKind.TargetType.ZONE,
             12_000,
             new double[] {0.5, 20},
-            (stage, fault) ->
+            (context, fault) ->
                 throttling(
-                    (a, b) -> clients(b) && b.zone().equals(fault.target()),
+                    (a, b) -> isClientMachine(b) && b.zone().equals(fault.target()),
                     (long) (fault.size() * 1_000))));
     all.add(
         disturbanceKind(
@@ -421,7 +429,7 @@
             FaultKind.TargetType.HOST,
             12_000,
             new double[] {0.5, 20},
-            (stage, fault) ->
+            (context, fault) ->
                 throttling(
                     (a, b) -> a.name().equals(fault.target()) || b.name().equals(fault.target()),
                     (long) (fault.size() * 1_000))));
@@ -431,8 +439,8 @@
             "connects to a stream host never come up",
             FaultKind.TargetType.HOST,
             10_000,
-            none,
-            (stage, fault) -> connectDisturbance((a, b) -> b.name().equals(fault.target()), 0)));
+            noSize,
+            (context, fault) -> connectDisturbance((a, b) -> b.name().equals(fault.target()), 0)));
     all.add(
         disturbanceKind(
             "connects-late",
@@ -440,13 +448,13 @@
             FaultKind.TargetType.HOST,
             10_000,
             new double[] {20, 400},
-            (stage, fault) ->
+            (context, fault) ->
                 connectDisturbance(
                     (a, b) -> b.name().equals(fault.target()), (long) (fault.size() * MILLI))));
     return all;
   }
 
-  // --------------------------------------------------------------- discovery
+  // Faults of discovery.
 
   private static List<FaultKind> discovery() {
     List<FaultKind> all = new ArrayList<>();
@@ -460,22 +468,23 @@
             0,
             0,
             2,
-            (stage, fault) -> stage.world().discovery().takeDown(),
-            (stage, fault) -> stage.world().discovery().bringUp()));
-    for (Discovery.Behavior manner : Discovery.Behavior.values()) {
-      if (manner != Discovery.Behavior.SOUND) {
+            (context, fault) -> context.world().discovery().takeDown(),
+            (context, fault) -> context.world().discovery().bringUp()));
+    for (Discovery.Behavior behavior : Discovery.Behavior.values()) {
+      if (behavior != Discovery.Behavior.SOUND) {
         all.add(
             new FaultKind(
-                "discovery-" + byName(manner),
-                "discovery " + manner.about(),
+                "discovery-" + kebabCase(behavior),
+                "discovery " + behavior.about(),
                 FaultKind.TargetType.ALL,
                 500,
                 8_000,
                 0,
                 0,
                 1,
-                (stage, fault) -> stage.world().discovery().setBehavior(manner),
-                (stage, fault) -> stage.world().discovery().setBehavior(Discovery.Behavior.SOUND)));
+                (context, fault) -> context.world().discovery().setBehavior(behavior),
+                (context, fault) ->
+                    context.world().discovery().setBehavior(Discovery.Behavior.SOUND)));
       }
     }
     all.add(
@@ -488,8 +497,8 @@
             0,
             0,
             1,
-            (stage, fault) -> stage.world().discovery().setFrozen(true),
-            (stage, fault) -> stage.world().discovery().setFrozen(false)));
+            (context, fault) -> context.world().discovery().setFrozen(true),
+            (context, fault) -> context.world().discovery().setFrozen(false)));
     all.add(
         new FaultKind(
             "discovery-slow",
@@ -500,12 +509,12 @@
             2,
             20,
             1,
-            (stage, fault) -> stage.world().discovery().setSlowdown(fault.size()),
-            (stage, fault) -> stage.world().discovery().setSlowdown(1)));
+            (context, fault) -> context.world().discovery().setSlowdown(fault.size()),
+            (context, fault) -> context.world().discovery().setSlowdown(1)));
     return all;
   }
 
-  // ----------------------------------------------------------------- proxies
+  // Faults of proxies.
 
   private static List<FaultKind> proxies() {
     List<FaultKind> all = new ArrayList<>();
@@ -519,7 +528,7 @@
             0,
             0,
             2,
-            (stage, fault) -> stage.proxy(fault).crash(fault.forMillis() * MILLI),
+            (context, fault) -> context.proxy(fault).crash(fault.forMillis() * MILLI),
             NOTHING));
     all.add(
         new FaultKind(
@@ -531,7 +540,7 @@
             0,
             0,
             1,
-            (stage, fault) -> stage.proxy(fault).losePower(fault.forMillis() * MILLI),
+            (context, fault) -> context.proxy(fault).losePower(fault.forMillis() * MILLI),
             NOTHING));
     all.add(
         new FaultKind(
@@ -543,7 +552,7 @@
             0,
             0,
             2,
-            (stage, fault) -> stage.proxy(fault).restart(),
+            (context, fault) -> context.proxy(fault).restart(),
             NOTHING));
     all.add(
         new FaultKind(
@@ -555,7 +564,7 @@
             0,
             0,
             2,
-            (stage, fault) -> stage.proxy(fault).standby(fault.forMillis() * MILLI),
+            (context, fault) -> context.proxy(fault).standby(fault.forMillis() * MILLI),
             NOTHING));
     all.add(
         new FaultKind(
@@ -567,7 +576,7 @@
             0,
             0,
             2,
-            (stage, fault) -> stage.proxy(fault).upgrade(),
+            (context, fault) -> context.proxy(fault).upgrade(),
             NOTHING));
     all.add(
         new FaultKind(
@@ -579,10 +588,10 @@
             1,
             4,
             1,
-            (stage, fault) -> {
+            (context, fault) -> {
               long at = 0;
-              for (ProxyInstance proxy : stage.proxies()) {
-                stage.world().agenda().after(at, proxy::restart);
+              for (ProxyInstance proxy : context.proxies()) {
+                context.world().agenda().after(at, proxy::restart);
                 at += (long) (fault.size() * 1_000_000);
               }
             },
@@ -597,9 +606,9 @@
             0,
             0,
             2,
-            (stage, fault) -> {
-              stage.world().discovery().moveAddress();
-              stage.proxies().forEach(proxy -> proxy.hangUp(0));
+            (context, fault) -> {
+              context.world().discovery().moveAddress();
+              context.proxies().forEach(proxy -> proxy.hangUp(0));
             },
             NOTHING));
     all.add(
@@ -612,7 +621,7 @@
             0,
             0,
             4,
-            (stage, fault) -> stage.proxy(fault).pause(fault.forMillis() * MILLI),
+            (context, fault) -> context.proxy(fault).pause(fault.forMillis() * MILLI),
             NOTHING));
     all.add(
         new FaultKind(
@@ -624,12 +633,12 @@
             -60,
             60,
             2,
-            (stage, fault) -> stage.proxy(fault).stepClock((long) (fault.size() * 1_000)),
+            (context, fault) -> context.proxy(fault).stepClock((long) (fault.size() * 1_000)),
             NOTHING));
     return all;
   }
 
-  // ----------------------------------------------------------------- clients
+  // Faults caused by clients.
 
   private static List<FaultKind> clients() {
     List<FaultKind> all = new ArrayList<>();
@@ -643,27 +652,27 @@
             1.4,
             2.4,
             2,
-            (stage, fault) ->
-                stage
+            (context, fault) ->
+                context
                     .clientGenerator()
                     .addClients(
-                        (fault.size() - 1) * stage.world().site().rate(), fault.forMillis()),
+                        (fault.size() - 1) * context.world().site().rate(), fault.forMillis()),
             NOTHING));
     for (BadClient.Kind kind : BadClient.Kind.values()) {
-      boolean heavy = kind == BadClient.Kind.HUGE || kind == BadClient.Kind.ENDLESS;
-      boolean many = kind == BadClient.Kind.SILENT;
+      boolean sendsMuch = kind == BadClient.Kind.HUGE || kind == BadClient.Kind.ENDLESS;
+      boolean comesInNumbers = kind == BadClient.Kind.SILENT;
       all.add(
           new FaultKind(
-              "bad-" + byName(kind),
+              "bad-" + kebabCase(kind),
               "so many clients a second " + kind.about(),
               FaultKind.TargetType.ALL,
               500,
-              many ? 3_000 : 6_000,
-              many ? 20 : 1,
-              heavy ? 3 : many ? 200 : 12,
+              comesInNumbers ? 3_000 : 6_000,
+              comesInNumbers ? 20 : 1,
+              sendsMuch ? 3 : comesInNumbers ? 200 : 12,
               1,
-              (stage, fault) ->
-                  stage.clientGenerator().addBadClients(kind, fault.size(), fault.forMillis()),
+              (context, fault) ->
+                  context.clientGenerator().addBadClients(kind, fault.size(), fault.forMillis()),
               NOTHING));
     }
     return all;
--- a/src/main/java/brassbank/sim/fault/FleetScenario.java
+++ b/src/main/java/brassbank/sim/fault/FleetScenario.java
@@ -9,84 +9,88 @@
 import java.util.stream.IntStream;
 
 /**
- * The bad nights of a large fleet, each drawn from a seed: what one proxy may do and all of them
- * must not. Unlike {@link Plan#drawn}, the faults belong together.
+ * Scenarios of correlated faults in a large fleet, with details drawn from a seed. They test for
+ * behaviour that is harmless in one proxy but not in all proxies at the same time. Unlike the
+ * faults of {@link Plan#drawn}, the faults of a scenario depend on each other.
  */
 public enum FleetScenario {
-  /** Nothing happens: what a fleet costs by itself. */
+  /** No faults: measures the cost of running a fleet. */
   CALM {
     @Override
-    void draw(FaultSchedule site) {}
+    void draw(FaultSchedule schedule) {}
   },
 
-  /** Ten of fourteen proxies are killed at once during a release, while discovery is overbooked. */
+  /** Five in seven proxies are killed together during a release, while discovery is overloaded. */
   HERD {
     @Override
-    void draw(FaultSchedule site) {
-      site.add("discovery-slow", 8_000, 8_000, "", site.between(3, 8));
-      site.proxies().stream()
-          .limit(site.proxies().size() * 5L / 7)
-          .forEach(name -> site.add("proxy-crash", 10_000, 400 + site.between(0, 200), name, 0));
-      site.replaceHosts(0.3, 7_000, 9_000);
+    void draw(FaultSchedule schedule) {
+      schedule.add("discovery-slow", 8_000, 8_000, "", schedule.between(3, 8));
+      schedule.proxies().stream()
+          .limit(schedule.proxies().size() * 5L / 7)
+          .forEach(
+              name -> schedule.add("proxy-crash", 10_000, 400 + schedule.between(0, 200), name, 0));
+      schedule.replaceHosts(0.3, 7_000, 9_000);
     }
   },
 
   /**
-   * A zone's hosts and half of its proxies are lost at once; they return cold, and knowing nothing.
+   * All hosts and half of the proxies of one zone lose power together. The hosts return cold and
+   * the proxies without state; meanwhile some hosts of the other zone fail most attempts.
    */
   ZONE {
     @Override
-    void draw(FaultSchedule site) {
-      int away = site.between(5_000, 8_000);
-      int zone = site.between(0, 1);
-      List<String> hosts = site.inZone(FaultKind.TargetType.HOST, zone);
-      hosts.forEach(name -> site.add("host-dark", 8_000, away, name, 0));
-      List<String> proxies = site.inZone(FaultKind.TargetType.PROXY, zone);
+    void draw(FaultSchedule schedule) {
+      int downMillis = schedule.between(5_000, 8_000);
+      int zone = schedule.between(0, 1);
+      List<String> hosts = schedule.inZone(FaultKind.TargetType.HOST, zone);
+      hosts.forEach(name -> schedule.add("host-dark", 8_000, downMillis, name, 0));
+      List<String> proxies = schedule.inZone(FaultKind.TargetType.PROXY, zone);
       proxies.stream()
           .limit(proxies.size() / 2)
-          .forEach(name -> site.add("proxy-dark", 8_000, away, name, 0));
-      site.addFailingHosts(site.inZone(FaultKind.TargetType.HOST, 1 - zone));
+          .forEach(name -> schedule.add("proxy-dark", 8_000, downMillis, name, 0));
+      schedule.addFailingHosts(schedule.inZone(FaultKind.TargetType.HOST, 1 - zone));
     }
   },
 
-  /** Six in ten hosts are replaced within 7 s, and some of the rest are bad. */
+  /** Six in ten hosts are replaced within 7 s, and some of the others fail most attempts. */
   JOIN {
     @Override
-    void draw(FaultSchedule site) {
-      int count = site.replaceHosts(0.6, 7_000, 7_000);
-      site.addFailingHosts(site.hosts().subList(count, site.hosts().size()));
+    void draw(FaultSchedule schedule) {
+      int count = schedule.replaceHosts(0.6, 7_000, 7_000);
+      schedule.addFailingHosts(schedule.hosts().subList(count, schedule.hosts().size()));
     }
   },
 
   /**
-   * Three in seven proxies die one after the other and stay away for most of the night, while six
-   * in ten hosts are replaced: what the dead might have placed at cold hosts is there for the rest.
+   * Three in seven proxies are killed one after the other and stay down for most of the run, while
+   * 85% of the hosts are replaced. The remaining proxies may use the cold-host budget shares of the
+   * stopped ones.
    */
   SHRUNK {
     @Override
-    void draw(FaultSchedule site) {
-      int dead = site.proxies().size() * 3 / 7;
-      for (int i = 0; i < dead; i++) {
-        site.add("proxy-crash", 3_000 + 400L * i, 30_000, site.proxies().get(i), 0);
+    void draw(FaultSchedule schedule) {
+      int stopped = schedule.proxies().size() * 3 / 7;
+      for (int i = 0; i < stopped; i++) {
+        schedule.add("proxy-crash", 3_000 + 400L * i, 30_000, schedule.proxies().get(i), 0);
       }
-      site.replaceHosts(0.85, 9_000, 1_500);
+      schedule.replaceHosts(0.85, 9_000, 1_500);
     }
   };
 
   public static final int PROXIES = 14;
   public static final int HOSTS = 60;
 
-  /** New clients a second: each proxy meets a host seldom. */
+  /** New clients per second: low enough that each proxy uses a given host only rarely. */
   public static final double CLIENTS_PER_SECOND = 28;
 
-  abstract void draw(FaultSchedule site);
+  abstract void draw(FaultSchedule schedule);
 
-  /** The night of a seed; the same for the same seed. */
+  /** Returns the plan of this scenario for a seed; equal arguments give equal plans. */
   public Plan plan(long seed, int seconds, int proxies, int hosts, double rate) {
-    FaultSchedule site =
+    FaultSchedule schedule =
         new FaultSchedule(new RandomStreams(seed).of("night " + name()), proxies, hosts);
-    draw(site);
-    site.faults.sort(Comparator.comparingLong(Fault::atMillis));
+    draw(schedule);
+    schedule.faults.sort(Comparator.comparingLong(Fault::atMillis));
     return new Plan(
         seed,
         seconds,
@@ -94,12 +98,12 @@
         hosts,
         rate,
         Plan.DEFAULT_SOCKETS,
-        site.faults,
+        schedule.faults,
         IndexSet.ALL,
         Plan.FleetMode.NONE);
   }
 
-  /** What a night is drawn on. */
+  /** Collects the faults of a scenario. */
   static final class FaultSchedule {
     private final RandomStreams.Stream stream;
     private final List<Fault> faults = new ArrayList<>();
@@ -139,7 +143,9 @@
       faults.add(new Fault(FaultKinds.byName(kind), atMillis, forMillis, target, size));
     }
 
-    /** The machines of one of the two zones, which a run deals out in turn. */
+    /**
+     * Returns the machines of one of the two zones; a run assigns machines to zones alternately.
+     */
     List<String> inZone(FaultKind.TargetType on, int zone) {
       List<String> all = Plan.targets(on, proxyCount, hostCount);
       return IntStream.range(0, all.size())
@@ -148,13 +154,17 @@
           .collect(Collectors.toCollection(ArrayList::new));
     }
 
-    /** The first of the hosts, this share of them, leave and come anew, evenly over a time. */
-    int replaceHosts(double share, int from, int within) {
+    /**
+     * Replaces the first {@code share} of the hosts, spread evenly over {@code withinMillis}.
+     *
+     * @return the number of replaced hosts
+     */
+    int replaceHosts(double share, int fromMillis, int withinMillis) {
       int count = (int) (share * hosts.size());
       for (int i = 0; i < count; i++) {
         add(
             "host-release",
-            from + (long) within * i / count,
+            fromMillis + (long) withinMillis * i / count,
             between(3_000, 5_000),
             hosts.get(i),
             0);
@@ -162,10 +172,10 @@
       return count;
     }
 
-    /** One in six of these hosts, at least one, answers most attempts ERR. */
-    void addFailingHosts(List<String> of) {
-      shuffled(of).stream()
-          .limit(Math.max(1, of.size() / 6))
+    /** Makes one in six of these hosts, and at least one, answer most attempts with ERR. */
+    void addFailingHosts(List<String> candidates) {
+      shuffled(candidates).stream()
+          .limit(Math.max(1, candidates.size() / 6))
           .forEach(name -> add("host-errs", 6_000, 14_000, name, 0.75));
     }
   }
--- a/src/main/java/brassbank/sim/fault/IndexSet.java
+++ b/src/main/java/brassbank/sim/fault/IndexSet.java
@@ -4,9 +4,9 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** A set of numbers from 0 on, written as {@code 0-12,57}; all of them where it is not bounded. */
+/** A set of non-negative integers, written as {@code 0-12,57}, or the set of all of them. */
 public final class IndexSet {
-  /** Every number. */
+  /** Contains every index. */
   public static final IndexSet ALL = new IndexSet(null);
 
   private static final int MAX_INDEX = 1_000_000;
@@ -17,21 +17,25 @@
     this.indexes = bits;
   }
 
-  /** These numbers. */
+  /** Returns the set of these indexes. */
   public static IndexSet of(List<Integer> numbers) {
     BitSet bits = new BitSet();
     numbers.forEach(bits::set);
     return new IndexSet(bits);
   }
 
-  /** Throws IllegalArgumentException where the text is no list of numbers and ranges. */
+  /**
+   * Parses a comma-separated list of numbers and ranges.
+   *
+   * @throws IllegalArgumentException if the text is not such a list
+   */
   public static IndexSet parse(String text) {
     BitSet bits = new BitSet();
     for (String part : text.isBlank() ? new String[0] : text.split(",", -1)) {
-      String[] ends = part.trim().split("-", 2);
+      String[] limits = part.trim().split("-", 2);
       try {
-        int first = Integer.parseInt(ends[0]);
-        int last = Integer.parseInt(ends[ends.length - 1]);
+        int first = Integer.parseInt(limits[0]);
+        int last = Integer.parseInt(limits[limits.length - 1]);
         if (first < 0 || last < first || last > MAX_INDEX) {
           throw new NumberFormatException();
         }
@@ -47,7 +51,7 @@
     return indexes == null || indexes.get(number);
   }
 
-  /** The numbers below {@code bound}, in order. */
+  /** Returns the members less than {@code bound}, in ascending order. */
   public List<Integer> below(int bound) {
     List<Integer> all = new ArrayList<>();
     for (int i = 0; i < bound; i++) {
--- a/src/main/java/brassbank/sim/fault/LinkFaultKinds.java
+++ b/src/main/java/brassbank/sim/fault/LinkFaultKinds.java
@@ -8,14 +8,14 @@
 import java.util.function.BiFunction;
 
 /**
- * Faults of single links, and of processes in numbers, that scripts use and seeds do not draw: what
- * is drawn stays what it was.
+ * Faults of single links and of several processes at once. Only scripts use them: if seeds drew
+ * them, every existing seed would produce a different run.
  */
 final class LinkFaultKinds {
   private static final long MILLI = 1_000;
-  private static final FaultKind.Action NOTHING = (stage, fault) -> {};
+  private static final FaultKind.Action NOTHING = (context, fault) -> {};
 
-  /** A starved process runs and is stopped in turns of this length together. */
+  /** Length of one cycle of a starved process: a pause followed by a period of running. */
   private static final long STARVE_PERIOD_MICROS = 100 * MILLI;
 
   private LinkFaultKinds() {}
@@ -26,71 +26,71 @@
             "link-cut",
             "nothing passes over these links, and nothing tells of it",
             0,
-            (ends, fault) ->
+            (links, fault) ->
                 new Disturbance() {
                   @Override
                   public boolean blocks(Machine from, Machine to) {
-                    return ends.matches(from, to);
+                    return links.matches(from, to);
                   }
                 }),
         linkKind(
             "link-refused",
             "connects over these links are refused; what stands is left alone",
             0,
-            (ends, fault) ->
+            (links, fault) ->
                 new Disturbance() {
                   @Override
                   public boolean refusesConnects(Machine from, Machine to) {
-                    return ends.matches(from, to);
+                    return links.matches(from, to);
                   }
                 }),
         linkKind(
             "link-late",
             "half to one and a half times so many milliseconds more over these links",
             100,
-            (ends, fault) -> delaying(ends, fault)),
+            (links, fault) -> delaying(links, fault)),
         linkKind(
             "link-loses",
             "this share of the datagrams over these links is lost",
             0.3,
-            (ends, fault) ->
+            (links, fault) ->
                 new Disturbance() {
                   @Override
                   public double datagramLossRate(Machine from, Machine to) {
-                    return ends.matches(from, to) ? fault.size() : 0;
+                    return links.matches(from, to) ? fault.size() : 0;
                   }
                 }),
         linkKind(
             "link-doubles",
             "this share of the datagrams over these links comes twice",
             0.3,
-            (ends, fault) ->
+            (links, fault) ->
                 new Disturbance() {
                   @Override
                   public double datagramDuplicationRate(Machine from, Machine to) {
-                    return ends.matches(from, to) ? fault.size() : 0;
+                    return links.matches(from, to) ? fault.size() : 0;
                   }
                 }),
         linkKind(
             "link-thin",
             "each connection over these links gets so many kilobytes a second",
             10,
-            (ends, fault) ->
+            (links, fault) ->
                 new Disturbance() {
                   @Override
                   public long maxBytesPerSecond(Machine from, Machine to) {
-                    return ends.matches(from, to) ? (long) (fault.size() * 1_000) : Long.MAX_VALUE;
+                    return links.matches(from, to) ? (long) (fault.size() * 1_000) : Long.MAX_VALUE;
                   }
                 }),
         linkKind(
             "link-chopped",
             "what passes over these links comes in pieces of so many bytes at most",
             3,
-            (ends, fault) ->
+            (links, fault) ->
                 new Disturbance() {
                   @Override
                   public int maxSegmentBytes(Machine from, Machine to) {
-                    return ends.matches(from, to)
+                    return links.matches(from, to)
                         ? Math.max(1, (int) fault.size())
                         : Integer.MAX_VALUE;
                   }
@@ -104,9 +104,9 @@
             0,
             0,
             0,
-            (stage, fault) -> {
-              LinkSelector ends = LinkSelector.parse(fault.target());
-              stage.world().fabric().resetConnections(ends::matches);
+            (context, fault) -> {
+              LinkSelector links = LinkSelector.parse(fault.target());
+              context.world().fabric().resetConnections(links::matches);
             },
             NOTHING),
         new FaultKind(
@@ -118,7 +118,7 @@
             0.5,
             0.95,
             0,
-            (stage, fault) -> starve(stage, fault, 0),
+            (context, fault) -> starve(context, fault, 0),
             NOTHING),
         new FaultKind(
             "front-favours",
@@ -129,8 +129,9 @@
             2,
             8,
             0,
-            (stage, fault) -> stage.world().loadBalancer().setWeight(fault.target(), fault.size()),
-            (stage, fault) -> stage.world().loadBalancer().setWeight(fault.target(), 1)),
+            (context, fault) ->
+                context.world().loadBalancer().setWeight(fault.target(), fault.size()),
+            (context, fault) -> context.world().loadBalancer().setWeight(fault.target(), 1)),
         new FaultKind(
             "proxies-hang-up-damaged",
             "SIGHUP to all proxies with a file that breaks off in the middle",
@@ -140,7 +141,7 @@
             0,
             0,
             0,
-            (stage, fault) -> stage.proxies().forEach(ProxyInstance::hangUpDamaged),
+            (context, fault) -> context.proxies().forEach(ProxyInstance::hangUpDamaged),
             NOTHING),
         new FaultKind(
             "proxies-crash",
@@ -151,8 +152,8 @@
             0,
             0,
             0,
-            (stage, fault) -> {
-              for (ProxyInstance proxy : stage.proxies()) {
+            (context, fault) -> {
+              for (ProxyInstance proxy : context.proxies()) {
                 proxy.crash(fault.forMillis() * MILLI);
               }
             },
@@ -173,36 +174,38 @@
         size,
         size,
         0,
-        (stage, fault) ->
-            stage.beginDisturbance(
+        (context, fault) ->
+            context.beginDisturbance(
                 fault, disturbance.apply(LinkSelector.parse(fault.target()), fault)),
         FaultContext::endDisturbance);
   }
 
-  private static Disturbance delaying(LinkSelector ends, Fault fault) {
+  private static Disturbance delaying(LinkSelector links, Fault fault) {
     RandomStreams.Stream jitter = new RandomStreams(fault.atMillis()).of("jitter " + fault);
     return new Disturbance() {
       @Override
       public long delayMicros(Machine from, Machine to) {
-        return ends.matches(from, to)
+        return links.matches(from, to)
             ? (long) (fault.size() * MILLI * jitter.between(0.5, 1.5))
             : 0;
       }
 
       @Override
       public long maxDelayMicros(Machine from, Machine to) {
-        return ends.matches(from, to) ? (long) (fault.size() * MILLI * 1.5) : 0;
+        return links.matches(from, to) ? (long) (fault.size() * MILLI * 1.5) : 0;
       }
     };
   }
 
-  private static void starve(FaultContext stage, Fault fault, long done) {
-    if (done < fault.forMillis() * MILLI) {
-      stage.proxy(fault).pause((long) (fault.size() * STARVE_PERIOD_MICROS));
-      stage
+  private static void starve(FaultContext context, Fault fault, long elapsedMicros) {
+    if (elapsedMicros < fault.forMillis() * MILLI) {
+      context.proxy(fault).pause((long) (fault.size() * STARVE_PERIOD_MICROS));
+      context
           .world()
           .agenda()
-          .after(STARVE_PERIOD_MICROS, () -> starve(stage, fault, done + STARVE_PERIOD_MICROS));
+          .after(
+              STARVE_PERIOD_MICROS,
+              () -> starve(context, fault, elapsedMicros + STARVE_PERIOD_MICROS));
     }
   }
 }
--- a/src/main/java/brassbank/sim/fault/LinkSelector.java
+++ b/src/main/java/brassbank/sim/fault/LinkSelector.java
@@ -5,14 +5,19 @@
 import java.util.regex.Pattern;
 
 /**
- * The links that a fault is aimed at, as a script names them: {@code "n0,n1 > s-*"} is what goes
- * from these machines to those, {@code "n0 = discovery-*"} both ways. A name may end in a star.
+ * Selects the directed links between machines that a fault affects. In a script {@code "n0,n1 >
+ * s-*"} selects traffic from the machines on the left to those on the right, and {@code "n0 =
+ * discovery-*"} selects both directions. A trailing {@code *} matches any suffix of a name.
  */
 record LinkSelector(List<String> from, List<String> to, boolean both) {
   private static final Pattern FORM =
       Pattern.compile("([\\w-]+\\*?(?:,[\\w-]+\\*?)*) ([>=]) ([\\w-]+\\*?(?:,[\\w-]+\\*?)*)");
 
-  /** Throws IllegalArgumentException where the text is no such thing. */
+  /**
+   * Parses the notation of scripts.
+   *
+   * @throws IllegalArgumentException if the text does not follow the notation
+   */
   static LinkSelector parse(String text) {
     var parts = FORM.matcher(text);
     if (!parts.matches()) {
@@ -25,18 +30,19 @@
         parts.group(2).equals("="));
   }
 
-  /** Whether what goes from one machine to another goes over one of them. */
+  /** Returns whether traffic from {@code a} to {@code b} uses a selected link. */
   boolean matches(Machine a, Machine b) {
-    return (named(from, a) && named(to, b)) || (both && named(from, b) && named(to, a));
+    return (matchesAny(from, a) && matchesAny(to, b))
+        || (both && matchesAny(from, b) && matchesAny(to, a));
   }
 
-  private static boolean named(List<String> names, Machine machine) {
+  private static boolean matchesAny(List<String> patterns, Machine machine) {
     String name = machine.name();
-    return names.stream()
+    return patterns.stream()
         .anyMatch(
-            one ->
-                one.endsWith("*")
-                    ? name.startsWith(one.substring(0, one.length() - 1))
-                    : name.equals(one));
+            pattern ->
+                pattern.endsWith("*")
+                    ? name.startsWith(pattern.substring(0, pattern.length() - 1))
+                    : name.equals(pattern));
   }
 }
--- a/src/main/java/brassbank/sim/fault/Plan.java
+++ b/src/main/java/brassbank/sim/fault/Plan.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * All that decides a run beside the code: the seed, the site's size, the faults, and which clients
- * come.
+ * Complete input of a simulation run: the seed, the size of the site, the faults and the clients.
+ * The same program produces the same run for equal plans.
  *
- * @param seconds how long the run is
- * @param rate new clients a second
- * @param sockets descriptors that each proxy may hold
- * @param clients which of the clients that the seed draws come
- * @param usesMembership whether the proxies keep a view of the fleet
+ * @param seconds duration of the run
+ * @param rate new clients per second
+ * @param sockets descriptor limit of each proxy
+ * @param clients indexes of the drawn clients that take part; the others are left out
+ * @param fleetMode how the proxies cooperate
  */
 public record Plan(
     long seed,
@@ -25,15 +25,15 @@
     IndexSet clients,
     FleetMode fleetMode) {
 
-  /** What the proxies do together; each does what those before it do. */
+  /** How the proxies cooperate; each mode includes all modes before it. */
   public enum FleetMode {
-    /** Nothing. */
+    /** The proxies do not cooperate. */
     NONE("off"),
-    /** They keep a view of the fleet. */
+    /** The proxies maintain a view of the fleet. */
     MEMBERS("membership"),
-    /** They share the fleet's budgets by who is there. */
+    /** The proxies divide the fleet's budgets among the live members. */
     SHARES("shares"),
-    /** Each asks a subset of the hosts. */
+    /** Each proxy uses a subset of the hosts. */
     SUBSETS("subsets");
 
     private final String key;
@@ -42,32 +42,32 @@
       this.key = key;
     }
 
-    /** Its name in scripts and options. */
+    /** Returns the name used in scripts and options. */
     public String key() {
       return key;
     }
   }
 
-  /** The usual day. */
+  /** Default duration of a run. */
   public static final int DEFAULT_SECONDS = 60;
 
   public static final int DEFAULT_PROXIES = 3;
   public static final int DEFAULT_HOSTS = 12;
   public static final double DEFAULT_CLIENTS_PER_SECOND = 13;
 
-  /** Faults begin no earlier than this, and are over so long before the end. */
+  /** Earliest start of a drawn fault, in milliseconds since the start of the run. */
   private static final long FIRST_FAULT_MILLIS = 4_000;
 
-  /** After the last fault everything is to be sound again within this. */
+  /** Time after the last fault within which the system must recover. */
   public static final long RECOVERY_MILLIS = 16_000;
 
-  /** For so long at the end of a run everything is to be sound. */
+  /** Length of the period at the end of a run in which the system must be stable. */
   public static final long STABLE_MILLIS = 14_000;
 
-  /** A run that has room for faults, for what follows them, and for the proof that all is well. */
+  /** Shortest run that leaves time for faults, recovery and the stable period. */
   public static final int MIN_SECONDS = 40;
 
-  /** Share of kinds that a seed switches on, at least and at most. */
+  /** Range of the probability with which a seed enables each kind of fault. */
   private static final double MIN_KIND_SHARE = 0.05;
 
   private static final double MAX_KIND_SHARE = 0.35;
@@ -75,10 +75,10 @@
   private static final double FEW_SOCKETS_PROBABILITY = 0.15;
   private static final int[] FEW_SOCKETS_RANGE = {130, 400};
 
-  /** Descriptors with which no limit binds. */
+  /** Descriptor limit that a run does not reach. */
   public static final int DEFAULT_SOCKETS = 1_024;
 
-  /** The usual number of proxies that ask a host, and what smaller fleets play with. */
+  /** Minimum number of proxies that use each host, in large and in small fleets. */
   private static final int MIN_PROXIES_PER_HOST = 8;
 
   private static final int SMALL_FLEET_MIN_PROXIES_PER_HOST = 2;
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Draws what goes wrong: a random subset of the kinds ("swarm testing", Groce and others, ISSTA
-   * 2012), and for each of them its number, times, targets and sizes from a stream of its own.
+   * Draws the faults of a seed: a random subset of the kinds ("swarm testing", Groce et al., ISSTA
+   * 2012), and for each kind the number, times, targets and magnitudes from its own random stream.
    */
   public static Plan drawn(long seed, int seconds, int proxies, int hosts, double rate) {
     RandomStreams draws = new RandomStreams(seed);
@@ -100,7 +100,7 @@
         swarm.chance(FEW_SOCKETS_PROBABILITY)
             ? swarm.between(FEW_SOCKETS_RANGE[0], FEW_SOCKETS_RANGE[1])
             : DEFAULT_SOCKETS;
-    long until = seconds * 1_000L - RECOVERY_MILLIS - STABLE_MILLIS;
+    long untilMillis = seconds * 1_000L - RECOVERY_MILLIS - STABLE_MILLIS;
     List<Fault> faults = new ArrayList<>();
     for (FaultKind kind : FaultKinds.ALL) {
       RandomStreams.Stream stream = draws.of("fault " + kind.name());
@@ -110,8 +110,8 @@
       int count = stream.between(1, kind.maxPerRun());
       List<String> targets = targets(kind.targetType(), proxies, hosts);
       for (int i = 0; i < count; i++) {
-        Fault fault = kind.draw(stream, targets, FIRST_FAULT_MILLIS, until);
-        if (fault.untilMillis() <= until) {
+        Fault fault = kind.draw(stream, targets, FIRST_FAULT_MILLIS, untilMillis);
+        if (fault.untilMillis() <= untilMillis) {
           faults.add(fault);
         }
       }
@@ -121,7 +121,7 @@
         seed, seconds, proxies, hosts, rate, sockets, faults, IndexSet.ALL, FleetMode.NONE);
   }
 
-  /** The names that a fault of such a kind may be aimed at; empty where it needs none. */
+  /** Returns the valid targets of a type; empty if the type needs no target name. */
   static List<String> targets(FaultKind.TargetType on, int proxies, int hosts) {
     List<String> targets = new ArrayList<>();
     switch (on) {
@@ -137,63 +137,66 @@
       }
       case ZONE -> targets.addAll(List.of("leith", "dalkeith"));
       default -> {
-        // It is aimed at everything.
+        // Faults of the whole system and of links have no list of targets.
       }
     }
     return targets;
   }
 
-  /** When the last fault is over, in milliseconds. */
+  /** Returns the end of the last fault, in milliseconds since the start of the run. */
   public long lastFaultEndMillis() {
     return faults.stream().mapToLong(Fault::untilMillis).max().orElse(0);
   }
 
-  /** The same without what only virtual time can show: a clock of its own for each machine. */
+  /**
+   * Returns this plan without clock steps, which real processes on one machine cannot play because
+   * they share a clock.
+   */
   public Plan withoutClockSteps() {
     return with(
         faults.stream().filter(fault -> !fault.kind().name().equals("clock-step")).toList());
   }
 
-  public Plan with(List<Fault> left) {
-    return new Plan(seed, seconds, proxies, hosts, rate, sockets, left, clients, fleetMode);
+  public Plan with(List<Fault> remaining) {
+    return new Plan(seed, seconds, proxies, hosts, rate, sockets, remaining, clients, fleetMode);
   }
 
-  /** The same with no more than so many seconds, which ends it early. */
-  public Plan withSeconds(int shorter) {
-    return new Plan(seed, shorter, proxies, hosts, rate, sockets, faults, clients, fleetMode);
+  /** Returns this plan with another, usually newSeconds, duration; the faults stay. */
+  public Plan withSeconds(int newSeconds) {
+    return new Plan(seed, newSeconds, proxies, hosts, rate, sockets, faults, clients, fleetMode);
   }
 
-  public Plan with(IndexSet left) {
-    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, left, fleetMode);
+  public Plan with(IndexSet remaining) {
+    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, remaining, fleetMode);
   }
 
-  /** Whether the proxies keep a view of the fleet. */
+  /** Returns whether the proxies maintain a view of the fleet. */
   public boolean usesMembership() {
     return fleetMode != FleetMode.NONE;
   }
 
-  /** Whether they share the fleet's budgets by who is there. */
+  /** Returns whether the proxies divide the fleet's budgets among the live members. */
   public boolean sharesBudgets() {
     return fleetMode.compareTo(FleetMode.SHARES) >= 0;
   }
 
-  /** Whether each asks a subset of the hosts. */
+  /** Returns whether each proxy uses a subset of the hosts. */
   public boolean usesSubsets() {
     return fleetMode == FleetMode.SUBSETS;
   }
 
-  /** By how many proxies a host is asked at least; in small fleets less than usual. */
+  /** Returns the minimum number of proxies that use each host; it is lower in small fleets. */
   public int minProxiesPerHost() {
     return proxies < LARGE_FLEET_PROXIES ? SMALL_FLEET_MIN_PROXIES_PER_HOST : MIN_PROXIES_PER_HOST;
   }
 
-  /** The same on another number of hosts, no fewer than faults are aimed at. */
+  /** Returns this plan with another number of hosts, which must include every target of a fault. */
   public Plan withHosts(int count) {
     return new Plan(seed, seconds, proxies, count, rate, sockets, faults, clients, fleetMode);
   }
 
-  /** The same with proxies that do this together. */
-  public Plan with(FleetMode together) {
-    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, clients, together);
+  /** Returns this plan with another mode of cooperation. */
+  public Plan with(FleetMode mode) {
+    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, clients, mode);
   }
 }
--- a/src/main/java/brassbank/sim/fault/Script.java
+++ b/src/main/java/brassbank/sim/fault/Script.java
@@ -14,7 +14,10 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** A plan as a TOML file: docs/simulation.md has the keys. What a script leaves out is as usual. */
+/**
+ * Reads and writes a {@link Plan} as a TOML file. Keys that a script omits take their defaults;
+ * docs/simulation.md lists the keys.
+ */
 public final class Script {
   private static final int MIN_SECONDS = 1;
   private static final int MAX_SECONDS = 3_600;
@@ -30,12 +33,16 @@
     this.file = file;
   }
 
-  /** Reads a script; what is wrong with it is told with its place. */
+  /**
+   * Reads a script.
+   *
+   * @throws ScriptException if the script is invalid; the message gives file, line and column
+   */
   public static Plan read(Path path) throws IOException, ScriptException {
     return parse(path.toString(), Files.readString(path));
   }
 
-  /** The plan in a text; {@code file} is what errors call it. */
+  /** Parses a script; error messages refer to it as {@code file}. */
   static Plan parse(String file, String text) throws ScriptException {
     TomlParseResult toml = Toml.parse(text);
     if (toml.hasErrors()) {
@@ -82,7 +89,7 @@
             (int) integer(toml, "sockets", Plan.DEFAULT_SOCKETS, MIN_SOCKETS, MAX_SOCKETS),
             List.of(),
             clients(toml),
-            view(toml));
+            fleetMode(toml));
     return plan.with(faults(toml, plan));
   }
 
@@ -94,37 +101,37 @@
     }
   }
 
-  /** The most that any of the flags asks for. */
-  private Plan.FleetMode view(TomlTable toml) throws ScriptException {
-    Plan.FleetMode most = Plan.FleetMode.NONE;
-    for (Plan.FleetMode view : Plan.FleetMode.values()) {
-      most = view != Plan.FleetMode.NONE && flag(toml, view.key()) ? view : most;
+  /** Returns the most comprehensive mode that is set; each mode includes those before it. */
+  private Plan.FleetMode fleetMode(TomlTable toml) throws ScriptException {
+    Plan.FleetMode result = Plan.FleetMode.NONE;
+    for (Plan.FleetMode mode : Plan.FleetMode.values()) {
+      result = mode != Plan.FleetMode.NONE && flag(toml, mode.key()) ? mode : result;
     }
-    return most;
+    return result;
   }
 
-  private long integer(TomlTable table, String key, long absent, long least, long most)
+  private long integer(TomlTable table, String key, long defaultValue, long min, long max)
       throws ScriptException {
     Object value = table.get(List.of(key));
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
-    if (!(value instanceof Long number) || number < least || number > most) {
-      throw error(table, key, "'" + key + "' must be a whole number from " + least + " to " + most);
+    if (!(value instanceof Long number) || number < min || number > max) {
+      throw error(table, key, "'" + key + "' must be a whole number from " + min + " to " + max);
     }
     return number;
   }
 
-  private double number(TomlTable table, String key, double absent, double least, double most)
+  private double number(TomlTable table, String key, double defaultValue, double min, double max)
       throws ScriptException {
     Object value = table.get(List.of(key));
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     double number =
         value instanceof Double real ? real : value instanceof Long whole ? whole : Double.NaN;
-    if (!(number >= least && number <= most)) {
-      throw error(table, key, "'" + key + "' must be a number from " + least + " to " + most);
+    if (!(number >= min && number <= max)) {
+      throw error(table, key, "'" + key + "' must be a number from " + min + " to " + max);
     }
     return number;
   }
@@ -175,27 +182,27 @@
     return faults;
   }
 
-  private Fault fault(TomlTable table, TomlPosition at, Plan plan) throws ScriptException {
+  private Fault fault(TomlTable table, TomlPosition start, Plan plan) throws ScriptException {
     requireKnownKeys(table, List.of("kind", "at_ms", "for_ms", "target", "size"));
     String name = text(table, "kind");
     if (name == null) {
-      throw new ScriptException(position(file, at) + "a fault needs a 'kind'");
+      throw new ScriptException(position(file, start) + "a fault needs a 'kind'");
     }
     FaultKind kind = FaultKinds.byName(name);
     if (kind == null) {
       throw error(
           table, "kind", "no such kind of fault: '" + name + "'; 'simulate --kinds' lists them");
     }
-    long most = plan.seconds() * 1_000L;
-    long from = integer(table, "at_ms", 0, 0, most);
-    long length = integer(table, "for_ms", kind.minMillis(), 0, most);
+    long maxMillis = plan.seconds() * 1_000L;
+    long from = integer(table, "at_ms", 0, 0, maxMillis);
+    long length = integer(table, "for_ms", kind.minMillis(), 0, maxMillis);
     List<String> targets = Plan.targets(kind.targetType(), plan.proxies(), plan.hosts());
     String target = text(table, "target");
     if (kind.targetType() == FaultKind.TargetType.LINK) {
-      validateLinks(table, at, name, target);
+      validateLinks(table, start, name, target);
     } else if (target == null) {
       if (!targets.isEmpty()) {
-        throw new ScriptException(position(file, at) + name + " needs a 'target'");
+        throw new ScriptException(position(file, start) + name + " needs a 'target'");
       }
       target = "";
     } else if (!targets.contains(target)) {
@@ -210,10 +217,10 @@
     return new Fault(kind, from, length, target, size);
   }
 
-  private void validateLinks(TomlTable table, TomlPosition at, String name, String target)
+  private void validateLinks(TomlTable table, TomlPosition start, String name, String target)
       throws ScriptException {
     if (target == null) {
-      throw new ScriptException(position(file, at) + name + " needs a 'target'");
+      throw new ScriptException(position(file, start) + name + " needs a 'target'");
     }
     try {
       LinkSelector.parse(target);
@@ -222,7 +229,7 @@
     }
   }
 
-  /** The plan as a script, which reads back as the same plan; {@code comment} stands first. */
+  /** Writes a plan as a script that parses to the same plan, preceded by {@code comment}. */
   public static String write(Plan plan, String comment) {
     StringBuilder text = new StringBuilder();
     comment.lines().forEach(line -> text.append("# ").append(line).append('\n'));
--- a/src/main/java/brassbank/sim/fault/ScriptException.java
+++ b/src/main/java/brassbank/sim/fault/ScriptException.java
@@ -1,6 +1,8 @@
 package brassbank.sim.fault;
 
-/** A script that cannot be used; the message begins with the file, the line and the column. */
+/**
+ * Thrown for an invalid script; the message begins with the file and, if known, line and column.
+ */
 public final class ScriptException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brassbank/sim/fault/package-info.java
+++ b/src/main/java/brassbank/sim/fault/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What goes wrong: the kinds of fault, how a seed switches a random subset of them on and draws
- * their times, and the script that pins them. Uses {@code sim.actor}, {@code sim.net} and {@code
- * sim.time}; which proxies it meets, real processes or others, it does not know.
+ * Fault injection: the kinds of fault, the random selection of kinds, times and targets by a seed,
+ * and scripts that fix them. Uses {@code sim.actor}, {@code sim.net} and {@code sim.time}. It does
+ * not depend on whether the proxies are simulated or real processes.
  */
 package brassbank.sim.fault;
--- a/src/main/java/brassbank/sim/net/ByteQueue.java
+++ b/src/main/java/brassbank/sim/net/ByteQueue.java
@@ -2,11 +2,11 @@
 
 import java.util.Arrays;
 
-/** Bytes that wait in the order they came, in one array that grows and is compacted in place. */
+/** A FIFO queue of bytes in one array that grows as needed and is compacted in place. */
 final class ByteQueue {
-  private static final int FIRST_SIZE = 256;
+  private static final int INITIAL_CAPACITY = 256;
 
-  private byte[] data = new byte[FIRST_SIZE];
+  private byte[] data = new byte[INITIAL_CAPACITY];
   private int start;
   private int end;
 
@@ -27,8 +27,8 @@
     end += count;
   }
 
-  int remove(byte[] into, int offset, int most) {
-    int count = Math.min(most, size());
+  int remove(byte[] into, int offset, int maxCount) {
+    int count = Math.min(maxCount, size());
     System.arraycopy(data, start, into, offset, count);
     start += count;
     if (start == end) {
@@ -39,9 +39,9 @@
   }
 
   byte[] remove(int count) {
-    byte[] taken = new byte[count];
-    remove(taken, 0, count);
-    return taken;
+    byte[] removed = new byte[count];
+    remove(removed, 0, count);
+    return removed;
   }
 
   void clear() {
--- a/src/main/java/brassbank/sim/net/DatagramSocket.java
+++ b/src/main/java/brassbank/sim/net/DatagramSocket.java
@@ -6,15 +6,17 @@
 import java.util.Map;
 
 /**
- * A program's socket for datagrams. Each datagram finds its own way: it may be lost, come twice, or
- * after one that was sent later, the last only where something is wrong with the way; nobody is
- * told of it. One that meets no socket is lost.
+ * A datagram socket of a program. Datagrams may be lost or duplicated, without notice to the
+ * sender. They are reordered only on a path with an active disturbance. A datagram to an address
+ * without a socket is lost.
  */
 public final class DatagramSocket {
-  /** What one carries at most; more is turned down, as a way without fragments does. */
+  /**
+   * Maximum payload: that of an Ethernet frame, since a path without fragmentation rejects more.
+   */
   public static final int MAX_BYTES = 1_472;
 
-  /** Who is told of what comes, on a turn of its program. */
+  /** Receives datagrams, each in a task of its copy of the program. */
   public interface Handler {
     void received(Machine from, int port, byte[] bytes);
   }
@@ -33,7 +35,7 @@
     stream = program.machine().fabric().datagramStream(program.machine());
   }
 
-  /** Sends to a socket by its address; one that nobody has loses it. */
+  /** Sends to a socket address; the datagram is lost if no machine has the address. */
   public void send(InetSocketAddress to, byte[] bytes) {
     send(program.machine().fabric().machineAt(to.getAddress()), to.getPort(), bytes);
   }
@@ -41,7 +43,7 @@
   /**
    * Sends to the socket at a port of another machine.
    *
-   * @throws IllegalArgumentException where it is longer than {@link #MAX_BYTES}
+   * @throws IllegalArgumentException if the datagram is longer than {@link #MAX_BYTES}
    */
   public void send(Machine to, int toPort, byte[] bytes) {
     if (bytes.length > MAX_BYTES) {
@@ -53,7 +55,7 @@
     if (!open || to == null || fabric.isBlocked(from, to) || fabric.drawLoss(from, to, stream)) {
       return;
     }
-    byte[] own = bytes.clone();
+    byte[] copy = bytes.clone();
     int copies = fabric.drawDuplication(from, to, stream) ? 2 : 1;
     for (int i = 0; i < copies; i++) {
       long arrival = fabric.agenda().now() + fabric.drawLatency(from, to, stream);
@@ -61,7 +63,7 @@
         arrival = Math.max(arrival, lastArrival.getOrDefault(to, 0L));
         lastArrival.put(to, arrival);
       }
-      fabric.agenda().at(arrival, () -> to.deliverDatagram(from, port, toPort, own));
+      fabric.agenda().at(arrival, () -> to.deliverDatagram(from, port, toPort, copy));
     }
   }
 
@@ -75,7 +77,7 @@
         });
   }
 
-  /** Gives the socket back. */
+  /** Closes the socket. */
   public void close() {
     if (open) {
       open = false;
--- a/src/main/java/brassbank/sim/net/Disturbance.java
+++ b/src/main/java/brassbank/sim/net/Disturbance.java
@@ -1,63 +1,69 @@
 package brassbank.sim.net;
 
 /**
- * Something that is wrong on the way from one machine to another, for as long as it is in the
- * fabric. Each direction is asked for by itself.
+ * An impairment of paths between machines, in effect while it is part of the {@link Fabric}. Each
+ * direction is queried separately.
  */
 public interface Disturbance {
-  /** Nothing arrives. */
+  /** Returns whether all traffic is lost. */
   default boolean blocks(Machine from, Machine to) {
     return false;
   }
 
-  /** Connects do not come up, while connections that stand are left alone. */
+  /** Returns whether connects get no response; established connections are not affected. */
   default boolean blocksConnects(Machine from, Machine to) {
     return false;
   }
 
-  /** Connects are refused. */
+  /** Returns whether connects are refused. */
   default boolean refusesConnects(Machine from, Machine to) {
     return false;
   }
 
-  /** Bytes that come in one piece, at most. */
+  /** Returns the maximum size of a TCP segment in bytes. */
   default int maxSegmentBytes(Machine from, Machine to) {
     return Integer.MAX_VALUE;
   }
 
-  /** Share of the datagrams that are lost. */
+  /** Returns the share of datagrams that are lost. */
   default double datagramLossRate(Machine from, Machine to) {
     return 0;
   }
 
-  /** Share of the datagrams that come twice. */
+  /** Returns the share of datagrams that are duplicated. */
   default double datagramDuplicationRate(Machine from, Machine to) {
     return 0;
   }
 
-  /** Added to the time that a connect takes, in microseconds. */
+  /** Returns the time in microseconds that is added to a connect. */
   default long connectDelayMicros(Machine from, Machine to) {
     return 0;
   }
 
-  /** Added to the way's latency, in microseconds. */
+  /**
+   * Returns the time in microseconds that is added to the latency of the path; it may be random.
+   */
   default long delayMicros(Machine from, Machine to) {
     return 0;
   }
 
   /**
-   * The most that {@link #delayMicros} says on this way, for whoever must not draw from its chance.
+   * Returns the maximum of {@link #delayMicros} on this path. Unlike that method it draws no random
+   * number, so checks can call it without changing the run.
    */
   default long maxDelayMicros(Machine from, Machine to) {
     return 0;
   }
 
-  /** Bytes a second that one connection gets on this way, at most. */
+  /** Returns the maximum throughput of one connection on this path in bytes per second. */
   default long maxBytesPerSecond(Machine from, Machine to) {
     return Long.MAX_VALUE;
   }
 
-  /** Whether this way is touched at all, so that what is late on it is no one's fault. */
+  /**
+   * Returns whether the path is impaired at all, so that no component is blamed for late data on
+   * it.
+   */
   default boolean affects(Machine from, Machine to) {
     return blocks(from, to)
         || delayMicros(from, to) > 0
--- a/src/main/java/brassbank/sim/net/Endpoint.java
+++ b/src/main/java/brassbank/sim/net/Endpoint.java
@@ -6,35 +6,35 @@
 import java.util.Deque;
 
 /**
- * One end of a TCP connection, as its kernel holds it: a send buffer and a receive buffer of finite
- * size, segments that arrive in order and are cut anywhere, an end of sending, a reset, and the
- * repeats of what is lost on the way. What it leaves out stands in docs/simulation.md.
+ * One end of a TCP connection as the kernel sees it: bounded send and receive buffers, segments
+ * that arrive in order and may be split at any byte, half-close, reset, and retransmission with
+ * exponential backoff. docs/simulation.md lists what the model omits.
  */
 public final class Endpoint {
-  /** As a kernel hands it to its network card, which cuts it to packets. */
+  /** Size in which a kernel passes data to a network card with segmentation offload. */
   private static final int MAX_SEGMENT_BYTES = 16 * 1024;
 
-  /** First wait before something lost is sent again, doubled each time: Linux's least and most. */
+  /** Linux's minimum and maximum retransmission timeouts; the timeout doubles for each retry. */
   private static final long MIN_RETRANSMIT_MICROS = 200 * Agenda.MILLI;
 
   private static final long MAX_RETRANSMIT_MICROS = 120 * Agenda.SECOND;
 
-  /** How far ahead of a slow way's capacity segments are handed to it. */
+  /** How far ahead of its transmission time a segment may be passed to a slow path. */
   private static final long MAX_QUEUE_AHEAD_MICROS = 5 * Agenda.MILLI;
 
-  /** Share of segments that are cut short at a random byte. */
+  /** Probability that a segment is split at a random byte. */
   private static final double SHORT_SEGMENT_PROBABILITY = 0.05;
 
-  /** Who is told what can be done, on a turn of its program each. */
+  /** Receives readiness events, each in a task of its own of the program. */
   public interface Handler {
-    /** While reading is on, once a turn for as long as a read would bring bytes, an end or fail. */
+    /** Called repeatedly while reading is enabled and a read would return bytes or end, or fail. */
     void readable();
 
-    /** While writing is on, once a turn for as long as a write would take a byte or fail. */
+    /** Called repeatedly while writing is enabled and a write would accept a byte or fail. */
     default void writable() {}
   }
 
-  /** Someone who waits until so many bytes have arrived at the peer's machine. */
+  /** An action to run once {@code bytes} bytes in total have arrived at the peer's machine. */
   private record ArrivalWaiter(long bytes, Runnable then) {}
 
   private final Fabric fabric;
@@ -55,7 +55,7 @@
   private long arrivedBytes;
   private long writtenBytes;
 
-  /** Its program passes on what it reads, and says itself what of that has arrived. */
+  /** The program is a relay that confirms delivery of the bytes that it has read. */
   private boolean isRelay;
 
   private long delayedUntilMicros;
@@ -68,24 +68,24 @@
   private boolean readScheduled;
   private boolean writeScheduled;
 
-  /** Our sending has ended; its mark goes out after the last byte. */
+  /** The output has been shut down; the FIN follows the last byte. */
   private boolean outputShutDown;
 
   private boolean finSent;
 
-  /** The peer's sending has ended, and all its bytes are here. */
+  /** The peer's FIN has arrived, after all of its bytes. */
   private boolean peerFinReceived;
 
-  /** A reset has come. */
+  /** A reset has arrived. */
   private boolean resetReceived;
 
-  /** The program has given it back. */
+  /** The program has closed this end. */
   private boolean closed;
 
-  /** The kernel knows it no longer: whatever comes for it is answered by a reset. */
+  /** The kernel has no state for this end; arriving segments are answered by a reset. */
   private boolean removedFromKernel;
 
-  /** Our reset met a cut way: the peer takes the connection for a silent one. */
+  /** The reset was lost on a blocked path, so the peer considers the connection open. */
   private boolean resetLost;
 
   private final Deque<ArrivalWaiter> arrivalWaiters = new ArrayDeque<>();
@@ -99,7 +99,7 @@
     machine.addEndpoint(this);
   }
 
-  /** Ties this end, which has opened the connection, to the other. */
+  /** Connects this end, which has opened the connection, with the other. */
   void connect(Endpoint other, long oneWay) {
     peer = other;
     other.peer = this;
@@ -112,7 +112,7 @@
     scheduleRead();
   }
 
-  /** It waits in this program's backlog. */
+  /** Records that the connection waits in the backlog of this program. */
   void queuedFor(Program listener) {
     isRelay = listener.isRelay();
   }
@@ -125,31 +125,33 @@
     return machine;
   }
 
-  /** The machine at the other end. */
+  /** Returns the machine at the other end. */
   public Machine peerMachine() {
     return peer.machine;
   }
 
-  /** Sets who is told; what has come before is told on a later turn. */
-  public void handler(Handler told) {
-    handler = told;
+  /** Sets the handler; data that has already arrived is reported by a later task. */
+  public void handler(Handler newHandler) {
+    handler = newHandler;
     scheduleRead();
   }
 
-  // ---------------------------------------------------------------- reading
+  // Reading.
 
   /**
-   * Reads what there is: how many bytes, 0 where none has come, -1 once the peer's sending has
-   * ended. Bytes that came before a reset can still be read, as on Linux.
+   * Reads available bytes. Bytes that arrived before a reset can still be read, as on Linux.
+   *
+   * @return the number of bytes, 0 if none is available, or -1 at the end of the stream
+   * @throws ResetException if the connection was reset and no bytes are left, or this end is closed
    */
-  public int read(byte[] into, int offset, int most) throws ResetException {
+  public int read(byte[] into, int offset, int maxCount) throws ResetException {
     if (closed) {
       throw new ResetException("closed");
     }
     if (received.size() > 0) {
-      int count = received.remove(into, offset, most);
+      int count = received.remove(into, offset, maxCount);
       if (peer.unsent.size() > 0) {
-        // The room is told to the peer's kernel.
+        // A window update reaches the peer's kernel.
         fabric.agenda().after(fabric.drawLatency(machine, peer.machine, stream), peer::sendPending);
       }
       return count;
@@ -161,19 +163,19 @@
   }
 
   /**
-   * As {@link #read(byte[], int, int)}, into room that is valid until anyone's next such read; see
-   * {@link #lastRead}.
+   * Reads like {@link #read(byte[], int, int)} into a buffer that all endpoints share; {@link
+   * #lastRead} returns it until the next such read.
    */
-  public int read(int most) throws ResetException {
-    return read(fabric.scratch(), 0, Math.min(most, fabric.scratch().length));
+  public int read(int maxCount) throws ResetException {
+    return read(fabric.scratch(), 0, Math.min(maxCount, fabric.scratch().length));
   }
 
-  /** What the last {@link #read(int)} has brought. */
+  /** Returns the buffer that the last {@link #read(int)} has filled. */
   public byte[] lastRead() {
     return fabric.scratch();
   }
 
-  /** Whether {@link Handler#readable} is told; it is so from the start. */
+  /** Enables or disables {@link Handler#readable}; it is enabled initially. */
   public void reading(boolean on) {
     reading = on;
     scheduleRead();
@@ -207,26 +209,30 @@
     return fabric.buffers().receiveBytes() - received.size();
   }
 
-  // ---------------------------------------------------------------- writing
+  // Writing.
 
-  /** Writes as much as the send buffer takes; how many bytes that was. */
+  /**
+   * Writes as many bytes as fit into the send buffer and returns their number.
+   *
+   * @throws ResetException if the connection was reset or this end no longer sends
+   */
   public int write(byte[] from, int offset, int count) throws ResetException {
     if (closed || resetReceived || outputShutDown) {
       throw new ResetException(closed || outputShutDown ? "closed" : "connection reset by peer");
     }
-    int taken = Math.min(count, freeSendBytes());
-    if (taken > 0) {
+    int accepted = Math.min(count, freeSendBytes());
+    if (accepted > 0) {
       if (firstWriteAtMicros < 0) {
         firstWriteAtMicros = now();
       }
-      unsent.add(from, offset, taken);
-      writtenBytes += taken;
+      unsent.add(from, offset, accepted);
+      writtenBytes += accepted;
       sendPending();
     }
-    return taken;
+    return accepted;
   }
 
-  /** Bounds what this end's kernel keeps for its peer, in bytes; never above its own bound. */
+  /** Limits the send buffer to {@code bytes}; the limit of the fabric still applies. */
   public void sendBufferBytes(int bytes) {
     sendBufferBytes = bytes;
   }
@@ -236,18 +242,18 @@
         0, Math.min(sendBufferBytes, fabric.buffers().sendBytes()) - unsent.size() - inFlight);
   }
 
-  /** Bytes that were written and have not arrived at the peer's machine. */
+  /** Returns the number of written bytes that have not arrived at the peer's machine. */
   public int undeliveredBytes() {
     return unsent.size() + inFlight;
   }
 
-  /** Whether {@link Handler#writable} is told; it is not so from the start. */
+  /** Enables or disables {@link Handler#writable}; it is disabled initially. */
   public void writing(boolean on) {
     writing = on;
     scheduleWrite();
   }
 
-  /** Linux tells of room once a third of the buffer is free. */
+  /** Linux reports a socket as writable once a third of the send buffer is free. */
   private boolean isWritable() {
     return resetReceived || freeSendBytes() >= fabric.buffers().sendBytes() / 3;
   }
@@ -272,7 +278,7 @@
     }
   }
 
-  /** Ends our sending after all that was written. */
+  /** Shuts down the output after all written bytes have been sent. */
   public void shutdownOutput() throws ResetException {
     if (closed || resetReceived) {
       throw new ResetException("not connected");
@@ -283,8 +289,8 @@
   }
 
   /**
-   * Gives the connection back. What was written is still sent, unless bytes have come that nobody
-   * has read: then the peer sees a reset.
+   * Closes this end. Written bytes are still sent, unless received bytes were not read: then the
+   * connection is reset.
    */
   public void close() {
     if (closed) {
@@ -305,7 +311,7 @@
     }
   }
 
-  /** Gives the connection back at once; the peer sees a reset if the way is free. */
+  /** Closes this end at once; the peer sees a reset unless the path is blocked. */
   public void reset() {
     if (closed) {
       return;
@@ -322,7 +328,7 @@
     }
   }
 
-  /** The machine has lost its power: its kernel knows nothing of this connection any longer. */
+  /** Drops the connection without notice to the peer because the machine has lost its power. */
   void dropSilently() {
     closed = true;
     notifyOutputEnd();
@@ -348,9 +354,9 @@
     }
   }
 
-  // --------------------------------------------------------------- the way
+  // Transmission.
 
-  /** A reset is sent once and not repeated: on a way that is cut it is lost. */
+  /** Sends a reset, which is not retransmitted and is therefore lost on a blocked path. */
   private void sendReset() {
     removeFromKernel();
     if (!fabric.isBlocked(machine, peer.machine)) {
@@ -369,7 +375,7 @@
     return lostAtPeer || unsent.size() > 0 || (outputShutDown && !finSent);
   }
 
-  /** Sends what the peer's window and the way's capacity allow. */
+  /** Sends as much as the peer's window and the capacity of the path allow. */
   private void sendPending() {
     while (!removedFromKernel && retransmitTimer == null && hasPendingOutput()) {
       if (fabric.isBlocked(machine, peer.machine)) {
@@ -377,7 +383,8 @@
         return;
       }
       if (lostAtPeer) {
-        // What is repeated meets a kernel that knows nothing of the connection.
+        // The retransmission reaches a kernel without state for this connection, which answers with
+        // a reset.
         lostAtPeer = false;
         fabric.agenda().after(2 * drawLatency(), this::onReset);
         return;
@@ -397,13 +404,16 @@
       if (window <= 0) {
         return;
       }
-      int most = fabric.maxSegmentBytes(machine, peer.machine, MAX_SEGMENT_BYTES);
-      send(Math.min(Math.min(window, most), unsent.size()));
+      int maxSegment = fabric.maxSegmentBytes(machine, peer.machine, MAX_SEGMENT_BYTES);
+      send(Math.min(Math.min(window, maxSegment), unsent.size()));
     }
   }
 
-  private void send(int most) {
-    int size = most > 1 && stream.chance(SHORT_SEGMENT_PROBABILITY) ? 1 + stream.below(most) : most;
+  private void send(int maxBytes) {
+    int size =
+        maxBytes > 1 && stream.chance(SHORT_SEGMENT_PROBABILITY)
+            ? 1 + stream.below(maxBytes)
+            : maxBytes;
     byte[] segment = unsent.remove(size);
     inFlight += size;
     fabric.agenda().at(nextArrival(size), () -> peer.onSegment(segment));
@@ -415,7 +425,7 @@
             + size * Agenda.SECOND / Math.max(1, fabric.bytesPerSecond(machine, peer.machine));
     lastArrivalMicros = Math.max(lastArrivalMicros, linkFreeAtMicros + drawLatency());
     if (fabric.isDisturbed(machine, peer.machine)) {
-      // What is on its way stays late, even where the cause ends before it arrives.
+      // Segments in flight stay delayed even if the disturbance ends before they arrive.
       delayedUntilMicros = Math.max(delayedUntilMicros, lastArrivalMicros);
     }
     return lastArrivalMicros;
@@ -452,7 +462,7 @@
                 });
   }
 
-  // --------------------------------------------------------------- arrivals
+  // Arrivals.
 
   private void onSegment(byte[] segment) {
     peer.inFlight -= segment.length;
@@ -487,12 +497,12 @@
     }
   }
 
-  /** So many of the bytes that were read here have reached where the program passes them on to. */
+  /** Confirms that the relay has delivered {@code bytes} of the bytes that it read here. */
   public void confirmRelayed(int bytes) {
     peer.countArrived(bytes);
   }
 
-  /** Bytes for a connection that is closed here, or that this kernel does not know. */
+  /** Handles bytes for a connection that is closed here or unknown to this kernel. */
   private void answerWithReset() {
     if (machine.hasNoPower()) {
       peer.lostAtPeer = true;
@@ -518,7 +528,7 @@
     scheduleRead();
   }
 
-  /** A box on the way resets it. */
+  /** Handles a reset sent by a middlebox. */
   void resetByMiddlebox() {
     delayedUntilMicros = Math.max(delayedUntilMicros, now());
     onReset();
@@ -538,37 +548,37 @@
     scheduleWrite();
   }
 
-  // ------------------------------------------------- what only checks may ask
+  // For checks only.
 
   private void notifyOutputEnd() {
     if (onOutputEnd != null) {
-      Runnable told = onOutputEnd;
+      Runnable action = onOutputEnd;
       onOutputEnd = null;
-      told.run();
+      action.run();
     }
   }
 
-  /** Runs at the very moment when the peer's program ends its sending; for the checks' sake. */
+  /** Sets an action that runs at the moment when the peer's program ends its output. */
   public void onPeerOutputEnd(Runnable then) {
     peer.onOutputEnd = then;
   }
 
-  /** Whether the peer's program has ended its sending, told or not. */
+  /** Returns whether the peer's program has ended its output, even if the FIN has not arrived. */
   public boolean hasPeerEndedOutput() {
     return peer.outputShutDown || peer.closed;
   }
 
-  /** When the peer's program wrote its first byte, or -1. */
+  /** Returns when the peer's program wrote its first byte, in microseconds, or -1. */
   public long peerFirstWriteAt() {
     return peer.firstWriteAtMicros;
   }
 
-  /** Runs once all that was written so far has arrived at the peer's machine. */
+  /** Runs an action once all bytes written so far have arrived at the peer's machine. */
   public void onDelivered(Runnable then) {
     arrivalWaiters.add(new ArrivalWaiter(writtenBytes, then));
   }
 
-  /** Since when nothing has been late on this connection through the network's fault. */
+  /** Returns since when no disturbance has delayed data on this connection, in microseconds. */
   public long undisturbedSince() {
     if (resetLost || peer.resetLost) {
       return now();
@@ -578,7 +588,7 @@
         || fabric.isDisturbed(machine, peer.machine)) {
       return now();
     }
-    long ways = fabric.undisturbedSince(machine, peer.machine);
-    return Math.max(ways, Math.max(delayedUntilMicros, peer.delayedUntilMicros));
+    long pathsUndisturbedSince = fabric.undisturbedSince(machine, peer.machine);
+    return Math.max(pathsUndisturbedSince, Math.max(delayedUntilMicros, peer.delayedUntilMicros));
   }
 }
--- a/src/main/java/brassbank/sim/net/Fabric.java
+++ b/src/main/java/brassbank/sim/net/Fabric.java
@@ -11,13 +11,16 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * All machines and the ways between them. A way's latency is drawn once for each pair of machines;
- * each segment adds its jitter. What is wrong at the moment stands in a list of disturbances.
+ * All machines and the paths between them. The base latency of a path is drawn once for each
+ * ordered pair of machines; each segment adds jitter. Current impairments are kept as a list of
+ * disturbances.
  */
 public final class Fabric {
   private static final int MAX_READ_BYTES = 16 * 1024;
 
-  /** One way, in microseconds, and the jitter as a share of it. */
+  /**
+   * Ranges of one-way base latencies in microseconds, and the maximum jitter as a share of them.
+   */
   public record Latency(
       long minSameZoneMicros,
       long maxSameZoneMicros,
@@ -25,7 +28,7 @@
       long maxCrossZoneMicros,
       double jitterShare) {}
 
-  /** Sizes of a kernel's buffers, in bytes, and what a connection carries in a second. */
+  /** Sizes of kernel buffers in bytes, and the throughput of a connection in bytes per second. */
   public record Buffers(int sendBytes, int receiveBytes, long bytesPerSecond) {}
 
   private final Agenda agenda;
@@ -36,7 +39,7 @@
   private final byte[] scratch = new byte[MAX_READ_BYTES];
   private Program runningProgram;
   private final List<Disturbance> disturbances = new ArrayList<>();
-  private final Map<Disturbance, Long> ended = new LinkedHashMap<>();
+  private final Map<Disturbance, Long> endTimes = new LinkedHashMap<>();
 
   public Fabric(Agenda agenda, RandomStreams draws, Latency latency, Buffers buffers) {
     this.agenda = agenda;
@@ -49,7 +52,10 @@
     return agenda;
   }
 
-  /** Room for one read, valid until the next one: a run has one thread and reads by the million. */
+  /**
+   * Returns a buffer for one read, valid until the next read. It is shared because a run has one
+   * thread and performs millions of reads.
+   */
   byte[] scratch() {
     return scratch;
   }
@@ -58,12 +64,16 @@
     runningProgram = program;
   }
 
-  /** The program whose task runs now, or ran last. */
+  /** Returns the program whose task is running or has run last. */
   public Program runningProgram() {
     return runningProgram;
   }
 
-  /** A new machine; its name and its address are its own. */
+  /**
+   * Adds a machine.
+   *
+   * @throws IllegalArgumentException if another machine has the address
+   */
   public Machine addMachine(String name, String zone, InetAddress address) {
     Machine machine = new Machine(this, name, zone, address);
     if (machines.putIfAbsent(address, machine) != null) {
@@ -80,7 +90,9 @@
     return buffers;
   }
 
-  /** The stream of one connection, named by the machine that opens it and how many it had. */
+  /**
+   * Returns the random stream of a connection, named by the opening machine and its number there.
+   */
   RandomStreams.Stream connectionStream(Machine from, long number) {
     return draws.of("connection " + from.name() + " " + number);
   }
@@ -91,17 +103,20 @@
 
   public void removeDisturbance(Disturbance disturbance) {
     if (disturbances.remove(disturbance)) {
-      ended.put(disturbance, agenda.now());
+      endTimes.put(disturbance, agenda.now());
     }
   }
 
-  /** When the last thing ended that was wrong between two machines, in either direction. */
+  /**
+   * Returns when the last disturbance between two machines endTimes, in either direction, or the
+   * current time if one is active.
+   */
   public long undisturbedSince(Machine a, Machine b) {
     if (isDisturbed(a, b)) {
       return agenda.now();
     }
     long last = 0;
-    for (Map.Entry<Disturbance, Long> past : ended.entrySet()) {
+    for (Map.Entry<Disturbance, Long> past : endTimes.entrySet()) {
       if (past.getKey().affects(a, b) || past.getKey().affects(b, a)) {
         last = Math.max(last, past.getValue());
       }
@@ -109,17 +124,17 @@
     return last;
   }
 
-  /** What a connect meets. */
+  /** Outcome of a connect. */
   public enum ConnectResult {
-    /** It comes up. */
+    /** The connection is established. */
     OPEN,
-    /** It is refused. */
+    /** The connect is refused. */
     REFUSED,
-    /** Nothing answers. */
+    /** No response arrives. */
     SILENT
   }
 
-  /** What a connect from one machine to a port of another would meet now. */
+  /** Returns the outcome that a connect to a port of another machine would have now. */
   public ConnectResult probeConnect(Machine from, Machine to, int port) {
     if (areConnectsBlocked(from, to) || areConnectsBlocked(to, from)) {
       return ConnectResult.SILENT;
@@ -152,12 +167,12 @@
     return isBlocked(from, to);
   }
 
-  /** The stream of a machine's datagrams. */
+  /** Returns the random stream for the datagrams of a machine. */
   RandomStreams.Stream datagramStream(Machine from) {
     return draws.of("datagrams " + from.name());
   }
 
-  /** Whether anything is wrong with the way from one machine to another now. */
+  /** Returns whether a disturbance affects the path from one machine to another. */
   boolean isPathDisturbed(Machine from, Machine to) {
     for (Disturbance disturbance : disturbances) {
       if (disturbance.affects(from, to)) {
@@ -175,11 +190,11 @@
     return drawAny(stream, one -> one.datagramDuplicationRate(from, to));
   }
 
-  /** Whether one of the disturbances strikes, each by its share. */
+  /** Draws whether any of the disturbances takes effect, each with its own probability. */
   private boolean drawAny(RandomStreams.Stream stream, ToDoubleFunction<Disturbance> share) {
     for (Disturbance disturbance : disturbances) {
-      double likely = share.applyAsDouble(disturbance);
-      if (likely > 0 && stream.chance(likely)) {
+      double probability = share.applyAsDouble(disturbance);
+      if (probability > 0 && stream.chance(probability)) {
         return true;
       }
     }
@@ -196,45 +211,47 @@
   }
 
   /**
-   * Whether datagrams pass both ways between two machines, but for this share that is lost, and are
-   * late by so much at most.
+   * Returns whether datagrams pass in both directions between two machines with a loss rate of at
+   * most {@code maxLossRate} and an added delay of at most {@code maxDelayMicros} microseconds.
    */
-  public boolean canExchangeDatagrams(Machine a, Machine b, double mostLost, long mostLate) {
+  public boolean canExchangeDatagrams(
+      Machine a, Machine b, double maxLossRate, long maxDelayMicros) {
     return !isBlocked(a, b)
         && !isBlocked(b, a)
-        && Math.max(lossRate(a, b), lossRate(b, a)) <= mostLost
-        && Math.max(maxDelayMicros(a, b), maxDelayMicros(b, a)) <= mostLate;
+        && Math.max(lossRate(a, b), lossRate(b, a)) <= maxLossRate
+        && Math.max(maxDelayMicros(a, b), maxDelayMicros(b, a)) <= maxDelayMicros;
   }
 
   private long maxDelayMicros(Machine from, Machine to) {
-    long late = 0;
+    long delay = 0;
     for (Disturbance disturbance : disturbances) {
-      late += disturbance.maxDelayMicros(from, to);
+      delay += disturbance.maxDelayMicros(from, to);
     }
-    return late;
+    return delay;
   }
 
   private double lossRate(Machine from, Machine to) {
-    double kept = 1;
+    double deliveryRate = 1;
     for (Disturbance disturbance : disturbances) {
-      kept *= 1 - disturbance.datagramLossRate(from, to);
+      deliveryRate *= 1 - disturbance.datagramLossRate(from, to);
     }
-    return 1 - kept;
+    return 1 - deliveryRate;
   }
 
-  /** Bytes that come in one piece at most. */
-  int maxSegmentBytes(Machine from, Machine to, int usual) {
-    int least = usual;
+  /** Returns the maximum size of a segment on a path in bytes. */
+  int maxSegmentBytes(Machine from, Machine to, int limit) {
+    int min = limit;
     for (Disturbance disturbance : disturbances) {
-      least = Math.min(least, disturbance.maxSegmentBytes(from, to));
+      min = Math.min(min, disturbance.maxSegmentBytes(from, to));
     }
-    return least;
+    return min;
   }
 
-  /** Resets at both ends every connection between two machines that are meant, in either order. */
-  public void resetConnections(BiPredicate<Machine, Machine> meant) {
+  /** Resets, at both ends, all connections between machines that match in either order. */
+  public void resetConnections(BiPredicate<Machine, Machine> selected) {
     for (Machine machine : machines.values()) {
-      machine.resetConnections(peer -> meant.test(machine, peer) || meant.test(peer, machine));
+      machine.resetConnections(
+          peer -> selected.test(machine, peer) || selected.test(peer, machine));
     }
   }
 
@@ -246,7 +263,9 @@
     return delay;
   }
 
-  /** Whether anything is wrong between two machines now, in either direction. */
+  /**
+   * Returns whether a machine has no power or a disturbance affects the path in either direction.
+   */
   public boolean isDisturbed(Machine a, Machine b) {
     if (a.hasNoPower() || b.hasNoPower()) {
       return true;
@@ -259,7 +278,7 @@
     return false;
   }
 
-  /** How long a segment takes from one machine to another, in microseconds. */
+  /** Draws the latency of a segment from one machine to another in microseconds. */
   long drawLatency(Machine from, Machine to, RandomStreams.Stream stream) {
     Long base = from.latencyTo(to);
     if (base == null) {
@@ -278,10 +297,10 @@
   }
 
   long bytesPerSecond(Machine from, Machine to) {
-    long least = buffers.bytesPerSecond();
+    long min = buffers.bytesPerSecond();
     for (Disturbance disturbance : disturbances) {
-      least = Math.min(least, disturbance.maxBytesPerSecond(from, to));
+      min = Math.min(min, disturbance.maxBytesPerSecond(from, to));
     }
-    return least;
+    return min;
   }
 }
--- a/src/main/java/brassbank/sim/net/ListeningSocket.java
+++ b/src/main/java/brassbank/sim/net/ListeningSocket.java
@@ -4,8 +4,9 @@
 import java.util.Deque;
 
 /**
- * A listening socket. The kernel completes connects into its backlog whether the program takes them
- * or not; when that is full, further ones are dropped and tried again by their kernels.
+ * A listening socket. The kernel completes connects into the backlog independently of whether the
+ * program accepts them. While the backlog is full, further connects are dropped and their senders'
+ * kernels retry.
  */
 public final class ListeningSocket {
   private final Program program;
@@ -35,17 +36,19 @@
     program.schedule(0, acceptable);
   }
 
-  /** Connections that wait to be taken. */
+  /** Returns the number of connections in the backlog. */
   public int pendingConnections() {
     return pendingConnections.size();
   }
 
-  /** The oldest connection that waits, or null; it then is the program's own and counts there. */
+  /** Accepts the oldest connection of the backlog for the listening program, or returns null. */
   public Endpoint accept() {
     return accept(program);
   }
 
-  /** As {@link #accept()}, by a program that has inherited the socket from the one that listens. */
+  /**
+   * Accepts a connection for a program that has inherited the socket from the listening program.
+   */
   public Endpoint accept(Program heir) {
     Endpoint endpoint = pendingConnections.poll();
     if (endpoint != null) {
@@ -54,7 +57,7 @@
     return endpoint;
   }
 
-  /** Ends it; connections that wait in the backlog are reset. */
+  /** Closes the socket and resets the connections in the backlog. */
   public void close() {
     if (open) {
       open = false;
--- a/src/main/java/brassbank/sim/net/Machine.java
+++ b/src/main/java/brassbank/sim/net/Machine.java
@@ -10,8 +10,8 @@
 import java.util.function.Predicate;
 
 /**
- * One machine, with an address of its own: the kernel's part of its connections. A machine that is
- * dark has no power: it neither sends nor takes, and has forgotten its connections once it is back.
+ * A machine with its own address, and the kernel state of its sockets. A machine without power
+ * neither sends nor receives; its kernel state is lost when the power returns.
  */
 public final class Machine {
   private final Fabric fabric;
@@ -55,8 +55,8 @@
   }
 
   /**
-   * The power goes: no one is told, and the kernel's state is gone. The processes on it are to be
-   * killed by their owners, whose resets then reach nobody.
+   * Cuts the power: the kernel's state is lost without notice to peers. The owners of the machine's
+   * programs must kill them; the resets that this causes are not sent.
    */
   public void losePower() {
     hasNoPower = true;
@@ -68,12 +68,12 @@
     sockets.clear();
   }
 
-  /** The power is back; whatever still arrives for an old connection is answered by a reset. */
+  /** Restores the power; segments for an old connection are answered by a reset. */
   public void restorePower() {
     hasNoPower = false;
   }
 
-  /** One way's latency to another machine, in microseconds, or null where it is not drawn yet. */
+  /** Returns the base latency to another machine in microseconds, or null if not yet drawn. */
   Long latencyTo(Machine other) {
     return baseLatencyMicros.get(other.name);
   }
@@ -94,7 +94,7 @@
     endpoints.remove(endpoint);
   }
 
-  /** As a box on the way does that forgets its connections: each end sees a reset. */
+  /** Resets connections like a middlebox that has lost its state: both ends see a reset. */
   void resetConnections(Predicate<Machine> peers) {
     for (Endpoint endpoint : List.copyOf(endpoints)) {
       if (peers.test(endpoint.peerMachine())) {
@@ -103,12 +103,12 @@
     }
   }
 
-  /** Datagrams that its programs have sent so far. */
+  /** Returns the number of datagrams sent by the programs of this machine. */
   public long sentDatagrams() {
     return sentDatagrams;
   }
 
-  /** Bytes in them. */
+  /** Returns the number of payload bytes in the sent datagrams. */
   public long sentDatagramBytes() {
     return sentDatagramBytes;
   }
@@ -132,7 +132,9 @@
     sockets.remove(port);
   }
 
-  /** A datagram has come; without a socket for it it is lost, and so it is without power. */
+  /**
+   * Delivers a datagram; it is lost if the machine has no power or no socket is bound to the port.
+   */
   void deliverDatagram(Machine from, int fromPort, int port, byte[] bytes) {
     DatagramSocket socket = hasNoPower ? null : sockets.get(port);
     if (socket != null) {
--- a/src/main/java/brassbank/sim/net/Program.java
+++ b/src/main/java/brassbank/sim/net/Program.java
@@ -10,23 +10,23 @@
 import java.util.TreeMap;
 
 /**
- * One run of a program on a machine. It owns its sockets and whatever it has entered into the
- * agenda: when it is killed, its connections are reset and nothing of it runs any longer. Its
- * descriptors are counted against a limit that binds.
+ * One process on a machine. It owns its sockets and its scheduled tasks: when it is killed, its
+ * connections are reset and its tasks no longer run. Its descriptors count against a limit that is
+ * enforced.
  */
 public final class Program {
-  /** First wait for an answer to a connect, doubled each time (RFC 6298, section 2.1). */
+  /** First timeout of a connect, doubled for each retry (RFC 6298, section 2.1). */
   private static final long FIRST_SYN_TIMEOUT_MICROS = Agenda.SECOND;
 
-  /** Linux gives a connect up after six repeats (tcp_syn_retries). */
+  /** Linux abandons a connect after six retries (tcp_syn_retries). */
   private static final int MAX_SYN_RETRIES = 6;
 
-  /** What becomes of a connect; exactly one of the two is told, unless it is cancelled. */
+  /** Receives the outcome of a connect: exactly one call, unless the connect is cancelled. */
   public interface ConnectHandler {
-    /** The connection stands; the endpoint is the callee's. */
+    /** The connection is established; the handler takes over the endpoint. */
     void connected(Endpoint endpoint);
 
-    /** It was refused, or there is no descriptor left, or no answer came for two minutes. */
+    /** The connect was refused, found no free descriptor, or timed out after two minutes. */
     void failed(IOException cause);
   }
 
@@ -44,8 +44,8 @@
   private long pausedUntil;
 
   /**
-   * @param base descriptors that the runtime holds for itself
-   * @param limit descriptors that the program may hold, the runtime's among them
+   * @param base descriptors that the runtime holds itself
+   * @param limit descriptors that the program may hold, including those of the runtime
    */
   public Program(Machine machine, String name, int base, int limit) {
     this.machine = machine;
@@ -63,8 +63,8 @@
   }
 
   /**
-   * It is a stand-in that passes on what it reads: bytes count as arrived once it says so ({@link
-   * Endpoint#confirmRelayed}), and not when they are in its machine's buffers.
+   * Marks this program as a relay for another one: bytes count as delivered when the relay confirms
+   * them with {@link Endpoint#confirmRelayed}, not when they reach its machine.
    */
   public Program asRelay() {
     isRelay = true;
@@ -87,7 +87,10 @@
     return agenda().now();
   }
 
-  /** Runs a task of this program's after so many microseconds, unless it has ended by then. */
+  /**
+   * Runs a task after {@code micros}, unless the program has ended by then. If the program is
+   * paused at that time, the task runs when the pause ends.
+   */
   public Agenda.Entry schedule(long micros, Runnable task) {
     return agenda().after(micros, () -> run(task));
   }
@@ -104,12 +107,12 @@
     }
   }
 
-  /** Lets nothing of the program run until then, as a pause of its runtime does. */
+  /** Pauses all tasks of the program until the given time, like a pause of its runtime. */
   public void pause(long until) {
     pausedUntil = Math.max(pausedUntil, until);
   }
 
-  /** Sets how many descriptors it may hold. */
+  /** Sets the descriptor limit. */
   public void descriptorLimit(int descriptors) {
     descriptorLimit = descriptors;
   }
@@ -118,12 +121,12 @@
     return runtimeDescriptors + open.size() + listeners.size() + sockets.size() + connecting;
   }
 
-  /** The most descriptors it has held so far. */
+  /** Returns the maximum number of descriptors held so far. */
   public int peakDescriptors() {
     return peakDescriptors;
   }
 
-  /** What it holds, by the machines at the other ends, for whoever looks for a leak. */
+  /** Describes the held descriptors by peer machine, to help find leaks. */
   public String describeDescriptors() {
     Map<String, Integer> ends = new TreeMap<>();
     open.forEach(endpoint -> ends.merge(endpoint.peerMachine().name(), 1, Integer::sum));
@@ -136,7 +139,7 @@
         + ends;
   }
 
-  /** Connections it holds now. */
+  /** Returns the number of open connections. */
   public int connections() {
     return open.size();
   }
@@ -151,7 +154,9 @@
     peakDescriptors = Math.max(peakDescriptors, descriptors());
   }
 
-  /** Listens at a port of its machine; {@code acceptable} runs once for each that comes. */
+  /**
+   * Listens on a port; {@code acceptable} runs once for each connection that enters the backlog.
+   */
   public ListeningSocket listen(int port, int backlog, Runnable acceptable) throws IOException {
     requireDescriptor();
     ListeningSocket listener = new ListeningSocket(this, port, backlog, acceptable);
@@ -161,12 +166,12 @@
     return listener;
   }
 
-  /** Takes no new connections from here on. */
+  /** Closes all listening sockets. */
   public void stopListening() {
     List.copyOf(listeners).forEach(ListeningSocket::close);
   }
 
-  /** Opens a socket for datagrams at a port of its machine; it ends with the program. */
+  /** Opens a datagram socket, which is closed when the program ends. */
   public DatagramSocket openDatagramSocket(int port, DatagramSocket.Handler handler)
       throws IOException {
     requireDescriptor();
@@ -180,7 +185,7 @@
     return socket;
   }
 
-  /** Gives a socket for datagrams back. */
+  /** Closes a datagram socket. */
   public void closeSocket(DatagramSocket socket) {
     socket.close();
     sockets.remove(socket);
@@ -190,7 +195,7 @@
     listeners.remove(listener);
   }
 
-  /** Whether one more descriptor may be held. */
+  /** Returns whether the descriptor limit allows one more descriptor. */
   public boolean hasFreeDescriptor() {
     return descriptors() < descriptorLimit;
   }
@@ -205,14 +210,14 @@
     open.remove(endpoint);
   }
 
-  /** Opens a connection; nothing is told within this call. */
+  /** Opens a connection; the handler is not called before this method returns. */
   public PendingConnect connect(InetSocketAddress to, ConnectHandler then) {
     PendingConnect connect = new PendingConnect(to, then);
     connect.begin();
     return connect;
   }
 
-  /** Ends it: its connections are reset, in the order in which they were opened. */
+  /** Kills the program; its connections are reset in the order in which they were opened. */
   public void kill() {
     if (isAlive) {
       isAlive = false;
@@ -224,8 +229,8 @@
   }
 
   /**
-   * It ends by itself: its kernel closes what it held, and what it has written is still sent unless
-   * bytes have come that it did not read.
+   * Ends the program in an orderly way: the kernel closes its connections and still sends what was
+   * written, unless received bytes were not read.
    */
   public void exit() {
     if (isAlive) {
@@ -237,7 +242,7 @@
     }
   }
 
-  /** A connect under way, which holds a descriptor. */
+  /** A connect in progress, which holds a descriptor. */
   public final class PendingConnect {
     private final InetSocketAddress to;
     private final ConnectHandler then;
@@ -265,7 +270,7 @@
       sendSyn();
     }
 
-    /** Gives the connect up, with its descriptor. After its end this does nothing. */
+    /** Cancels the connect and releases its descriptor; does nothing once the connect has ended. */
     public void cancel() {
       if (!done) {
         done = true;
@@ -282,7 +287,8 @@
         retry();
         return;
       }
-      // A stream of its own: an attempt that is lost must not shift what the connection draws.
+      // The SYN has its own random stream, so that a lost one does not shift the connection's
+      // draws.
       long out = fabric.drawLatency(machine, server, fabric.connectionStream(machine, -1 - number));
       long delay = fabric.connectDelayMicros(machine, server);
       fabric.agenda().after(out + delay, () -> onSynArrived(out));
--- a/src/main/java/brassbank/sim/net/ResetException.java
+++ b/src/main/java/brassbank/sim/net/ResetException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The connection was reset by its peer, or has been closed here. */
+/** Thrown if the peer has reset the connection or this end has closed it. */
 public final class ResetException extends IOException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brassbank/sim/net/package-info.java
+++ b/src/main/java/brassbank/sim/net/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The simulated network: machines in zones, processes on them, and TCP connections between them as
- * their kernels hold them. Uses {@code sim.time} only; who speaks over a connection, and what a
- * proxy is, is not known here.
+ * The simulated network: machines in zones, programs that run on them, datagrams, and TCP
+ * connections as the kernels at both ends see them. Uses {@code sim.time} only and does not depend
+ * on the protocols spoken over the connections.
  */
 package brassbank.sim.net;
--- a/src/main/java/brassbank/sim/proxy/HttpCall.java
+++ b/src/main/java/brassbank/sim/proxy/HttpCall.java
@@ -12,8 +12,9 @@
 import java.util.Locale;
 
 /**
- * One HTTP/1.1 call as the contract has it (RFC 9112): a status line, headers, and content that is
- * chunked, counted or ends with the connection. It stands in for the real network's HTTP client.
+ * One HTTP/1.1 GET request (RFC 9112). Parses the status line, the headers and content that is
+ * chunked, has a content length or ends with the connection. It replaces the HTTP client of the
+ * real network.
  */
 final class HttpCall implements Network.Attempt, Program.ConnectHandler, Endpoint.Handler {
   private static final int READ_SIZE = 8 * 1024;
@@ -105,10 +106,10 @@
     fail(cause.getMessage());
   }
 
-  private void fail(String why) {
+  private void fail(String reason) {
     if (!done) {
       cancel();
-      network.runOnLoop(() -> responseHandler.failed(why));
+      network.runOnLoop(() -> responseHandler.failed(reason));
     }
   }
 
@@ -124,7 +125,7 @@
     }
     if (count < 0) {
       if (parseState == ParseState.UNTIL_END) {
-        content(bytes, 0, 0, true);
+        deliverContent(bytes, 0, 0, true);
       } else {
         fail("the connection has ended");
       }
@@ -138,28 +139,29 @@
   }
 
   private void parse(byte[] bytes, int count) throws IOException {
-    int at = 0;
-    while (at < count && !done) {
+    int position = 0;
+    while (position < count && !done) {
       if (parseState == ParseState.COUNTED
           || parseState == ParseState.CHUNK
           || parseState == ParseState.UNTIL_END) {
-        int most =
+        int length =
             parseState == ParseState.UNTIL_END
-                ? count - at
-                : (int) Math.min(remainingBytes, count - at);
-        remainingBytes -= most;
-        content(bytes, at, most, parseState == ParseState.COUNTED && remainingBytes == 0);
-        at += most;
+                ? count - position
+                : (int) Math.min(remainingBytes, count - position);
+        remainingBytes -= length;
+        deliverContent(
+            bytes, position, length, parseState == ParseState.COUNTED && remainingBytes == 0);
+        position += length;
         if (parseState == ParseState.CHUNK && remainingBytes == 0) {
           parseState = ParseState.CHUNK_END;
         }
-      } else if (bytes[at] == '\n') {
-        at++;
+      } else if (bytes[position] == '\n') {
+        position++;
         String text = line.toString(StandardCharsets.ISO_8859_1);
         line.reset();
-        line(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
+        parseLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
       } else {
-        line.write(bytes[at++]);
+        line.write(bytes[position++]);
         if (line.size() + headBytes > MAX_HEAD_BYTES) {
           throw new IOException("a line or a head is too long");
         }
@@ -167,9 +169,9 @@
     }
   }
 
-  private void line(String text) throws IOException {
+  private void parseLine(String text) throws IOException {
     switch (parseState) {
-      case HEAD -> head(text);
+      case HEAD -> parseHeadLine(text);
       case CHUNK_SIZE -> {
         int extension = text.indexOf(';');
         remainingBytes =
@@ -187,14 +189,14 @@
       }
       case TRAILER -> {
         if (text.isEmpty()) {
-          content(new byte[0], 0, 0, true);
+          deliverContent(new byte[0], 0, 0, true);
         }
       }
       default -> throw new IllegalStateException("no lines in " + parseState);
     }
   }
 
-  private void head(String text) throws IOException {
+  private void parseHeadLine(String text) throws IOException {
     headBytes += text.length();
     if (status < 0) {
       if (!text.matches("HTTP/1\\.[01] \\d{3}( .*)?")) {
@@ -215,14 +217,14 @@
       if (chunked) {
         parseState = ParseState.CHUNK_SIZE;
       } else if (remainingBytes == 0) {
-        content(new byte[0], 0, 0, true);
+        deliverContent(new byte[0], 0, 0, true);
       } else {
         parseState = remainingBytes > 0 ? ParseState.COUNTED : ParseState.UNTIL_END;
       }
     }
   }
 
-  private void content(byte[] bytes, int offset, int count, boolean last) {
+  private void deliverContent(byte[] bytes, int offset, int count, boolean last) {
     if (count == 0 && !last) {
       return;
     }
--- a/src/main/java/brassbank/sim/proxy/ProxyConfig.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyConfig.java
@@ -6,16 +6,16 @@
 import com.google.gson.JsonParser;
 import java.util.List;
 
-/** The configuration file that the platform would give a proxy, written from the site's figures. */
+/** Writes the configuration file that the platform would give a proxy of the simulated site. */
 public final class ProxyConfig {
   private static final long MILLI = 1_000;
 
   private ProxyConfig() {}
 
   /**
-   * The file's text.
+   * Returns the text of the file.
    *
-   * @param known discovery's list, as this proxy last had it
+   * @param known the host list, as JSON, that this proxy last received from discovery
    */
   public static String text(
       Site site,
@@ -42,7 +42,7 @@
     return json.toString();
   }
 
-  /** What is left of a file whose writer was stopped after two thirds of it. */
+  /** Returns the first two thirds of a file, as left by a writer that was interrupted. */
   public static String truncated(String text) {
     return text.substring(0, text.length() * 2 / 3);
   }
--- a/src/main/java/brassbank/sim/proxy/ProxyNode.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyNode.java
@@ -30,23 +30,23 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One proxy of the site, through the lives of its process: started from nothing, killed, stopped as
- * planned, told to read its configuration again. What runs in it is the program's own {@link
- * Proxy}.
+ * One proxy of the site across the incarnations of its process: it is started without state,
+ * killed, drained and restarted, upgraded, and made to reload its configuration. The process runs
+ * the production {@link Proxy}.
  */
 public class ProxyNode implements ProxyInstance {
   private static final int PORT = 7070;
   private static final long MILLI = Agenda.MILLI;
 
-  /** Descriptors that the Java runtime holds beside the program's own. */
+  /** Descriptors that the Java runtime holds in addition to those of the program. */
   private static final int RUNTIME_DESCRIPTORS = 44;
 
-  /** From the start of the process to its listening, by what was measured of the real one. */
+  /** Range of times from process start to listening, measured on the real proxy. */
   private static final long MIN_BOOT_MICROS = 250 * MILLI;
 
   private static final long MAX_BOOT_MICROS = 900 * MILLI;
 
-  /** SIGKILL comes no earlier than this after SIGTERM, and may come later. */
+  /** Range of delays from SIGTERM to SIGKILL. */
   private static final long MIN_KILL_DELAY_MICROS = 3_700 * MILLI;
 
   private static final long MAX_KILL_DELAY_MICROS = 4_200 * MILLI;
@@ -54,12 +54,12 @@
   private static final long MIN_RESTART_DELAY_MICROS = 200 * MILLI;
   private static final long MAX_RESTART_DELAY_MICROS = 1_500 * MILLI;
 
-  /** DAYS, Upgrades: the new process has so long to say yes. */
+  /** Time that the new process of an upgrade has to start accepting connections. */
   private static final long TAKEOVER_TIMEOUT_MICROS = 6_000 * MILLI;
 
   private static final int BACKLOG = 1_024;
 
-  /** Two runtimes, what each keeps in reserve, and clients: with fewer no upgrade can be served. */
+  /** An upgrade needs descriptors for two runtimes, the reserve of each process, and clients. */
   private static final int MIN_SOCKETS_FOR_UPGRADE = 320;
 
   private final World world;
@@ -73,7 +73,7 @@
   private final MembershipConfig membershipConfig;
   private final RandomStreams.Stream stream;
 
-  /** Those that live, the last one among them. */
+  /** Live processes, and the most recent one even if it has ended. */
   private final List<Process> processes = new ArrayList<>();
 
   private SharedListener sharedListener;
@@ -90,10 +90,10 @@
   private long pausedUntil;
 
   /**
-   * @param told the site as the proxy's settings tell it
-   * @param wrapping put round the network of each of its lives; the tests plant bugs here
-   * @param inherits whether the platform holds its listening socket, so that it can be upgraded
-   * @param joining how it becomes a member of the fleet, or null for none
+   * @param told the site as described by the settings of the proxy
+   * @param wrapping decorates the network of each process; tests use it to inject bugs
+   * @param inherits whether the platform holds the listening socket, which upgrades require
+   * @param joining how the proxy joins the fleet, or null if it does not
    */
   public ProxyNode(
       World world,
@@ -127,17 +127,17 @@
     return machine;
   }
 
-  /** Its process now, dead or alive. */
+  /** Returns the current process, running or ended, or null before the first start. */
   public Program program() {
     return program;
   }
 
-  /** Whether its process runs and has not been told to stop. */
+  /** Returns whether the process runs and has not been asked to stop. */
   public boolean isServing() {
     return program != null && program.isAlive() && proxy != null && !stopping;
   }
 
-  // ------------------------------------------------------------------- life
+  // Lifecycle.
 
   @Override
   public void start(boolean atOnce) {
@@ -177,7 +177,7 @@
     }
   }
 
-  /** The platform holds the socket as long as a process of the proxy lives. */
+  /** Closes the listening socket once no process of the proxy is alive. */
   private void closeSharedListenerIfUnused() {
     processes.removeIf(one -> !one.program.isAlive());
     if (sharedListener != null && processes.isEmpty()) {
@@ -206,7 +206,7 @@
         .sum();
   }
 
-  /** One process of the proxy, and what the others see of it. */
+  /** One process of the proxy, with the state that it publishes to the other processes. */
   private final class Process {
     private final long number = ++processesStarted;
     private final Program program = new Program(machine, name, RUNTIME_DESCRIPTORS, socketLimit);
@@ -215,18 +215,18 @@
     private final long startedAtMicros = world.now();
     private Proxy proxy;
 
-    /** What its locks say. */
+    /** The handover phase that its lock files show to the other processes. */
     private HandoverStateMachine.Phase publishedPhase = HandoverStateMachine.Phase.WAITING;
 
-    /** What its file says; null while there is none. */
+    /** The state in its handover file; null if it has written none. */
     private HandoverState publishedState;
 
-    /** Runs each time it begins to take connections. */
+    /** Runs each time the process starts to accept connections. */
     private Runnable onAccepting = () -> {};
 
     private boolean hasTakenOver;
 
-    /** It was told to stop, while another process of the proxy may go on. */
+    /** The process has received SIGTERM; another process of the proxy may go on. */
     private boolean terminated;
 
     Process() {
@@ -240,8 +240,8 @@
           networkDecorator.apply(new SimNetwork(program, clock, exhausted, sharedListener));
       try {
         Config read = Config.of(config(0));
-        Config mine = inheritsListener ? read.withInheritedListener(Path.of(name)) : read;
-        proxy = new Proxy(mine, RelayLimits.NONE, membershipConfig, network);
+        Config config = inheritsListener ? read.withInheritedListener(Path.of(name)) : read;
+        proxy = new Proxy(config, RelayLimits.NONE, membershipConfig, network);
         if (membershipConfig != null) {
           proxy.fleet().addListener(change -> publishView());
         }
@@ -280,7 +280,9 @@
           .toList();
     }
 
-    /** What {@code Handover} does with locks and files, at its pace. */
+    /**
+     * Performs the steps that {@code Handover} takes with locks and files, at its poll interval.
+     */
     private void pollHandover() {
       HandoverStateMachine.Phase before = handover.phase();
       boolean accepted =
@@ -326,8 +328,9 @@
   }
 
   /**
-   * The platform starts a process beside the one that serves; once it has said yes, the old one
-   * gets SIGTERM, and SIGKILL when its time is over. One that says no for too long is killed.
+   * Starts a process beside the one that serves. Once the new process accepts connections, the old
+   * one receives SIGTERM, and SIGKILL after a delay. A new process that does not accept connections
+   * in time is killed.
    */
   @Override
   public void upgrade() {
@@ -364,7 +367,7 @@
             });
   }
 
-  /** SIGTERM to a process whose successor serves. */
+  /** Sends SIGTERM, and later SIGKILL, to a process whose successor serves. */
   private void terminatePredecessor(Process old) {
     if (!old.program.isAlive()) {
       return;
@@ -428,19 +431,19 @@
     process.terminated = true;
     world.publish(new Event.ProxyTerminated(name));
     world.loadBalancer().shutdownStarted(name);
-    Program life = program;
+    Program stoppedProgram = program;
     Proxy stopped = proxy;
     kill =
         world
             .agenda()
             .after(
                 stream.micros(MIN_KILL_DELAY_MICROS, MAX_KILL_DELAY_MICROS),
-                () -> killAndRestart(life));
+                () -> killAndRestart(stoppedProgram));
     program.schedule(
         0,
         () -> {
-          long limit = stopped.drain(() -> exitAndRestart(life));
-          life.schedule(limit, () -> exitAndRestart(life));
+          long limit = stopped.drain(() -> exitAndRestart(stoppedProgram));
+          stoppedProgram.schedule(limit, () -> exitAndRestart(stoppedProgram));
         });
   }
 
@@ -464,9 +467,9 @@
     proxy.enterStandby();
   }
 
-  /** Its clients are sent away from here on. */
+  /** Reports the standby and schedules the return to service. */
   private void sendClientsAway(long awayFor) {
-    Program life = program;
+    Program stoppedProgram = program;
     world.publish(new Event.ProxyOnStandby(name));
     world.loadBalancer().shutdownStarted(name);
     world
@@ -474,7 +477,7 @@
         .after(
             awayFor,
             () -> {
-              if (isServing() && program == life) {
+              if (isServing() && program == stoppedProgram) {
                 proxy.activate();
                 world.publish(new Event.ProxyCalledBack(name));
                 world.loadBalancer().returnedToService(name);
@@ -482,14 +485,14 @@
             });
   }
 
-  private void exitAndRestart(Program life) {
-    if (life.isAlive()) {
+  private void exitAndRestart(Program stoppedProgram) {
+    if (stoppedProgram.isAlive()) {
       kill.cancel();
       recordStop();
-      life.exit();
+      stoppedProgram.exit();
       closeSharedListenerIfUnused();
-      // One that was succeeded between SIGTERM and its end leaves a proxy that lives.
-      if (life == program) {
+      // After an upgrade between SIGTERM and exit the successor keeps running.
+      if (stoppedProgram == program) {
         world.publish(new Event.ProxyExited(name, 0));
       }
       world
@@ -500,10 +503,10 @@
     }
   }
 
-  private void killAndRestart(Program life) {
-    if (life.isAlive()) {
+  private void killAndRestart(Program stoppedProgram) {
+    if (stoppedProgram.isAlive()) {
       recordStop();
-      life.kill();
+      stoppedProgram.kill();
       closeSharedListenerIfUnused();
       world.publish(new Event.ProxyKilled(name, true));
       world
@@ -536,11 +539,11 @@
     }
   }
 
-  /** False where the text cannot be used, and nothing of it is. */
+  /** Returns false, and changes nothing, if the configuration is invalid. */
   private boolean reload(String text) {
     try {
       Config next = Config.of(text);
-      // An upgrade's other process reads the same file.
+      // During an upgrade both processes read the same file.
       processes.stream()
           .filter(one -> one.program.isAlive() && one.proxy != null)
           .forEach(one -> one.proxy.reload(next));
@@ -570,7 +573,7 @@
     return pausedUntil;
   }
 
-  /** How many descriptors its configuration states from its next life, or its next SIGHUP. */
+  /** Sets the descriptor limit in the configuration as of the next start or SIGHUP. */
   public void socketLimit(int limit) {
     socketLimit = limit;
   }
--- a/src/main/java/brassbank/sim/proxy/SharedListener.java
+++ b/src/main/java/brassbank/sim/proxy/SharedListener.java
@@ -10,43 +10,43 @@
 import java.util.function.Consumer;
 
 /**
- * The clients' listening socket as the platform holds it: all processes of a proxy inherit it, each
- * is woken for each connection, and whoever accepts first has it.
+ * The client listening socket, held by the platform. All processes of a proxy inherit it; each is
+ * notified of each connection, and the first one to accept it gets the connection.
  */
 final class SharedListener {
   private final List<Runnable> acceptors = new ArrayList<>();
   private final Consumer<Program> onAccepted;
-  private final ListeningSocket port;
+  private final ListeningSocket socket;
 
   /**
-   * @param taken is told of the program that has accepted a connection
+   * @param taken called with the program that has accepted a connection
    */
-  SharedListener(Machine machine, int number, int backlog, Consumer<Program> taken)
+  SharedListener(Machine machine, int port, int backlog, Consumer<Program> taken)
       throws IOException {
     this.onAccepted = taken;
     Program platform = new Program(machine, machine.name() + "-platform", 0, Integer.MAX_VALUE);
-    port = platform.listen(number, backlog, () -> List.copyOf(acceptors).forEach(Runnable::run));
+    socket = platform.listen(port, backlog, () -> List.copyOf(acceptors).forEach(Runnable::run));
   }
 
-  /** One more process has inherited the socket. */
+  /** Adds a process that has inherited the socket; {@code acceptable} runs for each connection. */
   void addAcceptor(Runnable acceptable) {
     acceptors.add(acceptable);
   }
 
   int pendingConnections() {
-    return port.pendingConnections();
+    return socket.pendingConnections();
   }
 
-  Endpoint accept(Program heir) {
-    Endpoint endpoint = port.accept(heir);
+  Endpoint accept(Program program) {
+    Endpoint endpoint = socket.accept(program);
     if (endpoint != null) {
-      onAccepted.accept(heir);
+      onAccepted.accept(program);
     }
     return endpoint;
   }
 
-  /** The platform holds it no longer: what waits is reset. */
+  /** Closes the socket and resets the connections in its backlog. */
   void close() {
-    port.close();
+    socket.close();
   }
 }
--- a/src/main/java/brassbank/sim/proxy/SimChannel.java
+++ b/src/main/java/brassbank/sim/proxy/SimChannel.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** The contract's channel, over one end of a simulated connection. */
+/** Implements {@link Channel} on one end of a simulated TCP connection. */
 final class SimChannel implements Channel {
   private final SimNetwork network;
   private final Endpoint endpoint;
--- a/src/main/java/brassbank/sim/proxy/SimClock.java
+++ b/src/main/java/brassbank/sim/proxy/SimClock.java
@@ -3,7 +3,7 @@
 import brassbank.sim.time.Agenda;
 import brassbank.sources.Clock;
 
-/** The clocks of a machine in virtual time; the wall clock can be stepped. */
+/** The monotonic and the wall clock of a machine in virtual time; the wall clock can be stepped. */
 public final class SimClock implements Clock {
   private static final long NANOS_PER_MICRO = 1_000;
 
@@ -12,8 +12,8 @@
   private long epochMillis;
 
   /**
-   * @param origin where the steady clock begins, in nanoseconds; it may be any
-   * @param epochMillis Unix time at the beginning of the run
+   * @param origin initial value of the monotonic clock in nanoseconds; it may be arbitrary
+   * @param epochMillis Unix time in milliseconds at the start of the run
    */
   public SimClock(Agenda agenda, long origin, long epochMillis) {
     this.agenda = agenda;
@@ -21,7 +21,7 @@
     this.epochMillis = epochMillis;
   }
 
-  /** Puts the wall clock forward, or back where {@code millis} is negative. */
+  /** Steps the wall clock forward, or back if {@code millis} is negative. */
   public void step(long millis) {
     epochMillis += millis;
   }
--- a/src/main/java/brassbank/sim/proxy/SimNetwork.java
+++ b/src/main/java/brassbank/sim/proxy/SimNetwork.java
@@ -14,12 +14,12 @@
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
 
-/** The contract's network, for one run of a proxy on a simulated machine. */
+/** Implements {@link Network} for one process of a proxy on a simulated machine. */
 public final class SimNetwork implements Network {
   private static final int BACKLOG = 1024;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Who is told that an accept or a connect found no descriptor. */
+  /** Receives a report, with the held descriptors, when an accept or a connect finds none free. */
   public interface DescriptorExhaustionHandler {
     void descriptorsExhausted(String held);
   }
@@ -36,7 +36,9 @@
     this(program, clock, exhausted, null);
   }
 
-  /** With a listening socket that the program has inherited, or null for none. */
+  /**
+   * @param sharedListener the listening socket that the program has inherited, or null for none
+   */
   SimNetwork(
       Program program, Clock clock, DescriptorExhaustionHandler exhausted, SharedListener door) {
     this.program = program;
@@ -51,13 +53,13 @@
     armTimer();
   }
 
-  /** Runs something of the proxy's, on a turn that has come, and sees to its timers after it. */
+  /** Runs a task of the proxy as its event loop would, and arms the timer for its next deadline. */
   void runOnLoop(Runnable task) {
     EventLoop.runGuarded(task);
     armTimer();
   }
 
-  /** As the real selector does, which waits for whole milliseconds, rounded up. */
+  /** Rounds waits up to whole milliseconds, as the real selector does. */
   private void armTimer() {
     long due = loop == null ? Long.MAX_VALUE : loop.nextDeadlineNanos();
     if (due == armedForNanos && timer != null && timer.isPending()) {
@@ -73,7 +75,10 @@
     }
   }
 
-  /** What is told at one time comes in an order of chance here, so that none can be first. */
+  /**
+   * Listens on an address of this machine. Events of the same time are handled in random order, so
+   * {@code first}, the priority of the listener, has no effect.
+   */
   @Override
   public Network.Listener listen(
       InetSocketAddress address, boolean first, Consumer<Channel> accepted) throws IOException {
@@ -99,7 +104,7 @@
     return accepting;
   }
 
-  /** The listener's part: takes one connection a turn, while it is on. */
+  /** Accepts one connection per task of the event loop while accepting is enabled. */
   private final class SimListener implements Network.Listener {
     private final Consumer<Channel> accepted;
     private IntSupplier pendingConnections;
@@ -131,7 +136,7 @@
         return;
       }
       if (!program.hasFreeDescriptor()) {
-        // The real listener ends here: the contract's user must not let it come to this.
+        // The real listener fails here; the proxy must keep enough descriptors free to avoid it.
         exhaustionHandler.descriptorsExhausted(program.describeDescriptors());
         accepting = false;
         return;
@@ -143,14 +148,14 @@
   }
 
   @Override
-  public Attempt connect(InetSocketAddress address, ConnectHandler then) {
+  public Attempt connect(InetSocketAddress address, ConnectHandler handler) {
     Program.PendingConnect connecting =
         program.connect(
             address,
             new Program.ConnectHandler() {
               @Override
               public void connected(Endpoint endpoint) {
-                runOnLoop(() -> then.connected(new SimChannel(SimNetwork.this, endpoint)));
+                runOnLoop(() -> handler.connected(new SimChannel(SimNetwork.this, endpoint)));
               }
 
               @Override
@@ -158,21 +163,21 @@
                 if (!program.hasFreeDescriptor()) {
                   exhaustionHandler.descriptorsExhausted(program.describeDescriptors());
                 }
-                runOnLoop(() -> then.failed(cause));
+                runOnLoop(() -> handler.failed(cause));
               }
             });
     return connecting::cancel;
   }
 
   @Override
-  public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
-    HttpCall call = new HttpCall(this, program, address, path, answer);
+  public Attempt get(InetSocketAddress address, String path, ResponseHandler handler) {
+    HttpCall call = new HttpCall(this, program, address, path, handler);
     call.start();
     return call;
   }
 
   @Override
-  public Network.Datagrams datagrams(InetSocketAddress address, DatagramHandler heard)
+  public Network.Datagrams datagrams(InetSocketAddress address, DatagramHandler handler)
       throws IOException {
     if (!address.getAddress().equals(program.machine().address())) {
       throw new IOException("cannot assign the requested address " + address);
@@ -182,7 +187,7 @@
             address.getPort(),
             (from, port, bytes) ->
                 runOnLoop(
-                    () -> heard.received(new InetSocketAddress(from.address(), port), bytes)));
+                    () -> handler.received(new InetSocketAddress(from.address(), port), bytes)));
     return new Network.Datagrams() {
       @Override
       public void send(InetSocketAddress to, byte[] bytes) {
--- a/src/main/java/brassbank/sim/proxy/package-info.java
+++ b/src/main/java/brassbank/sim/proxy/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The real proxy on the simulated network: the second implementation of the contract in {@code
- * brassbank.net}, and the life of a proxy's process. Uses the program's own code, unchanged, above
- * {@code sim.net}.
+ * Runs the production proxy on the simulated network: implements the interfaces of {@code
+ * brassbank.net} on top of {@code sim.net} and models the lifecycle of a proxy's process. The
+ * proxy's code itself is unchanged.
  */
 package brassbank.sim.proxy;
--- a/src/test/java/brassbank/sim/fault/ScriptTest.java
+++ b/src/test/java/brassbank/sim/fault/ScriptTest.java
@@ -9,7 +9,7 @@
 
 class ScriptTest {
   @Test
-  void readsBackWhatItHasWritten() throws Exception {
+  void writtenScriptParsesToTheSamePlan() throws Exception {
     for (long seed = 1; seed <= 20; seed++) {
       Plan plan =
           Plan.drawn(seed, 60, 3, 12, 13)
@@ -40,7 +40,7 @@
         "[[fault]]~kind = \"burst\"~target = \"s-1\" | day.toml:3:1: burst takes no target",
         "[[fault]]~kind = \"burst\"~at_ms = 60001 | day.toml:3:1: 'at_ms' must be a whole number"
       })
-  void saysWhereAndWhatIsWrong(String text, String message) {
+  void errorNamesPositionAndCause(String text, String message) {
     assertThatThrownBy(() -> Script.parse("day.toml", text.replace("~", "\n")))
         .isInstanceOf(ScriptException.class)
         .hasMessageStartingWith(message);
--- a/src/test/java/brassbank/sim/net/EndpointTest.java
+++ b/src/test/java/brassbank/sim/net/EndpointTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The simulated TCP, against what a Linux kernel does. */
+/** Compares the simulated TCP with the behaviour of a Linux kernel. */
 class EndpointTest {
   private static final int PORT = 7070;
 
@@ -58,16 +58,16 @@
         });
   }
 
-  private void pass(long micros) {
+  private void advance(long micros) {
     long end = agenda.now() + micros;
     while (agenda.step(end)) {
-      // On.
+      // Advances virtual time.
     }
   }
 
   private void connect() {
     dial();
-    pass(10_000);
+    advance(10_000);
     far = port.accept();
   }
 
@@ -83,183 +83,184 @@
   }
 
   @Test
-  void carriesBytesInOrderAndThenTheEnd() throws Exception {
+  void deliversBytesInOrderFollowedByEndOfStream() throws Exception {
     connect();
     write(near, "one ");
     write(near, "two");
     near.shutdownOutput();
     assertThat(read(far)).isEmpty();
-    pass(10_000);
+    advance(10_000);
     assertThat(read(far)).isEqualTo("one two");
     assertThat(read(far)).isEqualTo("end");
     write(far, "three");
-    pass(10_000);
+    advance(10_000);
     assertThat(read(near)).isEqualTo("three");
   }
 
   @Test
-  void takesNoMoreThanTheBuffersHoldAndGoesOnOnceTheyAreRead() throws Exception {
+  void acceptsOnlyWhatBuffersHoldAndResumesAfterARead() throws Exception {
     connect();
     String text = "x".repeat(100_000);
-    int taken = write(near, text);
-    pass(100_000);
-    taken += write(near, text);
-    pass(100_000);
-    assertThat(taken).isEqualTo(2 * 16_384);
+    int accepted = write(near, text);
+    advance(100_000);
+    accepted += write(near, text);
+    advance(100_000);
+    assertThat(accepted).isEqualTo(2 * 16_384);
     assertThat(read(far)).hasSize(16_384);
-    pass(100_000);
+    advance(100_000);
     assertThat(write(near, text)).isPositive();
     assertThat(read(far)).hasSize(16_384);
   }
 
   @Test
-  void resetsWhereBytesWereUnreadAtTheClose() throws Exception {
+  void closeWithUnreadBytesResetsTheConnection() throws Exception {
     connect();
     write(near, "unread");
-    pass(10_000);
+    advance(10_000);
     far.close();
-    pass(10_000);
+    advance(10_000);
     assertThatThrownBy(() -> read(near)).isInstanceOf(ResetException.class);
   }
 
   @Test
-  void answersBytesForAClosedConnectionWithAReset() throws Exception {
+  void bytesForAClosedConnectionAreAnsweredWithAReset() throws Exception {
     connect();
     write(far, "last");
     far.close();
-    pass(10_000);
-    // The first write after the peer's close is taken; its reset comes one way later.
+    advance(10_000);
+    // The first write after the peer's close is accepted; the reset arrives after a round trip.
     assertThat(write(near, "more")).isEqualTo(4);
-    pass(10_000);
+    advance(10_000);
     assertThatThrownBy(() -> write(near, "more")).isInstanceOf(ResetException.class);
-    // What came before the reset is still there, as on Linux.
+    // Bytes that arrived before the reset can still be read, as on Linux.
     assertThat(read(near)).isEqualTo("last");
   }
 
   @Test
-  void repeatsWhatACutHasLostAfterTheCut() throws Exception {
+  void retransmitsBytesLostInAPartitionAfterItHeals() throws Exception {
     connect();
-    Disturbance cut =
+    Disturbance partition =
         new Disturbance() {
           @Override
           public boolean blocks(Machine from, Machine to) {
             return true;
           }
         };
-    fabric.addDisturbance(cut);
+    fabric.addDisturbance(partition);
     write(near, "late");
-    pass(5 * Agenda.SECOND);
+    advance(5 * Agenda.SECOND);
     assertThat(read(far)).isEmpty();
     assertThat(near.undisturbedSince()).isEqualTo(agenda.now());
-    fabric.removeDisturbance(cut);
-    pass(100_000);
-    // The next repeat was due 6.2 s after the first try, which doubles from 200 ms.
+    fabric.removeDisturbance(partition);
+    advance(100_000);
+    // The next retransmission is due 6.2 s after the first attempt: the timeout doubles from 200
+    // ms.
     assertThat(read(far)).isEmpty();
-    pass(2 * Agenda.SECOND);
+    advance(2 * Agenda.SECOND);
     assertThat(read(far)).isEqualTo("late");
   }
 
   @Test
-  void losesAResetOnACutWayAndTellsItWithTheNextByte() throws Exception {
+  void resetLostOnABlockedPathIsReportedWithTheNextByte() throws Exception {
     connect();
-    Disturbance cut =
+    Disturbance partition =
         new Disturbance() {
           @Override
           public boolean blocks(Machine from, Machine to) {
             return from == right.machine();
           }
         };
-    fabric.addDisturbance(cut);
+    fabric.addDisturbance(partition);
     far.reset();
-    pass(Agenda.SECOND);
-    fabric.removeDisturbance(cut);
-    pass(Agenda.SECOND);
+    advance(Agenda.SECOND);
+    fabric.removeDisturbance(partition);
+    advance(Agenda.SECOND);
     assertThat(read(near)).isEmpty();
     write(near, "anybody?");
-    pass(10_000);
+    advance(10_000);
     assertThatThrownBy(() -> read(near)).isInstanceOf(ResetException.class);
   }
 
   @Test
-  void knowsNothingOfItsConnectionsAfterAPowerCut() throws Exception {
+  void powerLossDropsConnectionsWithoutNotice() throws Exception {
     connect();
     right.machine().losePower();
     right.kill();
     write(near, "anybody?");
-    pass(Agenda.SECOND);
+    advance(Agenda.SECOND);
     assertThat(read(near)).isEmpty();
     right.machine().restorePower();
-    pass(3 * Agenda.SECOND);
+    advance(3 * Agenda.SECOND);
     assertThatThrownBy(() -> read(near)).isInstanceOf(ResetException.class);
   }
 
   @Test
-  void refusesWhereNobodyListensAndTriesAgainWhereNothingComesBack() throws Exception {
+  void connectIsRefusedWithoutListenerAndRetriedWithoutResponse() throws Exception {
     port.close();
     dial();
-    pass(10_000);
+    advance(10_000);
     assertThat(failure).hasMessageContaining("refused");
     port = right.listen(PORT, 4, () -> {});
     right.machine().losePower();
     dial();
-    pass(500_000);
+    advance(500_000);
     right.machine().restorePower();
     port = right.listen(PORT + 1, 4, () -> {});
     assertThat(near).isNull();
-    pass(600_000);
-    // The repeat after 1 s finds the machine, and no one at the port.
+    advance(600_000);
+    // The retry after 1 s reaches the machine, which has no listener on the port.
     assertThat(failure).hasMessageContaining("refused");
   }
 
   @Test
-  void dropsConnectsBeyondTheBacklogUntilThereIsRoom() {
+  void dropsConnectsWhileTheBacklogIsFull() {
     for (int i = 0; i < 4; i++) {
       dial();
     }
-    pass(10_000);
+    advance(10_000);
     near = null;
     dial();
-    pass(500_000);
+    advance(500_000);
     assertThat(near).isNull();
     assertThat(port.accept()).isNotNull();
-    pass(Agenda.SECOND);
+    advance(Agenda.SECOND);
     assertThat(near).isNotNull();
   }
 
   @Test
-  void countsDescriptorsAndGivesOutNoMoreThanTheLimit() throws Exception {
+  void countsDescriptorsAndEnforcesTheLimit() throws Exception {
     connect();
     left.descriptorLimit(2);
     dial();
     assertThat(left.descriptors()).isEqualTo(2);
     dial();
-    pass(10_000);
+    advance(10_000);
     assertThat(failure).hasMessageContaining("too many open files");
     near.close();
     assertThat(left.descriptors()).isEqualTo(1);
   }
 
   @Test
-  void tellsOfBytesOnATurnOfItsOwnForAsLongAsThereAreAny() throws Exception {
+  void reportsReadabilityInSeparateTasksUntilAllBytesAreRead() throws Exception {
     connect();
-    StringBuilder told = new StringBuilder();
+    StringBuilder readChunks = new StringBuilder();
     far.handler(
         () -> {
           byte[] two = new byte[2];
           try {
             int count = far.read(two, 0, 2);
-            told.append(new String(two, 0, count, StandardCharsets.ISO_8859_1)).append('|');
+            readChunks.append(new String(two, 0, count, StandardCharsets.ISO_8859_1)).append('|');
           } catch (IOException e) {
-            told.append("broken");
+            readChunks.append("broken");
           }
         });
     write(near, "abcde");
     far.reading(false);
-    pass(10_000);
-    assertThat(told).isEmpty();
+    advance(10_000);
+    assertThat(readChunks).isEmpty();
     far.reading(true);
-    assertThat(told).isEmpty();
-    pass(0);
-    assertThat(told.toString()).isEqualTo("ab|cd|e|");
+    assertThat(readChunks).isEmpty();
+    advance(0);
+    assertThat(readChunks.toString()).isEqualTo("ab|cd|e|");
   }
 }
