--- a/src/main/java/brassbank/sim/cli/ExperimentCommand.java
+++ b/src/main/java/brassbank/sim/cli/ExperimentCommand.java
@@ -21,7 +21,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Variants of a fleet on the same seeds: means, and paired differences with 95% intervals. */
+/**
+ * Compares variants of a fleet on the same seeds: means, and paired differences with 95% intervals.
+ */
 @Command(
     name = "experiment",
     description = "Play variants of a fleet on the same seeds, and tell what differs.",
@@ -38,7 +40,7 @@
   private static final int MAX_SEEDS = 100_000;
 
   @Parameters(paramLabel = "NIGHT", description = "${COMPLETION-CANDIDATES}.")
-  private FleetScenario night;
+  private FleetScenario scenario;
 
   @Option(
       names = "--seeds",
@@ -116,7 +118,7 @@
     for (int count : proxies) {
       require(count >= 1 && count <= 250, "--proxies must be from 1 to 250");
       for (String what : vary) {
-        Variant variant = new Variant(view(what), count, hosts, rate);
+        Variant variant = new Variant(fleetMode(what), count, hosts, rate);
         require(!variants.contains(variant), "twice the same variant: " + variant.text());
         variants.add(variant);
       }
@@ -128,23 +130,23 @@
   }
 
   private Plan plan(Variant variant, long seed) {
-    return night
+    return scenario
         .plan(seed, seconds, variant.proxies(), variant.hosts(), variant.rate())
         .with(variant.fleetMode());
   }
 
-  private static Plan.FleetMode view(String what) {
-    for (Plan.FleetMode view : Plan.FleetMode.values()) {
-      if (view.key().equals(what)) {
-        return view;
+  private static Plan.FleetMode fleetMode(String what) {
+    for (Plan.FleetMode mode : Plan.FleetMode.values()) {
+      if (mode.key().equals(what)) {
+        return mode;
       }
     }
     throw new UsageException("--vary: '" + what + "' is none of off, membership, shares, subsets");
   }
 
-  private static void require(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new UsageException(otherwise);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new UsageException(message);
     }
   }
 
@@ -162,7 +164,7 @@
         String.format(
             Locale.ROOT,
             "%s, seeds %d-%d, %d hosts, %.0f clients a second, %d s%n",
-            night,
+            scenario,
             range.first(),
             range.last(),
             hosts,
@@ -219,7 +221,7 @@
 
   private String json(SeedRunner.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
     JsonObject all = new JsonObject();
-    all.addProperty("night", night.name());
+    all.addProperty("night", scenario.name());
     all.addProperty("first", range.first());
     all.addProperty("last", range.last());
     JsonArray variants = new JsonArray();
@@ -229,19 +231,19 @@
           JsonObject one = new JsonObject();
           one.addProperty("variant", variant.text());
           for (Figure figure : Figure.values()) {
-            JsonObject told = new JsonObject();
-            told.addProperty("about", figure.about());
-            told.addProperty("mean", mean(plays, figure));
+            JsonObject figureJson = new JsonObject();
+            figureJson.addProperty("about", figure.about());
+            figureJson.addProperty("mean", mean(plays, figure));
             if (variant != base && plays.size() > 1) {
               PairedDifference paired =
                   PairedDifference.of(values(results.get(base), figure), values(plays, figure));
-              told.addProperty("difference", paired.mean());
-              told.addProperty("half_of_95_pct", paired.halfWidth());
+              figureJson.addProperty("difference", paired.mean());
+              figureJson.addProperty("half_of_95_pct", paired.halfWidth());
             }
             JsonArray each = new JsonArray();
             plays.forEach(play -> each.add(play.get(figure)));
-            told.add("plays", each);
-            one.add(figure.key(), told);
+            figureJson.add("plays", each);
+            one.add(figure.key(), figureJson);
           }
           variants.add(one);
         });
--- a/src/main/java/brassbank/sim/cli/SeedRunner.java
+++ b/src/main/java/brassbank/sim/cli/SeedRunner.java
@@ -15,18 +15,18 @@
 import java.util.function.LongFunction;
 import java.util.function.UnaryOperator;
 
-/** Many seeds, several at once, each on one thread from its beginning to its end. */
+/** Runs a range of seeds on several threads; each run stays on one thread. */
 final class SeedRunner {
   private static final long PROGRESS_NANOS = 200_000_000;
 
-  /** Seeds from {@code first} to {@code last}, both among them. */
+  /** Seeds from {@code first} to {@code last}, inclusive. */
   record Range(long first, long last) {
     long count() {
       return last - first + 1;
     }
   }
 
-  /** What came of them, in the order of the seeds. */
+  /** Results of all runs; {@code failed} is in the order of the seeds. */
   record Summary(
       Range range,
       List<SimulationRun.Result> failed,
@@ -108,7 +108,11 @@
     this.notes = notes;
   }
 
-  /** One seed, or {@code FIRST-LAST}; throws IllegalArgumentException on anything else. */
+  /**
+   * Parses one seed or {@code FIRST-LAST}.
+   *
+   * @throws IllegalArgumentException if the text is neither or the range is too large
+   */
   static Range range(String text) {
     if (!text.matches("\\d{1,18}(-\\d{1,18})?")) {
       throw new IllegalArgumentException("not FIRST-LAST: " + text);
@@ -123,7 +127,7 @@
   }
 
   Summary run(Range range) {
-    long began = clock.nanos();
+    long startNanos = clock.nanos();
     outcomes = new SimulationRun.Result[(int) range.count()];
     AtomicLong next = new AtomicLong(range.first());
     List<Thread> threads = new ArrayList<>();
@@ -141,7 +145,7 @@
       throw new IllegalStateException("interrupted", e);
     }
     printProgress(range, true);
-    return summary(range, Math.max(1, clock.nanos() - began) / 1e9);
+    return summary(range, Math.max(1, clock.nanos() - startNanos) / 1e9);
   }
 
   private void work(AtomicLong next, Range range) {
@@ -157,7 +161,7 @@
     }
   }
 
-  /** On a terminal, how far it is, a few times a second. */
+  /** Prints the progress on a terminal, at most five times a second. */
   private void printProgress(Range range, boolean last) {
     if (System.console() == null || (!last && clock.nanos() - progressAtNanos < PROGRESS_NANOS)) {
       return;
--- a/src/main/java/brassbank/sim/cli/SimulateCommand.java
+++ b/src/main/java/brassbank/sim/cli/SimulateCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Whole proxies in virtual time, against faults drawn from seeds or written in a script. */
+/** Runs whole proxies in virtual time with faults drawn from seeds or written in a script. */
 @Command(
     name = "simulate",
     description = "Run whole proxies in virtual time against faults drawn from seeds.",
@@ -39,7 +39,7 @@
   private static final int MAX_JOBS = 256;
   private static final int MAX_PROXIES = 250;
 
-  /** What is to be run: exactly one of these. */
+  /** What to run; exactly one option must be given. */
   private static final class RunTarget {
     @Option(
         names = "--seeds",
@@ -107,17 +107,17 @@
       return kinds();
     }
     if (target.script != null) {
-      return one(script());
+      return runOne(script());
     }
     if (target.seed != null) {
-      return one(site.plan(target.seed));
+      return runOne(site.plan(target.seed));
     }
     return target.shrink != null ? shrink() : seeds();
   }
 
-  private static void require(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new UsageException(otherwise);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new UsageException(message);
     }
   }
 
@@ -137,7 +137,7 @@
     return ExitStatus.OK;
   }
 
-  private int one(Plan plan) {
+  private int runOne(Plan plan) {
     SimulationRun run = new SimulationRun(plan, UnaryOperator.identity());
     if (trace) {
       run.includeLogs();
--- a/src/main/java/brassbank/sim/cli/SiteOptions.java
+++ b/src/main/java/brassbank/sim/cli/SiteOptions.java
@@ -5,7 +5,7 @@
 import brassbank.sim.fault.Plan;
 import picocli.CommandLine.Option;
 
-/** The site that a seed is played on; the same options in both worlds. */
+/** Options that describe the simulated site, shared by the commands for virtual and real time. */
 public final class SiteOptions {
   private static final int MAX_MACHINES = 250;
 
@@ -55,31 +55,34 @@
   @Option(names = "--subsets", description = "Each asks a part of the hosts besides.")
   private boolean subsets;
 
-  /** Whether a night is asked for. */
+  /** Returns whether a fleet scenario is requested. */
   public boolean scenario() {
     return scenario != null;
   }
 
-  /** Whether it is said how many machines and clients there are. */
+  /** Returns whether any option sets the number of machines or the rate of clients. */
   public boolean hasSize() {
     return proxies != null || hosts != null || rate != null;
   }
 
-  /** Whether the proxies are to do anything together. */
+  /** Returns whether the proxies are to cooperate. */
   public boolean usesFleetMode() {
     return fleetMode() != Plan.FleetMode.NONE;
   }
 
-  /** Tells what cannot be played, with at most so many proxies. */
-  public void validate(int mostProxies) {
+  /**
+   * Checks the options.
+   *
+   * @throws UsageException if a value is out of range or there are more than {@code maxProxies}
+   */
+  public void validate(int maxProxies) {
     require(seconds >= Plan.MIN_SECONDS, "--seconds must be " + Plan.MIN_SECONDS + " or more");
-    require(
-        proxies() >= 1 && proxies() <= mostProxies, "--proxies must be from 1 to " + mostProxies);
+    require(proxies() >= 1 && proxies() <= maxProxies, "--proxies must be from 1 to " + maxProxies);
     require(hosts() >= 1 && hosts() <= MAX_MACHINES, "--hosts must be from 1 to " + MAX_MACHINES);
     require(rate() > 0 && rate() <= 1_000, "--rate must be above 0 and at most 1000");
   }
 
-  /** The night of a seed, or the faults that it draws. */
+  /** Returns the plan of a seed: the requested scenario, or randomly drawn faults. */
   public Plan plan(long seed) {
     Plan plan =
         scenario == null
@@ -110,9 +113,9 @@
         : scenario() ? FleetScenario.CLIENTS_PER_SECOND : Plan.DEFAULT_CLIENTS_PER_SECOND;
   }
 
-  private static void require(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new UsageException(otherwise);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new UsageException(message);
     }
   }
 }
--- a/src/main/java/brassbank/sim/cli/package-info.java
+++ b/src/main/java/brassbank/sim/cli/package-info.java
@@ -1,2 +1,5 @@
-/** The command {@code simulate}: many seeds, one seed with its trace, shrinking, scripts. */
+/**
+ * The commands {@code simulate} (ranges of seeds, single runs with a trace, shrinking, scripts) and
+ * {@code experiment}.
+ */
 package brassbank.sim.cli;
--- a/src/main/java/brassbank/sim/experiment/Experiment.java
+++ b/src/main/java/brassbank/sim/experiment/Experiment.java
@@ -13,37 +13,42 @@
 import java.util.function.BiFunction;
 import java.util.function.UnaryOperator;
 
-/** Plays variants on the same seeds, several plays at once, each on one thread. */
+/** Runs variants on the same seeds on several threads; each run stays on one thread. */
 public final class Experiment {
   private final BiFunction<Variant, Long, Plan> plans;
   private final int jobs;
 
   /**
-   * @param plans the plan of a variant and a seed
-   * @param jobs plays at once
+   * @param plans returns the plan of a variant and a seed
+   * @param jobs number of concurrent runs
    */
   public Experiment(BiFunction<Variant, Long, Plan> plans, int jobs) {
     this.plans = plans;
     this.jobs = jobs;
   }
 
-  /** The figures of each variant, by the seeds' order. */
+  /**
+   * Runs all variants on all seeds and returns the figures of each variant in the order of the
+   * seeds.
+   *
+   * @throws IllegalStateException if a run fails
+   */
   public Map<Variant, List<Map<Figure, Double>>> run(List<Variant> variants, long first, long last)
       throws InterruptedException {
     ExecutorService workers = Executors.newFixedThreadPool(jobs);
     try {
-      Map<Variant, List<Future<Map<Figure, Double>>>> under = new LinkedHashMap<>();
-      variants.forEach(variant -> under.put(variant, new ArrayList<>()));
+      Map<Variant, List<Future<Map<Figure, Double>>>> pending = new LinkedHashMap<>();
+      variants.forEach(variant -> pending.put(variant, new ArrayList<>()));
       for (long seed = first; seed <= last; seed++) {
         for (Variant variant : variants) {
           Plan plan = plans.apply(variant, seed);
-          under.get(variant).add(workers.submit(() -> play(plan)));
+          pending.get(variant).add(workers.submit(() -> play(plan)));
         }
       }
       Map<Variant, List<Map<Figure, Double>>> results = new LinkedHashMap<>();
       for (Variant variant : variants) {
         List<Map<Figure, Double>> all = new ArrayList<>();
-        for (Future<Map<Figure, Double>> one : under.get(variant)) {
+        for (Future<Map<Figure, Double>> one : pending.get(variant)) {
           all.add(one.get());
         }
         results.put(variant, all);
@@ -58,9 +63,9 @@
 
   private static Map<Figure, Double> play(Plan plan) {
     SimulationRun run = new SimulationRun(plan, UnaryOperator.identity());
-    FigureCounter counted = new FigureCounter(run.capacities(), run.zones());
-    run.trace().addListener(counted);
+    FigureCounter counter = new FigureCounter(run.capacities(), run.zones());
+    run.trace().addListener(counter);
     SimulationRun.Result outcome = run.execute();
-    return counted.figures(outcome.endedAt(), outcome.isSound());
+    return counter.figures(outcome.endedAt(), outcome.isSound());
   }
 }
--- a/src/main/java/brassbank/sim/experiment/Figure.java
+++ b/src/main/java/brassbank/sim/experiment/Figure.java
@@ -1,6 +1,6 @@
 package brassbank.sim.experiment;
 
-/** What is counted of a play. */
+/** A figure that is computed for each run. */
 public enum Figure {
   SERVED("served_pct", "wanted seconds that were served, per cent"),
   WORST_CLASS("worst_class_pct", "the same of the worst class"),
@@ -26,12 +26,12 @@
     this.about = about;
   }
 
-  /** Its name in tables and files. */
+  /** Returns the name used in tables and files. */
   public String key() {
     return key;
   }
 
-  /** What it is, with its unit. */
+  /** Returns a description with the unit. */
   public String about() {
     return about;
   }
--- a/src/main/java/brassbank/sim/experiment/FigureCounter.java
+++ b/src/main/java/brassbank/sim/experiment/FigureCounter.java
@@ -10,7 +10,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Counts a play as hosts and clients see it. Nothing that a proxy says of itself goes in. */
+/**
+ * Computes the figures of a run from events at hosts and clients. Data that a proxy reports about
+ * itself is not used.
+ */
 final class FigureCounter implements Trace.Listener {
   private static final double SECOND = 1_000_000;
 
@@ -38,8 +41,8 @@
   private int listCalls;
 
   /**
-   * @param capacities of the hosts, by name, in sessions of mean load
-   * @param zones of hosts and proxies, by name
+   * @param capacities capacities of the hosts by name, in sessions of mean load
+   * @param zones zones of hosts and proxies by name
    */
   FigureCounter(Map<String, Double> capacities, Map<String, String> zones) {
     this.capacities = capacities;
@@ -112,7 +115,10 @@
     }
   }
 
-  /** What stands now has stood since the last look. */
+  /**
+   * Adds the time since the last call to the totals: the sessions that are open now have been open
+   * since then. Calls less than 50 ms apart are combined.
+   */
   private void integrate(long now) {
     double seconds = (now - integratedUntilMicros) / SECOND;
     if (seconds < 0.05) {
--- a/src/main/java/brassbank/sim/experiment/PairedDifference.java
+++ b/src/main/java/brassbank/sim/experiment/PairedDifference.java
@@ -4,16 +4,20 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * Two variants on the same seeds: the mean of the differences, with the 95% interval of Student's t
- * over the pairs.
+ * The mean difference between two variants on the same seeds, with the 95% confidence interval of
+ * Student's t distribution over the pairs.
  *
- * @param mean of the second less the first
- * @param halfWidth the interval's half width; infinite for a single pair
+ * @param mean mean of the second variant minus the first
+ * @param halfWidth half of the width of the interval; infinite for a single pair
  */
 public record PairedDifference(double mean, double halfWidth) {
   private static final double BOTH_TAILS = 0.975;
 
-  /** Of as many values, in the same order of seeds. */
+  /**
+   * Computes the difference of two series in the same order of seeds.
+   *
+   * @throws IllegalArgumentException if the series differ in length or are empty
+   */
   public static PairedDifference of(double[] first, double[] second) {
     if (first.length != second.length || first.length == 0) {
       throw new IllegalArgumentException(first.length + " values against " + second.length);
@@ -31,7 +35,7 @@
         differences.getMean(), t * differences.getStandardDeviation() / Math.sqrt(pairs));
   }
 
-  /** Whether the interval leaves out no difference at all. */
+  /** Returns whether the interval excludes zero. */
   public boolean isSignificant() {
     return Math.abs(mean) > halfWidth;
   }
--- a/src/main/java/brassbank/sim/experiment/Variant.java
+++ b/src/main/java/brassbank/sim/experiment/Variant.java
@@ -3,12 +3,12 @@
 import brassbank.sim.fault.Plan;
 
 /**
- * One way in which the seeds are played.
+ * A configuration of the fleet in which the seeds are run.
  *
- * @param fleetMode what the proxies do together
+ * @param fleetMode how the proxies cooperate
  */
 public record Variant(Plan.FleetMode fleetMode, int proxies, int hosts, double rate) {
-  /** Its name in tables and files. */
+  /** Returns the name used in tables and files. */
   public String text() {
     return fleetMode.key() + " " + proxies + "x" + hosts;
   }
--- a/src/main/java/brassbank/sim/experiment/package-info.java
+++ b/src/main/java/brassbank/sim/experiment/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Variants of the fleet played on the same seeds, and what differs between them: figures counted at
- * hosts and clients, paired by seed. docs/experiment.md says how to read them.
+ * Compares variants of the fleet on the same seeds, by figures that are counted at hosts and
+ * clients and paired by seed. docs/experiment.md explains how to read them.
  */
 package brassbank.sim.experiment;
--- a/src/main/java/brassbank/sim/members/MembershipScenario.java
+++ b/src/main/java/brassbank/sim/members/MembershipScenario.java
@@ -11,244 +11,257 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 
-/** What is done to a flock, and what of it is measured. */
+/** A sequence of failures that is applied to a simulated cluster, and the results measured. */
 enum MembershipScenario {
-  /** Nothing: what membership costs. */
+  /** No failures: measures the network cost of membership. */
   CALM {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      long bytes = flock.sentBytes();
-      long messages = flock.sentDatagrams();
-      flock.run(20 * SECOND);
-      double members = flock.members().size();
-      result.bytesPerMemberSecond.add((flock.sentBytes() - bytes) / members / 20);
-      result.datagramsPerMemberSecond.add((flock.sentDatagrams() - messages) / members / 20);
+    void play(SimulatedCluster cluster, Result result) {
+      long bytes = cluster.sentBytes();
+      long messages = cluster.sentDatagrams();
+      cluster.run(20 * SECOND);
+      double members = cluster.members().size();
+      result.bytesPerMemberSecond.add((cluster.sentBytes() - bytes) / members / 20);
+      result.datagramsPerMemberSecond.add((cluster.sentDatagrams() - messages) / members / 20);
     }
   },
 
-  /** One after the other is killed. */
+  /** Members are killed one after the other. */
   CRASH {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      for (int i = 0; i < Math.min(8, flock.members().size() / 3); i++) {
-        SimulatedMember one = pickRunning(flock);
+    void play(SimulatedCluster cluster, Result result) {
+      for (int i = 0; i < Math.min(8, cluster.members().size() / 3); i++) {
+        SimulatedMember one = pickRunning(cluster);
         one.kill();
         result.recordConvergence(
-            flock.runUntil(CONVERGENCE_LIMIT_MICROS, () -> flock.allAgreeOn(one, false)));
-        flock.run(3 * SECOND);
+            cluster.runUntil(CONVERGENCE_LIMIT_MICROS, () -> cluster.allAgreeOn(one, false)));
+        cluster.run(3 * SECOND);
       }
     }
   },
 
-  /** One after the other comes. */
+  /** Members join one after the other. */
   JOIN {
     @Override
-    void play(SimulatedCluster flock, Result result) {
+    void play(SimulatedCluster cluster, Result result) {
       for (int i = 0; i < 4; i++) {
-        SimulatedMember one = flock.add();
+        SimulatedMember one = cluster.add();
         one.start();
         result.recordConvergence(
-            flock.runUntil(
+            cluster.runUntil(
                 CONVERGENCE_LIMIT_MICROS,
                 () ->
-                    flock.allAgreeOn(one, true)
-                        && flock.members().stream().allMatch(other -> one.believesLive(other))));
-        flock.run(2 * SECOND);
+                    cluster.allAgreeOn(one, true)
+                        && cluster.members().stream().allMatch(other -> one.believesLive(other))));
+        cluster.run(2 * SECOND);
       }
     }
   },
 
-  /** One says goodbye. */
+  /** Members leave with a leave message, one after the other. */
   LEAVE {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      for (int i = 0; i < Math.min(4, flock.members().size() / 3); i++) {
-        SimulatedMember one = pickRunning(flock);
+    void play(SimulatedCluster cluster, Result result) {
+      for (int i = 0; i < Math.min(4, cluster.members().size() / 3); i++) {
+        SimulatedMember one = pickRunning(cluster);
         one.leave();
         result.recordConvergence(
-            flock.runUntil(CONVERGENCE_LIMIT_MICROS, () -> flock.allAgreeOn(one, false)));
-        flock.run(3 * SECOND);
+            cluster.runUntil(CONVERGENCE_LIMIT_MICROS, () -> cluster.allAgreeOn(one, false)));
+        cluster.run(3 * SECOND);
       }
     }
   },
 
-  /** One is killed and starts again at once, its clock put back by an hour. */
+  /** Members are killed and restarted within seconds, with the wall clock set back by an hour. */
   RESTART {
     @Override
-    void play(SimulatedCluster flock, Result result) {
+    void play(SimulatedCluster cluster, Result result) {
       for (int i = 0; i < 4; i++) {
-        SimulatedMember one = pickRunning(flock);
+        SimulatedMember one = pickRunning(cluster);
         one.kill();
-        flock.run(flock.stream().micros(100 * Agenda.MILLI, 6 * SECOND));
+        cluster.run(cluster.stream().micros(100 * Agenda.MILLI, 6 * SECOND));
         one.stepClock(-3_600_000);
         one.start();
-        result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
-        flock.run(3 * SECOND);
+        result.recordConvergence(
+            cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
+        cluster.run(3 * SECOND);
       }
     }
   },
 
-  /** Three sevenths are cut off for two seconds. */
+  /** A partition separates three sevenths of the members for 2 s. */
   SHORT_CUT {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      partition(flock, result, 2 * SECOND);
+    void play(SimulatedCluster cluster, Result result) {
+      partition(cluster, result, 2 * SECOND);
     }
   },
 
-  /** Three sevenths are cut off for a minute. */
+  /** A partition separates three sevenths of the members for 60 s. */
   CUT {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      partition(flock, result, 60 * SECOND);
+    void play(SimulatedCluster cluster, Result result) {
+      partition(cluster, result, 60 * SECOND);
     }
   },
 
-  /** Three parts, none of which hears another, for twenty seconds. */
+  /** The cluster is partitioned into three isolated parts for 20 s. */
   THREE {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      flock.cut((a, b) -> number(a) % 3 != number(b) % 3);
-      flock.run(20 * SECOND);
-      flock.heal();
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+    void play(SimulatedCluster cluster, Result result) {
+      cluster.cut((a, b) -> number(a) % 3 != number(b) % 3);
+      cluster.run(20 * SECOND);
+      cluster.heal();
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   },
 
-  /** One is heard by nobody, and hears all; twenty seconds. */
+  /** For 20 s one member receives from all others, but none receives from it. */
   ONE_WAY {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      flock.cut((a, b) -> number(a) == 1);
-      flock.run(20 * SECOND);
-      flock.heal();
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+    void play(SimulatedCluster cluster, Result result) {
+      cluster.cut((a, b) -> number(a) == 1);
+      cluster.run(20 * SECOND);
+      cluster.heal();
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   },
 
-  /** Two do not hear each other, and all others hear both: nobody may be taken for dead. */
+  /** The link between two members is blocked for 30 s; no member may be declared dead. */
   PAIR {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      flock.cut((a, b) -> number(a) + number(b) == 3 && number(a) != 0 && number(b) != 0);
-      flock.run(30 * SECOND);
-      if (!flock.allViewsCorrect()) {
+    void play(SimulatedCluster cluster, Result result) {
+      cluster.cut((a, b) -> number(a) + number(b) == 3 && number(a) != 0 && number(b) != 0);
+      cluster.run(30 * SECOND);
+      if (!cluster.allViewsCorrect()) {
         result.falseDeaths++;
       }
-      flock.heal();
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+      cluster.heal();
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   },
 
-  /** A fifth of them restart while a cut heals, and it is cut once more before all has settled. */
+  /**
+   * A fifth of the members restart while a partition heals, and a second partition follows soon.
+   */
   CUT_AGAIN {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      int size = flock.members().size();
+    void play(SimulatedCluster cluster, Result result) {
+      int size = cluster.members().size();
       for (int i = 0; i < 2; i++) {
-        flock.cut((a, b) -> (number(a) * 7 < size * 3) != (number(b) * 7 < size * 3));
-        flock.run(8 * SECOND);
-        flock.heal();
-        flock.run(flock.stream().micros(0, SECOND));
+        cluster.cut((a, b) -> (number(a) * 7 < size * 3) != (number(b) * 7 < size * 3));
+        cluster.run(8 * SECOND);
+        cluster.heal();
+        cluster.run(cluster.stream().micros(0, SECOND));
         for (int k = 0; k < size / 5; k++) {
-          SimulatedMember one = pickRunning(flock);
+          SimulatedMember one = pickRunning(cluster);
           one.kill();
           one.start();
         }
-        flock.run(flock.stream().micros(0, SECOND));
+        cluster.run(cluster.stream().micros(0, SECOND));
       }
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   },
 
-  /** Each is stopped once, for one second. */
+  /** Members are paused for 1 s, one after the other. */
   STOP_1 {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      pauseMembers(flock, result, SECOND);
+    void play(SimulatedCluster cluster, Result result) {
+      pauseMembers(cluster, result, SECOND);
     }
   },
 
-  /** Each is stopped once, for three seconds. */
+  /** Members are paused for 3 s, one after the other. */
   STOP_3 {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      pauseMembers(flock, result, 3 * SECOND);
+    void play(SimulatedCluster cluster, Result result) {
+      pauseMembers(cluster, result, 3 * SECOND);
     }
   },
 
-  /** Some are stopped for twenty seconds. */
+  /** Three members are paused for 20 s. */
   STOP_20 {
     @Override
-    void play(SimulatedCluster flock, Result result) {
+    void play(SimulatedCluster cluster, Result result) {
       for (int i = 0; i < 3; i++) {
-        pickRunning(flock).pause(20 * SECOND);
+        pickRunning(cluster).pause(20 * SECOND);
       }
-      flock.run(20 * SECOND);
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+      cluster.run(20 * SECOND);
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   },
 
-  /** A tenth is lost, all is late by up to 300 ms, and some are stopped for up to a second. */
+  /** 10% datagram loss, delays of up to 300 ms, and pauses of members of up to 1 s. */
   ROUGH {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      degradeNetwork(flock, 0.1, 300 * Agenda.MILLI, SECOND);
+    void play(SimulatedCluster cluster, Result result) {
+      degradeNetwork(cluster, 0.1, 300 * Agenda.MILLI, SECOND);
     }
   },
 
-  /** The same with stops of up to three seconds. */
+  /** {@link #ROUGH} with pauses of up to 3 s. */
   ROUGH_3 {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      degradeNetwork(flock, 0.1, 300 * Agenda.MILLI, 3 * SECOND);
+    void play(SimulatedCluster cluster, Result result) {
+      degradeNetwork(cluster, 0.1, 300 * Agenda.MILLI, 3 * SECOND);
     }
   },
 
-  /** Three of ten are lost, and all is late by up to half a second: it must be sound after it. */
+  /** 30% datagram loss and delays of up to 500 ms; views must converge afterwards. */
   STORM {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      degradeNetwork(flock, 0.3, 500 * Agenda.MILLI, 0);
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+    void play(SimulatedCluster cluster, Result result) {
+      degradeNetwork(cluster, 0.3, 500 * Agenda.MILLI, 0);
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   },
 
-  /** Restarts one after the other, faster than a death is noticed. */
+  /** Members restart one after the other, faster than a failure is detected. */
   ROLLING {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      for (SimulatedMember one : List.copyOf(flock.members())) {
+    void play(SimulatedCluster cluster, Result result) {
+      for (SimulatedMember one : List.copyOf(cluster.members())) {
         one.kill();
-        flock.run(200 * Agenda.MILLI);
+        cluster.run(200 * Agenda.MILLI);
         one.start();
-        flock.run(300 * Agenda.MILLI);
+        cluster.run(300 * Agenda.MILLI);
       }
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   },
 
-  /** As a cut of half a minute, and the addresses of the file are those of members long dead. */
+  /**
+   * A partition of 30 s while the seed addresses belong to members that were killed long before.
+   */
   CUT_WITHOUT_SEEDS {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      List<SimulatedMember> seeds = List.copyOf(flock.members().subList(0, SEED_MEMBERS));
+    void play(SimulatedCluster cluster, Result result) {
+      List<SimulatedMember> seeds = List.copyOf(cluster.members().subList(0, SEED_MEMBERS));
       seeds.forEach(SimulatedMember::kill);
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
-      partition(flock, result, 30 * SECOND);
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
+      partition(cluster, result, 30 * SECOND);
     }
   },
 
-  /** Whoever is dead for long enough is forgotten. */
+  /** The tombstone of a dead member must be removed after the retention time. */
   FORGET {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      SimulatedMember one = pickRunning(flock);
+    void play(SimulatedCluster cluster, Result result) {
+      SimulatedMember one = pickRunning(cluster);
       one.kill();
       result.recordConvergence(
-          flock.runUntil(CONVERGENCE_LIMIT_MICROS, () -> flock.allAgreeOn(one, false)));
-      flock.run(TOMBSTONE_RETENTION_MICROS + 5 * SECOND);
-      for (SimulatedMember other : flock.members()) {
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, () -> cluster.allAgreeOn(one, false)));
+      cluster.run(TOMBSTONE_RETENTION_MICROS + 5 * SECOND);
+      for (SimulatedMember other : cluster.members()) {
         if (other.isRunning()
             && other.fleet().view().members().stream()
                 .anyMatch(member -> member.name().equals(one.name))) {
@@ -263,12 +276,12 @@
     }
   },
 
-  /** Half of all datagrams come twice, and one in ten six seconds late, while some restart. */
+  /** Half of all datagrams are duplicated and 10% delayed by 6 s, while members restart. */
   OLD_DATAGRAMS {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      RandomStreams.Stream jitter = flock.stream();
-      Disturbance old =
+    void play(SimulatedCluster cluster, Result result) {
+      RandomStreams.Stream jitter = cluster.stream();
+      Disturbance delayed =
           new Disturbance() {
             @Override
             public double datagramDuplicationRate(Machine from, Machine to) {
@@ -285,24 +298,25 @@
               return true;
             }
           };
-      flock.fabric().addDisturbance(old);
+      cluster.fabric().addDisturbance(delayed);
       for (int i = 0; i < 6; i++) {
-        SimulatedMember one = pickRunning(flock);
+        SimulatedMember one = pickRunning(cluster);
         one.kill();
-        flock.run(SECOND);
+        cluster.run(SECOND);
         one.start();
-        flock.run(4 * SECOND);
+        cluster.run(4 * SECOND);
       }
-      flock.fabric().removeDisturbance(old);
-      flock.run(6 * SECOND);
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+      cluster.fabric().removeDisturbance(delayed);
+      cluster.run(6 * SECOND);
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   },
 
-  /** Goodbyes while three of ten datagrams are lost. */
+  /** Members leave while 30% of the datagrams are lost. */
   LEAVE_IN_LOSS {
     @Override
-    void play(SimulatedCluster flock, Result result) {
+    void play(SimulatedCluster cluster, Result result) {
       Disturbance loss =
           new Disturbance() {
             @Override
@@ -310,66 +324,70 @@
               return 0.3;
             }
           };
-      flock.fabric().addDisturbance(loss);
-      LEAVE.play(flock, result);
-      flock.fabric().removeDisturbance(loss);
+      cluster.fabric().addDisturbance(loss);
+      LEAVE.play(cluster, result);
+      cluster.fabric().removeDisturbance(loss);
     }
   },
 
-  /** One runs for 50 of each 500 ms: it must not blame the others. */
+  /** One member runs for only 50 ms of each 500 ms; it must not cause false deaths. */
   STARVED {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      SimulatedMember one = pickRunning(flock);
+    void play(SimulatedCluster cluster, Result result) {
+      SimulatedMember one = pickRunning(cluster);
       for (int i = 0; i < 60; i++) {
         one.pause(450 * Agenda.MILLI);
-        flock.run(500 * Agenda.MILLI);
+        cluster.run(500 * Agenda.MILLI);
       }
-      flock.run(SECOND);
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+      cluster.run(SECOND);
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   },
 
   /**
-   * One hears nobody for five seconds: its own health is what makes it slow to blame the others.
+   * One member receives nothing for 5 s. Its local health score must slow its suspicions of others.
    */
   DEAF {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      SimulatedMember one = flock.members().get(1);
-      flock.cut((a, b) -> number(b) == 1);
-      flock.run(5 * SECOND);
+    void play(SimulatedCluster cluster, Result result) {
+      SimulatedMember one = cluster.members().get(1);
+      cluster.cut((a, b) -> number(b) == 1);
+      cluster.run(5 * SECOND);
       result.suspicions = (int) one.fleet().membership().counters().suspicions();
-      flock.heal();
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+      cluster.heal();
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   },
 
-  /** All but one are killed, and start again ten seconds later, at once. */
+  /** All members but one are killed and restarted together 10 s later. */
   ALL_BUT_ONE {
     @Override
-    void play(SimulatedCluster flock, Result result) {
-      List<SimulatedMember> rest = new ArrayList<>(flock.members());
-      SimulatedMember left = flock.stream().pick(rest);
-      rest.remove(left);
+    void play(SimulatedCluster cluster, Result result) {
+      List<SimulatedMember> rest = new ArrayList<>(cluster.members());
+      SimulatedMember survivor = cluster.stream().pick(rest);
+      rest.remove(survivor);
       rest.forEach(SimulatedMember::kill);
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
-      flock.run(10 * SECOND);
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
+      cluster.run(10 * SECOND);
       rest.forEach(SimulatedMember::start);
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
     }
   };
 
-  /** In {@link #FORGET}, for so long the dead are remembered. */
+  /** Tombstone retention in {@link #FORGET}. */
   static final long TOMBSTONE_RETENTION_MICROS = 20 * Agenda.SECOND;
 
   private static final long SECOND = Agenda.SECOND;
   private static final long CONVERGENCE_LIMIT_MICROS = 40 * SECOND;
 
-  /** Where all look for others. */
+  /** Number of members whose addresses serve as seeds. */
   private static final int SEED_MEMBERS = 3;
 
-  /** What came of a play. */
+  /** Results of one run. */
   static final class Result {
     final List<Double> convergenceSeconds = new ArrayList<>();
     final List<Double> bytesPerMemberSecond = new ArrayList<>();
@@ -379,10 +397,10 @@
     String firstFalseDeath = "";
     int unconverged;
 
-    /** Suspicions that a member had that was ill itself. */
+    /** Suspicions raised by the member that was impaired itself. */
     int suspicions;
 
-    /** Views in which a member died that was only stopped. */
+    /** How often a member that was only paused was declared dead. */
     int pausedDeaths;
 
     void recordConvergence(long micros) {
@@ -394,74 +412,76 @@
     }
   }
 
-  abstract void play(SimulatedCluster flock, Result result);
+  abstract void play(SimulatedCluster cluster, Result result);
 
-  /** Plays it on a flock that has grown and settled. */
+  /** Runs the scenario on a cluster that has formed and settled. */
   Result play(long seed, int members, Settings settings, UnaryOperator<Network> wrapping) {
-    SimulatedCluster flock = new SimulatedCluster(seed, members + 8, settings, wrapping);
+    SimulatedCluster cluster = new SimulatedCluster(seed, members + 8, settings, wrapping);
     Result result = new Result();
     List<SimulatedMember> first = new ArrayList<>();
     for (int i = 0; i < members; i++) {
-      first.add(flock.add());
+      first.add(cluster.add());
     }
-    flock.seeds(first.subList(0, Math.min(SEED_MEMBERS, members)).toArray(new SimulatedMember[0]));
+    cluster.seeds(
+        first.subList(0, Math.min(SEED_MEMBERS, members)).toArray(new SimulatedMember[0]));
     for (SimulatedMember one : first) {
       one.start();
-      flock.run(flock.stream().micros(0, 2 * SECOND / members));
+      cluster.run(cluster.stream().micros(0, 2 * SECOND / members));
     }
-    if (flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect) < 0) {
+    if (cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect) < 0) {
       result.violations.add("the flock did not come together");
     }
-    flock.run(5 * SECOND);
-    flock.falseDeathHandler(
-        (now, by, of) -> {
+    cluster.run(5 * SECOND);
+    cluster.falseDeathHandler(
+        (now, observer, member) -> {
           if (result.falseDeaths++ == 0) {
-            result.firstFalseDeath = String.format("%.2f s: %s of %s", now / 1e6, by, of);
+            result.firstFalseDeath = String.format("%.2f s: %s of %s", now / 1e6, observer, member);
           }
         });
-    play(flock, result);
-    result.violations.addAll(flock.violations());
-    result.pausedDeaths = flock.pausedDeaths();
+    play(cluster, result);
+    result.violations.addAll(cluster.violations());
+    result.pausedDeaths = cluster.pausedDeaths();
     return result;
   }
 
-  /** The settings as the scene needs them. */
+  /** Returns the settings adjusted to the needs of the scenario. */
   Settings adjust(Settings settings) {
     return settings;
   }
 
-  private static SimulatedMember pickRunning(SimulatedCluster flock) {
+  private static SimulatedMember pickRunning(SimulatedCluster cluster) {
     List<SimulatedMember> living =
-        flock.members().stream().filter(SimulatedMember::isRunning).toList();
-    return flock.stream().pick(living);
+        cluster.members().stream().filter(SimulatedMember::isRunning).toList();
+    return cluster.stream().pick(living);
   }
 
   private static int number(Machine machine) {
     return Integer.parseInt(machine.name().substring(1));
   }
 
-  private static void partition(SimulatedCluster flock, Result result, long length) {
-    int size = flock.members().size();
-    flock.cut((a, b) -> (number(a) * 7 < size * 3) != (number(b) * 7 < size * 3));
-    flock.run(length);
-    flock.heal();
-    result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
+  private static void partition(SimulatedCluster cluster, Result result, long length) {
+    int size = cluster.members().size();
+    cluster.cut((a, b) -> (number(a) * 7 < size * 3) != (number(b) * 7 < size * 3));
+    cluster.run(length);
+    cluster.heal();
+    result.recordConvergence(cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
   }
 
-  private static void pauseMembers(SimulatedCluster flock, Result result, long length) {
+  private static void pauseMembers(SimulatedCluster cluster, Result result, long length) {
     for (int i = 0; i < 6; i++) {
-      SimulatedMember one = pickRunning(flock);
+      SimulatedMember one = pickRunning(cluster);
       one.pause(length);
-      flock.run(length);
-      result.recordConvergence(flock.runUntil(CONVERGENCE_LIMIT_MICROS, flock::allViewsCorrect));
-      flock.run(3 * SECOND);
+      cluster.run(length);
+      result.recordConvergence(
+          cluster.runUntil(CONVERGENCE_LIMIT_MICROS, cluster::allViewsCorrect));
+      cluster.run(3 * SECOND);
     }
   }
 
   private static void degradeNetwork(
-      SimulatedCluster flock, double loss, long late, long longestStop) {
-    RandomStreams.Stream jitter = flock.stream();
-    Disturbance rough =
+      SimulatedCluster cluster, double loss, long maxDelay, long maxPause) {
+    RandomStreams.Stream jitter = cluster.stream();
+    Disturbance degraded =
         new Disturbance() {
           @Override
           public double datagramLossRate(Machine from, Machine to) {
@@ -475,16 +495,16 @@
 
           @Override
           public long delayMicros(Machine from, Machine to) {
-            return jitter.micros(0, late);
+            return jitter.micros(0, maxDelay);
           }
         };
-    flock.fabric().addDisturbance(rough);
+    cluster.fabric().addDisturbance(degraded);
     for (int i = 0; i < 12; i++) {
-      if (longestStop > 0) {
-        pickRunning(flock).pause(jitter.micros(longestStop / 10, longestStop));
+      if (maxPause > 0) {
+        pickRunning(cluster).pause(jitter.micros(maxPause / 10, maxPause));
       }
-      flock.run(4 * SECOND);
+      cluster.run(4 * SECOND);
     }
-    flock.fabric().removeDisturbance(rough);
+    cluster.fabric().removeDisturbance(degraded);
   }
 }
--- a/src/main/java/brassbank/sim/members/SimulateMembersCommand.java
+++ b/src/main/java/brassbank/sim/members/SimulateMembersCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** How soon the views of a fleet follow the truth, and what that costs, in virtual time. */
+/** Measures, in virtual time, how fast the views of a fleet converge and the network cost. */
 @Command(
     name = "simulate-members",
     description = "Play scenes on fleets of members without proxies, in virtual time.",
@@ -53,7 +53,7 @@
       paramLabel = "NAME",
       split = ",",
       description = "What is done to it, all of them if not given: ${COMPLETION-CANDIDATES}.")
-  private List<MembershipScenario> scenes = new ArrayList<>();
+  private List<MembershipScenario> scenarios = new ArrayList<>();
 
   @Option(
       names = "--suspicion-ms",
@@ -79,30 +79,30 @@
     System.out.printf(
         "%-12s %8s %8s %8s %8s %8s %8s %8s %8s%n",
         "scene", "times", "median", "99%", "most", "never", "false", "broken", "stopped");
-    for (MembershipScenario scene :
-        scenes.isEmpty() ? Arrays.asList(MembershipScenario.values()) : scenes) {
+    for (MembershipScenario scenario :
+        scenarios.isEmpty() ? Arrays.asList(MembershipScenario.values()) : scenarios) {
       List<MembershipScenario.Result> results =
           LongStream.rangeClosed(Long.parseLong(range.group(1)), Long.parseLong(range.group(2)))
               .parallel()
-              .mapToObj(seed -> playWithoutLog(scene, seed, settings))
+              .mapToObj(seed -> playWithoutLog(scenario, seed, settings))
               .toList();
-      sound &= printResults(scene, results);
+      sound &= printResults(scenario, results);
     }
     return sound ? ExitStatus.OK : ExitStatus.FAILED;
   }
 
   private MembershipScenario.Result playWithoutLog(
-      MembershipScenario scene, long seed, Settings settings) {
+      MembershipScenario scenario, long seed, Settings settings) {
     Log.setThreadSink(event -> {});
     try {
-      return scene.play(seed, members, scene.adjust(settings), UnaryOperator.identity());
+      return scenario.play(seed, members, scenario.adjust(settings), UnaryOperator.identity());
     } finally {
       Log.setThreadSink(null);
     }
   }
 
   private static boolean printResults(
-      MembershipScenario scene, List<MembershipScenario.Result> results) {
+      MembershipScenario scenario, List<MembershipScenario.Result> results) {
     List<Double> seconds = new ArrayList<>();
     results.forEach(result -> seconds.addAll(result.convergenceSeconds));
     Collections.sort(seconds);
@@ -112,7 +112,7 @@
     System.out.printf(
         Locale.ROOT,
         "%-12s %8d %8s %8s %8s %8d %8d %8d %8d%n",
-        scene,
+        scenario,
         seconds.size(),
         percentile(seconds, 0.5),
         percentile(seconds, 0.99),
--- a/src/main/java/brassbank/sim/members/SimulatedCluster.java
+++ b/src/main/java/brassbank/sim/members/SimulatedCluster.java
@@ -23,13 +23,19 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
+import java.util.function.BooleanSupplier;
 import java.util.function.UnaryOperator;
 
-/** Members on a simulated network, the truth about them, and what each believes of each. */
+/**
+ * Members on a simulated network, with the ground truth about their state and the view that each
+ * member has of the others.
+ */
 final class SimulatedCluster {
   static final int PORT = 7_075;
   private static final long SECOND = Agenda.SECOND;
@@ -38,18 +44,18 @@
   private static final int RUNTIME_DESCRIPTORS = 20;
   private static final int DESCRIPTOR_LIMIT = 64;
 
-  /** Ways within a zone and between zones, in microseconds, as in {@code brassbank simulate}. */
+  /** Latencies within a zone and between zones, as in {@code brassbank simulate}. */
   private static final Fabric.Latency LATENCY = new Fabric.Latency(110, 320, 700, 1_300, 0.2);
 
   private static final Fabric.Buffers BUFFERS = new Fabric.Buffers(1 << 16, 1 << 16, 100_000_000);
   private static final List<String> ZONES = List.of("leith", "dalkeith");
 
-  /** Who is told when somebody believes something false of somebody who could be reached. */
+  /** Called when a member declares a running and reachable member dead. */
   interface FalseDeathHandler {
-    void falseDeath(long now, String by, String of);
+    void falseDeath(long now, String observer, String member);
   }
 
-  /** One member, through the lives of its process. */
+  /** One member across the incarnations of its process. */
   final class SimulatedMember {
     final int number;
     final String name;
@@ -60,24 +66,24 @@
     private long clockOffsetMillis;
     private long processNumber;
 
-    /** The highest incarnation that it has had; null before its first start. */
+    /** The highest incarnation number that this member has used; null before its first start. */
     private Incarnation highestIncarnation;
 
     private boolean hasLeft;
 
-    /** It has run, and has not been stopped, since then. */
+    /** Since when the process has run without a pause, in microseconds. */
     long runningSinceMicros;
 
-    SimulatedMember(int number, int most) {
-      this(number, most, "n" + number);
+    SimulatedMember(int number, int maxMembers) {
+      this(number, maxMembers, "n" + number);
     }
 
-    /** With another's name. */
-    private SimulatedMember(int number, int most, String name) {
+    /** Creates a member with a name of its own or of another member. */
+    private SimulatedMember(int number, int maxMembers, String name) {
       this.number = number;
       this.name = name;
       machine = fabric.addMachine("n" + number, ZONES.get(number % ZONES.size()), address(number));
-      believesLive = new boolean[most];
+      believesLive = new boolean[maxMembers];
     }
 
     boolean isRunning() {
@@ -90,7 +96,7 @@
       Network network = networkDecorator.apply(new SimNetwork(program, clock, held -> {}));
       Net net = new Net(DESCRIPTOR_LIMIT, network);
       hasLeft = false;
-      java.util.Arrays.fill(believesLive, false);
+      Arrays.fill(believesLive, false);
       believesLive[number] = true;
       runningSinceMicros = agenda.now();
       InetSocketAddress here = new InetSocketAddress(machine.address(), PORT);
@@ -100,14 +106,14 @@
               new MembershipConfig("flock", here, here, seeds, settings),
               name,
               machine.zone(),
-              new java.util.SplittableRandom(stream.bits()),
+              new SplittableRandom(stream.bits()),
               () -> Activity.ACTIVE,
               null);
-      Fleet mine = fleet;
-      long thisLife = ++processNumber;
+      Fleet currentFleet = fleet;
+      long thisProcess = ++processNumber;
       fleet.addListener(
           change -> {
-            if (processNumber == thisLife) {
+            if (processNumber == thisProcess) {
               onViewChange(change);
             }
           });
@@ -116,10 +122,10 @@
       } catch (IOException e) {
         throw new IllegalStateException(e);
       }
-      net.execute(mine::open);
+      net.execute(currentFleet::open);
     }
 
-    /** Its wall clock goes by so many milliseconds more, from its next start on. */
+    /** Shifts the wall clock by {@code millis} as of the next start. */
     void stepClock(long millis) {
       clockOffsetMillis += millis;
     }
@@ -132,16 +138,16 @@
 
     void leave() {
       processNumber++;
-      Fleet mine = fleet;
-      Program mineToo = program;
+      Fleet currentFleet = fleet;
+      Program currentProgram = program;
       program.schedule(
           0,
           () -> {
-            Incarnation last = mine.membership().incarnation();
+            Incarnation last = currentFleet.membership().incarnation();
             highestIncarnation = new Incarnation(last.startTime(), last.revision() + 1);
             hasLeft = true;
-            mine.close(true);
-            mineToo.exit();
+            currentFleet.close(true);
+            currentProgram.exit();
           });
     }
 
@@ -174,12 +180,12 @@
       if (other == null || other == this) {
         return;
       }
-      boolean there = after != null && after.state().isLive();
-      believesLive[other.number] = there;
+      boolean live = after != null && after.state().isLive();
+      believesLive[other.number] = live;
       if (before != null
           && after != null
           && !before.state().isLive()
-          && there
+          && live
           && after.incarnation().compareTo(before.incarnation()) <= 0) {
         violations.add(name + " took " + other.name + " back at " + after.incarnation());
       }
@@ -195,7 +201,7 @@
           violations.add(name + " takes the goodbye of " + other.name + " for a death");
         }
       }
-      // One of whom a newcomer first hears as of a dead one was not declared so by it.
+      // A joining member that first receives another one as dead has not declared it dead itself.
       boolean declared = before != null && before.state().isLive();
       if (declared && after != null && after.state() == State.DEAD && other.isRunning()) {
         if (isReachable(other)) {
@@ -206,16 +212,21 @@
       }
     }
 
-    /** Whether the two could hear each other, straight or by a third, for as long as counts. */
+    /**
+     * Returns whether the members could exchange datagrams, directly or through a third member,
+     * throughout the last {@link #MIN_REACHABLE_MICROS}.
+     */
     private boolean isReachable(SimulatedMember other) {
       long since = agenda.now() - MIN_REACHABLE_MICROS;
       if (!other.isRunning() || other.runningSinceMicros > since) {
         return false;
       }
-      if (lastCut == null || (healedAtMicros <= since && !cut) || isConnected(this, other)) {
+      if (lastPartition == null
+          || (healedAtMicros <= since && !isPartitioned)
+          || isConnected(this, other)) {
         return true;
       }
-      // Of a large flock a few thirds are tried: each death asks.
+      // In a large cluster only a sample of third members is tried, since every death runs this.
       for (int i = 0; i < members.size(); i += 1 + members.size() / MAX_INTERMEDIARIES) {
         SimulatedMember third = members.get(i);
         if (third != this
@@ -235,7 +246,9 @@
     }
   }
 
-  /** One that is declared dead within this after it could be heard again is no false death. */
+  /**
+   * A death declared sooner than this after the member became reachable does not count as false.
+   */
   static final long MIN_REACHABLE_MICROS = 3 * SECOND;
 
   private final Agenda agenda = new Agenda();
@@ -250,27 +263,27 @@
   private final int maxMembers;
   private int pausedDeaths;
   private int duplicateNames;
-  private FalseDeathHandler falseDeathHandler = (now, by, of) -> {};
-  private BiPredicate<Machine, Machine> lastCut;
-  private Disturbance cutting;
-  private boolean cut;
+  private FalseDeathHandler falseDeathHandler = (now, observer, member) -> {};
+  private BiPredicate<Machine, Machine> lastPartition;
+  private Disturbance partition;
+  private boolean isPartitioned;
   private long healedAtMicros;
 
   /**
-   * @param most members that there will be, at most
-   * @param wrapping put round the network of each; the identity but where a test plants a bug
+   * @param maxMembers maximum number of members
+   * @param wrapping decorates the network of each member; the identity unless a test injects a bug
    */
-  SimulatedCluster(long seed, int most, Settings settings, UnaryOperator<Network> wrapping) {
+  SimulatedCluster(long seed, int maxMembers, Settings settings, UnaryOperator<Network> wrapping) {
     RandomStreams draws = new RandomStreams(seed);
     fabric = new Fabric(agenda, draws, LATENCY, BUFFERS);
     stream = draws.of("flock");
     this.settings = settings;
     this.networkDecorator = wrapping;
-    this.maxMembers = most;
+    this.maxMembers = maxMembers;
   }
 
   private boolean isConnected(SimulatedMember a, SimulatedMember b) {
-    return !lastCut.test(a.machine, b.machine) && !lastCut.test(b.machine, a.machine);
+    return !lastPartition.test(a.machine, b.machine) && !lastPartition.test(b.machine, a.machine);
   }
 
   static InetAddress address(int number) {
@@ -281,7 +294,7 @@
     }
   }
 
-  /** One more, which is not started yet. */
+  /** Adds a member without starting it. */
   SimulatedMember add() {
     SimulatedMember one = new SimulatedMember(members.size(), maxMembers);
     members.add(one);
@@ -289,15 +302,15 @@
     return one;
   }
 
-  /** One more process with the name of another, at a machine of its own. */
-  SimulatedMember addDuplicate(SimulatedMember of) {
+  /** Adds a member with the name of another one on a machine of its own. */
+  SimulatedMember addDuplicate(SimulatedMember member) {
     duplicateNames++;
-    SimulatedMember one = new SimulatedMember(members.size(), maxMembers, of.name);
+    SimulatedMember one = new SimulatedMember(members.size(), maxMembers, member.name);
     members.add(one);
     return one;
   }
 
-  /** Where all look for others, from their next start on. */
+  /** Sets the seed addresses that members use as of their next start. */
   void seeds(SimulatedMember... ones) {
     seeds.clear();
     for (SimulatedMember one : ones) {
@@ -305,20 +318,20 @@
     }
   }
 
-  void falseDeathHandler(FalseDeathHandler told) {
-    falseDeathHandler = told;
+  void falseDeathHandler(FalseDeathHandler handler) {
+    falseDeathHandler = handler;
   }
 
   List<SimulatedMember> members() {
     return members;
   }
 
-  /** What broke a rule of every step, so far. */
+  /** Returns the violations of invariants so far. */
   List<String> violations() {
     return violations;
   }
 
-  /** How often somebody was declared dead that was only stopped, or had just begun. */
+  /** Returns how often a member that was only paused or had just started was declared dead. */
   int pausedDeaths() {
     return pausedDeaths;
   }
@@ -335,57 +348,63 @@
     return agenda.now();
   }
 
-  /** Nothing passes between those that are told, from here on. */
+  /** Blocks traffic in the directions that match until {@link #heal}. */
   void cut(BiPredicate<Machine, Machine> between) {
-    lastCut = between;
-    cut = true;
-    cutting =
+    lastPartition = between;
+    isPartitioned = true;
+    partition =
         new Disturbance() {
           @Override
           public boolean blocks(Machine from, Machine to) {
             return between.test(from, to);
           }
         };
-    fabric.addDisturbance(cutting);
+    fabric.addDisturbance(partition);
   }
 
   void heal() {
-    fabric.removeDisturbance(cutting);
-    cut = false;
+    fabric.removeDisturbance(partition);
+    isPartitioned = false;
     healedAtMicros = agenda.now();
   }
 
-  /** Lets time go by. */
+  /** Advances virtual time by {@code micros}. */
   void run(long micros) {
     long end = agenda.now() + micros;
     while (agenda.step(end)) {
-      // Each step is a datagram or a beat.
+      // Each step delivers a datagram or runs a timer.
     }
   }
 
-  /** Lets time go by until it is so; how long that took, or -1 if it did not come in time. */
-  long runUntil(long within, java.util.function.BooleanSupplier so) {
-    long begun = agenda.now();
-    while (!so.getAsBoolean()) {
-      if (agenda.now() - begun >= within) {
+  /**
+   * Advances virtual time until a condition holds.
+   *
+   * @return the elapsed time in microseconds, or -1 if the condition did not hold within the limit
+   */
+  long runUntil(long limitMicros, BooleanSupplier condition) {
+    long start = agenda.now();
+    while (!condition.getAsBoolean()) {
+      if (agenda.now() - start >= limitMicros) {
         return -1;
       }
       run(10 * Agenda.MILLI);
     }
-    return agenda.now() - begun;
+    return agenda.now() - start;
   }
 
-  /** Whether all that run believe exactly this of one. */
-  boolean allAgreeOn(SimulatedMember of, boolean there) {
+  /**
+   * Returns whether all other running members consider a member live, or all consider it not live.
+   */
+  boolean allAgreeOn(SimulatedMember member, boolean live) {
     for (SimulatedMember one : members) {
-      if (one != of && one.isRunning() && one.believesLive[of.number] != there) {
+      if (one != member && one.isRunning() && one.believesLive[member.number] != live) {
         return false;
       }
     }
     return true;
   }
 
-  /** Whether all views are equal, and equal to the truth. */
+  /** Returns whether the views of all running members match the ground truth. */
   boolean allViewsCorrect() {
     for (SimulatedMember one : members) {
       if (one.isRunning()) {
@@ -399,7 +418,7 @@
     return true;
   }
 
-  /** Bytes that all have sent so far. */
+  /** Returns the number of bytes sent by the running members. */
   long sentBytes() {
     return members.stream()
         .filter(SimulatedMember::isRunning)
--- a/src/main/java/brassbank/sim/members/package-info.java
+++ b/src/main/java/brassbank/sim/members/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Fleets of members without proxies, in virtual time: as large as wanted, to measure how soon views
- * follow the truth and what that costs. Whole proxies with a fleet are {@link brassbank.sim}'s.
+ * Simulates fleets of membership participants without proxies, in virtual time, to measure how fast
+ * views converge to the ground truth and at what network cost. Fleets of whole proxies are
+ * simulated by {@link brassbank.sim}.
  */
 package brassbank.sim.members;
--- a/src/test/java/brassbank/sim/cli/ExperimentCommandTest.java
+++ b/src/test/java/brassbank/sim/cli/ExperimentCommandTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The command as a user gives it, on a small night. */
+/** Runs the command on a small fleet scenario. */
 class ExperimentCommandTest {
   private static final String SMALL =
       "experiment HERD --seeds 1-3 --proxies 3 --hosts 4 --rate 2 --seconds 40 --jobs 4 ";
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void tellsDifferencesByPairsOfSeeds() {
+  void reportsDifferencesPairedBySeed() {
     assertThat(run(SMALL + "--vary off,membership --json")).isZero();
     JsonObject json =
         JsonParser.parseString(out.toString(StandardCharsets.UTF_8)).getAsJsonObject();
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void writesEachPlayAsCommaSeparatedValues() {
+  void writesEachRunAsCommaSeparatedValues() {
     assertThat(run(SMALL + "--vary off --csv")).isZero();
     List<String> lines = out.toString(StandardCharsets.UTF_8).lines().toList();
     assertThat(lines).hasSize(4);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void tellsWhatCannotBeUsed() {
+  void rejectsInvalidOptionsWithTheReason() {
     assertThat(run(SMALL + "--vary off,sharing")).isEqualTo(2);
     assertThat(run(SMALL + "--vary off,off")).isEqualTo(2);
     assertThat(out.toString(StandardCharsets.UTF_8))
@@ -72,7 +72,7 @@
 
   /** Student (1908), table of additional hours of sleep: mean 1.58, t = 4.06 on nine degrees. */
   @Test
-  void hasTheIntervalsOfStudentsOwnExample() {
+  void computesTheIntervalOfStudentsExample() {
     double[] first = {0.7, -1.6, -0.2, -1.2, -0.1, 3.4, 3.7, 0.8, 0.0, 2.0};
     double[] second = {1.9, 0.8, 1.1, 0.1, -0.1, 4.4, 5.5, 1.6, 4.6, 3.4};
     PairedDifference paired = PairedDifference.of(first, second);
--- a/src/test/java/brassbank/sim/cli/SimulateCommandTest.java
+++ b/src/test/java/brassbank/sim/cli/SimulateCommandTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The command as a user gives it; a small day, so that it takes no time. */
+/** Runs the command on a small site to keep the tests short. */
 class SimulateCommandTest {
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void sumsUpManySeedsAsTextAndAsJson() {
+  void printsASummaryOfSeedsAsTextAndAsJson() {
     String small = " --seconds 40 --hosts 3 --proxies 1 --rate 0.5 --jobs 2";
     assertThat(simulate("--seeds 1-3" + small)).isZero();
     assertThat(out.toString(StandardCharsets.UTF_8))
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void playsAScriptAndPrintsItsEvents() throws Exception {
+  void runsAScriptAndPrintsItsEvents() throws Exception {
     Path script = Files.createTempFile("brassbank", ".toml");
     Files.writeString(
         script,
@@ -82,7 +82,7 @@
         "--seed 1 --seconds 10 | --seconds must be 40 or more",
         "--script /no/such.toml | /no/such.toml: no such file"
       })
-  void saysWhatIsWrongWithItsOptions(String options, String message) {
+  void rejectsInvalidOptionsWithTheReason(String options, String message) {
     assertThat(simulate(options)).isBetween(1, 2);
     assertThat(err.toString(StandardCharsets.UTF_8)).contains(message);
   }
--- a/src/test/java/brassbank/sim/members/MembershipScenarioTest.java
+++ b/src/test/java/brassbank/sim/members/MembershipScenarioTest.java
@@ -24,84 +24,85 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Scenes on fleets of members, and bugs planted in all of them. */
+/** Runs scenarios on fleets of members, and checks that they detect injected bugs. */
 class MembershipScenarioTest {
   private static final int MEMBERS = 14;
 
-  /** What one scene comes to with and without a bug, over a few seeds. */
-  private record Sum(double most, int never, int falseDeaths, List<String> broken) {}
+  /** Results of a scenario, with or without a bug, over several seeds. */
+  private record Sum(double maxSeconds, int unconverged, int falseDeaths, List<String> broken) {}
 
   @BeforeEach
-  void quiet() {
+  void silenceLog() {
     Log.setThreadSink(event -> {});
   }
 
   @AfterEach
-  void loud() {
+  void restoreLog() {
     Log.setThreadSink(null);
   }
 
-  private static Sum played(
-      MembershipScenario scene, Settings settings, UnaryOperator<Network> bug) {
-    double most = 0;
-    int never = 0;
+  private static Sum play(
+      MembershipScenario scenario, Settings settings, UnaryOperator<Network> bug) {
+    double maxSeconds = 0;
+    int unconverged = 0;
     int falseDeaths = 0;
     List<String> broken = new ArrayList<>();
     List<MembershipScenario.Result> results =
         IntStream.rangeClosed(1, 3)
             .parallel()
-            .mapToObj(seed -> quietly(() -> scene.play(seed, MEMBERS, settings, bug)))
+            .mapToObj(seed -> playWithoutLog(() -> scenario.play(seed, MEMBERS, settings, bug)))
             .toList();
     for (MembershipScenario.Result result : results) {
-      most =
+      maxSeconds =
           Math.max(
-              most,
+              maxSeconds,
               result.convergenceSeconds.isEmpty() ? 0 : Collections.max(result.convergenceSeconds));
-      never += result.unconverged;
+      unconverged += result.unconverged;
       falseDeaths += result.falseDeaths;
       broken.addAll(result.violations);
     }
-    return new Sum(most, never, falseDeaths, broken);
+    return new Sum(maxSeconds, unconverged, falseDeaths, broken);
   }
 
-  private static MembershipScenario.Result quietly(Supplier<MembershipScenario.Result> play) {
+  private static MembershipScenario.Result playWithoutLog(
+      Supplier<MembershipScenario.Result> play) {
     Log.setThreadSink(event -> {});
     return play.get();
   }
 
-  private static Sum sound(MembershipScenario scene) {
-    return played(scene, scene.adjust(Settings.DEFAULTS), UnaryOperator.identity());
+  private static Sum sound(MembershipScenario scenario) {
+    return play(scenario, scenario.adjust(Settings.DEFAULTS), UnaryOperator.identity());
   }
 
   @ParameterizedTest
   @EnumSource
-  void viewsFollowTheTruth(MembershipScenario scene) {
-    Sum sum = sound(scene);
+  void viewsConvergeToTheGroundTruth(MembershipScenario scenario) {
+    Sum sum = sound(scenario);
     assertThat(sum.broken()).isEmpty();
-    assertThat(sum.never()).isZero();
-    if (scene != MembershipScenario.STORM) {
+    assertThat(sum.unconverged()).isZero();
+    if (scenario != MembershipScenario.STORM) {
       assertThat(sum.falseDeaths()).isZero();
     }
     double bound =
-        switch (scene) {
+        switch (scenario) {
           case CRASH -> 2.6;
           case JOIN, LEAVE, RESTART -> 1.0;
           case ALL_BUT_ONE -> 16;
           default -> 4.0;
         };
-    assertThat(sum.most()).isLessThan(bound);
+    assertThat(sum.maxSeconds()).isLessThan(bound);
   }
 
-  // ------------------------------------------------------------ planted bugs
+  // Injected bugs.
 
   @Test
-  void catchesASuspicionThatNeverEnds() {
+  void detectsASuspicionThatNeverExpires() {
     Sum sum =
-        played(
+        play(
             MembershipScenario.CRASH,
             Settings.DEFAULTS.withMinSuspicion(3_600_000_000L),
             UnaryOperator.identity());
-    assertThat(sum.never()).isPositive();
+    assertThat(sum.unconverged()).isPositive();
   }
 
   private static Update with(Update one, Incarnation incarnation, State state) {
@@ -116,9 +117,9 @@
         one.reportedBy());
   }
 
-  /** Whoever refutes says so with the incarnation that it had. */
-  private static final class RefutesInVain extends TamperedNetwork {
-    RefutesInVain(Network real) {
+  /** Refutes a suspicion without raising the incarnation. */
+  private static final class RefutesWithOldIncarnation extends TamperedNetwork {
+    RefutesWithOldIncarnation(Network real) {
       super(real, "flock");
     }
 
@@ -135,35 +136,37 @@
   }
 
   @Test
-  void catchesARefutationThatRaisesNothing() {
-    Sum sum = played(MembershipScenario.CUT, Settings.DEFAULTS, RefutesInVain::new);
-    assertThat(sum.never()).isPositive();
+  void detectsARefutationWithoutANewIncarnation() {
+    Sum sum = play(MembershipScenario.CUT, Settings.DEFAULTS, RefutesWithOldIncarnation::new);
+    assertThat(sum.unconverged()).isPositive();
   }
 
-  /** The file's addresses are of those that are gone: only who remembers the dead finds them. */
+  /**
+   * The seed addresses belong to stopped members, so only remembered dead members can be contacted.
+   */
   @Test
-  void catchesTheDeadForgottenTooSoon() {
-    assertThat(sound(MembershipScenario.CUT_WITHOUT_SEEDS).never()).isZero();
+  void detectsTombstonesRemovedTooEarly() {
+    assertThat(sound(MembershipScenario.CUT_WITHOUT_SEEDS).unconverged()).isZero();
     Sum sum =
-        played(
+        play(
             MembershipScenario.CUT_WITHOUT_SEEDS,
             Settings.DEFAULTS.withTombstoneRetention(2_000_000),
             UnaryOperator.identity());
-    assertThat(sum.never()).isPositive();
+    assertThat(sum.unconverged()).isPositive();
   }
 
   @Test
-  void catchesTheDeadThatAreNeverForgotten() {
+  void detectsTombstonesThatAreNeverRemoved() {
     assertThat(
-            played(MembershipScenario.FORGET, Settings.DEFAULTS, UnaryOperator.identity()).broken())
+            play(MembershipScenario.FORGET, Settings.DEFAULTS, UnaryOperator.identity()).broken())
         .isNotEmpty();
   }
 
-  /** What is old is told as if it were new. */
-  private static final class BelievesTheOld extends TamperedNetwork {
+  /** Treats outdated updates as new ones. */
+  private static final class AcceptsOldIncarnations extends TamperedNetwork {
     private final Map<String, Incarnation> highest = new HashMap<>();
 
-    BelievesTheOld(Network real) {
+    AcceptsOldIncarnations(Network real) {
       super(real, "flock");
     }
 
@@ -188,14 +191,15 @@
   }
 
   @Test
-  void catchesAnOldIncarnationThatIsBelieved() {
-    Sum sum = played(MembershipScenario.OLD_DATAGRAMS, Settings.DEFAULTS, BelievesTheOld::new);
+  void detectsAcceptanceOfAnOldIncarnation() {
+    Sum sum =
+        play(MembershipScenario.OLD_DATAGRAMS, Settings.DEFAULTS, AcceptsOldIncarnations::new);
     assertThat(sound(MembershipScenario.OLD_DATAGRAMS).broken()).isEmpty();
-    assertThat(sum.never() + sum.broken().size()).isPositive();
+    assertThat(sum.unconverged() + sum.broken().size()).isPositive();
   }
 
   @Test
-  void catchesNewsThatIsToldOnce() {
+  void detectsUpdatesThatAreSentOnlyOnce() {
     Settings once =
         new Settings(
             Settings.DEFAULTS.probeIntervalTicks(),
@@ -206,16 +210,17 @@
             Settings.DEFAULTS.maxLocalHealth(),
             Settings.DEFAULTS.tombstoneRetentionMicros(),
             Settings.DEFAULTS.settleMicros());
-    double sound = sound(MembershipScenario.LEAVE_IN_LOSS).most();
-    double told = played(MembershipScenario.LEAVE_IN_LOSS, once, UnaryOperator.identity()).most();
+    double sound = sound(MembershipScenario.LEAVE_IN_LOSS).maxSeconds();
+    double buggy =
+        play(MembershipScenario.LEAVE_IN_LOSS, once, UnaryOperator.identity()).maxSeconds();
     assertThat(sound).isLessThan(1.5);
-    assertThat(told).isGreaterThan(1.5);
+    assertThat(buggy).isGreaterThan(1.5);
   }
 
-  /** The own health is what makes one that hears nobody slow to blame the others. */
+  /** The local health score slows the suspicions of a member that receives nothing. */
   @Test
-  void catchesTheOwnHealthIgnored() {
-    Settings proud =
+  void detectsThatLocalHealthIsIgnored() {
+    Settings withoutLocalHealth =
         new Settings(
             Settings.DEFAULTS.probeIntervalTicks(),
             Settings.DEFAULTS.minProbeTimeoutMicros(),
@@ -225,41 +230,46 @@
             0,
             Settings.DEFAULTS.tombstoneRetentionMicros(),
             Settings.DEFAULTS.settleMicros());
-    int humble = 0;
-    int blames = 0;
+    int suspicionsWithHealth = 0;
+    int suspicionsWithoutHealth = 0;
     for (int seed = 1; seed <= 3; seed++) {
-      humble +=
+      suspicionsWithHealth +=
           MembershipScenario.DEAF.play(seed, MEMBERS, Settings.DEFAULTS, UnaryOperator.identity())
               .suspicions;
-      blames +=
-          MembershipScenario.DEAF.play(seed, MEMBERS, proud, UnaryOperator.identity()).suspicions;
+      suspicionsWithoutHealth +=
+          MembershipScenario.DEAF.play(seed, MEMBERS, withoutLocalHealth, UnaryOperator.identity())
+              .suspicions;
     }
-    assertThat(humble * 3).as("of %d without", blames).isLessThan(blames * 2);
+    assertThat(suspicionsWithHealth * 3)
+        .as("of %d without", suspicionsWithoutHealth)
+        .isLessThan(suspicionsWithoutHealth * 2);
   }
 
-  /** Two processes share a name by mistake: one is the member, the other knows that it is none. */
+  /**
+   * Two processes share a name by mistake: one is the member, the other must detect the conflict.
+   */
   @Test
-  void oneOfTwoOfTheSameNameGivesWayAndNobodyFlaps() {
+  void oneOfTwoMembersWithTheSameNameYieldsWithoutFlapping() {
     int[] warnings = new int[2];
-    SimulatedCluster flock =
+    SimulatedCluster cluster =
         new SimulatedCluster(1, MEMBERS + 1, Settings.DEFAULTS, UnaryOperator.identity());
     for (int i = 0; i < MEMBERS; i++) {
-      flock.add();
+      cluster.add();
     }
-    flock.seeds(flock.members().get(0));
-    flock.members().forEach(SimulatedCluster.SimulatedMember::start);
-    flock.run(6_000_000);
-    SimulatedCluster.SimulatedMember one = flock.members().get(5);
-    SimulatedCluster.SimulatedMember twin = flock.addDuplicate(one);
+    cluster.seeds(cluster.members().get(0));
+    cluster.members().forEach(SimulatedCluster.SimulatedMember::start);
+    cluster.run(6_000_000);
+    SimulatedCluster.SimulatedMember one = cluster.members().get(5);
+    SimulatedCluster.SimulatedMember duplicate = cluster.addDuplicate(one);
     Log.setThreadSink(
         event -> {
           if (event.name().equals("name-taken")) {
-            warnings[flock.fabric().runningProgram().machine() == one.machine ? 0 : 1]++;
+            warnings[cluster.fabric().runningProgram().machine() == one.machine ? 0 : 1]++;
           }
         });
     int[] changes = {0};
-    twin.start();
-    flock
+    duplicate.start();
+    cluster
         .members()
         .get(2)
         .fleet()
@@ -269,12 +279,12 @@
                 changes[0]++;
               }
             });
-    flock.run(120_000_000);
+    cluster.run(120_000_000);
     boolean first = one.fleet().view().displaced();
-    assertThat(first).isNotEqualTo(twin.fleet().view().displaced());
-    SimulatedCluster.SimulatedMember member = first ? twin : one;
-    for (SimulatedCluster.SimulatedMember other : flock.members()) {
-      if (other != one && other != twin) {
+    assertThat(first).isNotEqualTo(duplicate.fleet().view().displaced());
+    SimulatedCluster.SimulatedMember member = first ? duplicate : one;
+    for (SimulatedCluster.SimulatedMember other : cluster.members()) {
+      if (other != one && other != duplicate) {
         assertThat(other.fleet().view().members())
             .filteredOn(seen -> seen.name().equals(one.name))
             .allMatch(seen -> seen.state() == State.ALIVE)
@@ -287,9 +297,9 @@
   }
 
   @Test
-  void catchesAGoodbyeThatIsTakenForADeath() {
+  void detectsALeaveMessageTreatedAsADeath() {
     Sum sum =
-        played(
+        play(
             MembershipScenario.LEAVE,
             Settings.DEFAULTS,
             real ->
--- a/src/test/java/brassbank/sim/members/TamperedLeaseNetwork.java
+++ b/src/test/java/brassbank/sim/members/TamperedLeaseNetwork.java
@@ -7,7 +7,10 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** A network on which what is said of seats is spoiled; everything else is as it was. */
+/**
+ * Decorates a network so that tests can alter its rank lease messages; other traffic passes
+ * unchanged.
+ */
 public class TamperedLeaseNetwork extends TamperedNetwork {
   private final Network real;
   private final LeaseCodec codec;
@@ -18,44 +21,45 @@
     codec = new LeaseCodec(fleet);
   }
 
-  /** What goes out in place of a message; null for nothing. */
+  /** Returns the message to send in place of an outgoing one, or null to drop it. */
   protected LeaseMessage tamperOutgoingLease(LeaseMessage message) {
     return message;
   }
 
-  /** What comes in in place of a message; null for nothing. */
+  /** Returns the message to deliver in place of an incoming one, or null to drop it. */
   protected LeaseMessage tamperIncomingLease(LeaseMessage message) {
     return message;
   }
 
-  /** What comes back from the one whom a message was sent to, who knows nothing of it; or null. */
+  /** Returns a forged reply in the name of the recipient of a sent message, or null for none. */
   protected LeaseMessage forgeReplies(InetSocketAddress to, LeaseMessage sent) {
     return null;
   }
 
   @Override
-  public Datagrams datagrams(InetSocketAddress address, DatagramHandler heard) throws IOException {
+  public Datagrams datagrams(InetSocketAddress address, DatagramHandler handler)
+      throws IOException {
     Datagrams socket =
         real.datagrams(
             address,
             (from, bytes) -> {
-              byte[] spoiled =
+              byte[] tampered =
                   LeaseCodec.hasMagic(bytes) ? write(tamperIncomingLease(read(bytes))) : bytes;
-              if (spoiled != null) {
-                heard.received(from, spoiled);
+              if (tampered != null) {
+                handler.received(from, tampered);
               }
             });
     return new Datagrams() {
       @Override
       public void send(InetSocketAddress to, byte[] bytes) {
-        byte[] spoiled =
+        byte[] tampered =
             LeaseCodec.hasMagic(bytes) ? write(tamperOutgoingLease(read(bytes))) : bytes;
-        if (spoiled != null) {
-          socket.send(to, spoiled);
+        if (tampered != null) {
+          socket.send(to, tampered);
         }
         LeaseMessage forged = LeaseCodec.hasMagic(bytes) ? forgeReplies(to, read(bytes)) : null;
         if (forged != null) {
-          real.execute(() -> heard.received(to, write(forged)));
+          real.execute(() -> handler.received(to, write(forged)));
         }
       }
 
--- a/src/test/java/brassbank/sim/members/TamperedNetwork.java
+++ b/src/test/java/brassbank/sim/members/TamperedNetwork.java
@@ -17,7 +17,10 @@
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 
-/** A network whose datagrams are read and spoiled on their way; everything else is as it was. */
+/**
+ * Decorates a network so that tests can alter its membership datagrams; other traffic passes
+ * unchanged.
+ */
 public class TamperedNetwork implements Network {
   private final Network real;
   private final Codec codec;
@@ -28,38 +31,38 @@
     codec = new Codec(fleet);
   }
 
-  /** What goes out in place of a message. */
+  /** Returns the messages to send in place of an outgoing message. */
   protected List<Message> tamperOutgoing(InetSocketAddress to, Message message) {
     return List.of(message);
   }
 
-  /** What comes in in place of a message. */
+  /** Returns the messages to deliver in place of an incoming message. */
   protected List<Message> tamperIncoming(Message message) {
     return List.of(message);
   }
 
-  /** Another ACK than the one that never came. */
+  /** Returns forged replies to a sent message, to be delivered to its sender. */
   protected List<Message> forgeReplies(Message sent) {
     return List.of();
   }
 
-  /** The message with no more than these things told in it. */
-  public static Message keepUpdates(Message message, Predicate<Update> kept) {
+  /** Returns the message with only the updates that match. */
+  public static Message keepUpdates(Message message, Predicate<Update> filter) {
     return new Message(
         message.kind(),
         message.sequence(),
         message.sender(),
         message.digest(),
         message.target(),
-        message.updates().stream().filter(kept).toList());
+        message.updates().stream().filter(filter).toList());
   }
 
-  /** What this one of a name has said last of itself; null where nothing came. */
+  /** Returns the last update that the member sent about itself, or null if none was received. */
   protected Update lastSelfUpdate(String name) {
     return senders.get(name);
   }
 
-  /** The message with each thing told in it replaced, its sender's own word among them. */
+  /** Returns the message with each update replaced, including that of the sender about itself. */
   static Message mapUpdates(Message message, UnaryOperator<Update> change) {
     return new Message(
         message.kind(),
@@ -71,21 +74,22 @@
   }
 
   @Override
-  public Datagrams datagrams(InetSocketAddress address, DatagramHandler heard) throws IOException {
+  public Datagrams datagrams(InetSocketAddress address, DatagramHandler handler)
+      throws IOException {
     Datagrams socket =
         real.datagrams(
             address,
             (from, bytes) -> {
               Message message = read(bytes);
               senders.put(message.sender().name(), message.sender());
-              tamperIncoming(message).forEach(one -> heard.received(from, write(one)));
+              tamperIncoming(message).forEach(one -> handler.received(from, write(one)));
             });
     return new Datagrams() {
       @Override
       public void send(InetSocketAddress to, byte[] bytes) {
         Message message = read(bytes);
         tamperOutgoing(to, message).forEach(one -> socket.send(to, write(one)));
-        forgeReplies(message).forEach(one -> real.execute(() -> heard.received(to, write(one))));
+        forgeReplies(message).forEach(one -> real.execute(() -> handler.received(to, write(one))));
       }
 
       @Override
