--- a/src/main/java/brassbank/sim/MutualReachability.java
+++ b/src/main/java/brassbank/sim/MutualReachability.java
@@ -7,11 +7,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Since when which members have run and could hear each other; looked at with the rules. */
+/**
+ * Records since when pairs of members have run and could reach each other, directly or through a
+ * third. Updated together with the rules' ticks.
+ */
 final class MutualReachability {
-  /** What membership promises to bear: a tenth is lost, and all is late by so much, one way. */
+  /** The loss that membership has to tolerate, as a share of the datagrams. */
   private static final double MAX_LOSS = 0.1;
 
+  /** The one-way delay that membership has to tolerate. */
   private static final long MAX_DELAY_MICROS = 300_000;
 
   private final Fabric fabric;
@@ -23,31 +27,32 @@
     this.proxies = proxies;
   }
 
+  /** Updates the record for the current time, in microseconds of the run. */
   void update(long now) {
     List<ProxyInstance> all = new ArrayList<>(proxies.values());
     boolean[] runs = new boolean[all.size()];
-    boolean[][] hear = new boolean[all.size()][all.size()];
+    boolean[][] reaches = new boolean[all.size()][all.size()];
     for (int i = 0; i < all.size(); i++) {
       runs[i] = all.get(i).isMember() && all.get(i).pausedUntil() <= now;
     }
     for (int i = 0; i < all.size(); i++) {
       for (int j = 0; j < i; j++) {
-        hear[i][j] =
+        reaches[i][j] =
             runs[i]
                 && runs[j]
                 && fabric.hear(
                     all.get(i).machine(), all.get(j).machine(), MAX_LOSS, MAX_DELAY_MICROS);
-        hear[j][i] = hear[i][j];
+        reaches[j][i] = reaches[i][j];
       }
     }
     for (int i = 0; i < all.size(); i++) {
       for (int j = 0; j < i; j++) {
-        boolean joined = hear[i][j];
-        for (int k = 0; k < all.size() && !joined && runs[i] && runs[j]; k++) {
-          joined = hear[i][k] && hear[k][j];
+        boolean reachable = reaches[i][j];
+        for (int k = 0; k < all.size() && !reachable && runs[i] && runs[j]; k++) {
+          reachable = reaches[i][k] && reaches[k][j];
         }
         String key = key(all.get(i).name(), all.get(j).name());
-        if (joined) {
+        if (reachable) {
           since.putIfAbsent(key, now);
         } else {
           since.remove(key);
@@ -56,6 +61,9 @@
     }
   }
 
+  /**
+   * Returns since when two members could reach each other, {@link Long#MAX_VALUE} if they cannot.
+   */
   long since(String one, String other) {
     return since.getOrDefault(key(one, other), Long.MAX_VALUE);
   }
--- a/src/main/java/brassbank/sim/ScenarioRun.java
+++ b/src/main/java/brassbank/sim/ScenarioRun.java
@@ -31,10 +31,9 @@
 import java.util.TreeSet;
 
 /**
- * A plan set on stage: the site with all its actors, the faults, the clients and the rules, on an
- * agenda that somebody else turns. Whose proxies they are, and by which clock the agenda goes, is
- * not known here: {@link SimulationRun} has the program in virtual time, the fleet lab real
- * processes.
+ * One scenario of a simulation: a plan's site with all its actors, the faults, the clients and the
+ * rules, on an agenda that the caller runs. {@link SimulationRun} supplies the program's proxies
+ * and virtual time, the fleet lab real processes and the wall clock.
  */
 public final class ScenarioRun {
   private static final long MILLI = Agenda.MILLI;
@@ -44,34 +43,38 @@
   private static final Fabric.Buffers BUFFERS =
       new Fabric.Buffers(64 * 1024, 64 * 1024, 100_000_000);
 
-  /** Clients come from here on. */
+  /** When the first client arrives. */
   private static final long FIRST_CLIENT = SECOND;
 
-  /** Numbers of extra clients begin here, so that bursts do not shift the usual ones. */
+  /**
+   * The number of the first extra client. Extra clients have numbers of their own, so that bursts
+   * do not change the regular clients.
+   */
   private static final int FIRST_EXTRA_CLIENT = 100_000;
 
   private static final int MAX_ATTEMPTS = 4;
 
-  /** Share of all groups that a host holds connections of, by and large. */
+  /** Approximate share of all groups that have connections on a host. */
   private static final double GROUP_SHARE_PER_HOST = 0.4;
 
-  /** A host that is asked for less of what it can do has room for more. */
+  /** Below this utilization a host has capacity for more connections. */
   private static final double MAX_UTILIZATION = 0.5;
 
-  /** Makes the site's proxies. */
+  /** Creates the site's proxies. */
   public interface ProxyFactory {
-    /** The proxy of this name, rank and machine; it is not started yet. */
+    /** Creates the proxy of this name, rank and machine without starting it. */
     ProxyInstance create(World world, String name, int rank, Machine machine);
   }
 
   /**
-   * What is the stage's own and not the plan's.
+   * Properties of a run that do not follow from its plan.
    *
-   * @param epochMillis Unix time at the beginning
-   * @param slack what each time limit of the rules is extended by, in microseconds
+   * @param addresses the addresses under which proxies reach machines
+   * @param epochMillis the Unix time at which the run begins
+   * @param slack by how much the rules extend each time limit, in microseconds
    */
   public record Environment(AddressMapping addresses, long epochMillis, long slack) {
-    /** In virtual time. */
+    /** The environment of runs in virtual time. */
     static final Environment VIRTUAL =
         new Environment(AddressMapping.OWN, World.EPOCH_MILLIS, GroundTruth.SOCKET_SLACK_MICROS);
   }
@@ -86,25 +89,27 @@
   private final List<Program> clientPrograms = new ArrayList<>();
   private final Checks checks;
 
-  /** Null where the proxies keep no view. */
+  /** Null where the proxies keep no membership view. */
   private final MutualReachability reachability;
 
   private final Stage stage;
   private final ServiceStatistics service = new ServiceStatistics();
   private int nextExtraClient = FIRST_EXTRA_CLIENT;
 
-  public ScenarioRun(Plan plan, Environment house, ProxyFactory cast) {
-    this(plan, house, cast, site(plan));
+  public ScenarioRun(Plan plan, Environment environment, ProxyFactory factory) {
+    this(plan, environment, factory, site(plan));
   }
 
-  /** As above, with another deployment than the plan's own. */
-  ScenarioRun(Plan plan, Environment house, ProxyFactory cast, Site site) {
+  /** Creates a run with another deployment than the plan's own. */
+  ScenarioRun(Plan plan, Environment environment, ProxyFactory factory, Site site) {
     this.plan = plan;
-    this.environment = house;
+    this.environment = environment;
     draws = new RandomStreams(plan.seed());
     Fabric fabric = new Fabric(agenda, draws, LATENCY, BUFFERS);
-    world = new World(agenda, draws, fabric, trace, site, house.addresses(), house.epochMillis());
-    build(site, cast);
+    world =
+        new World(
+            agenda, draws, fabric, trace, site, environment.addresses(), environment.epochMillis());
+    build(site, factory);
     Checks.RuleParameters figures =
         new Checks.RuleParameters(
             site.answerSlack(),
@@ -132,7 +137,7 @@
     stage = new Stage(world, proxies, new ClientSource());
   }
 
-  /** The figures of a plan's deployment. */
+  /** Returns the figures of a plan's deployment. */
   public static Site site(Plan plan) {
     return Site.standard(plan.proxies(), plan.hosts(), plan.rate(), plan.sockets());
   }
@@ -150,9 +155,9 @@
   }
 
   private double demandShare(Site site) {
-    double can = world.hosts().values().stream().mapToDouble(StreamHost::capacity).sum();
+    double capacity = world.hosts().values().stream().mapToDouble(StreamHost::capacity).sum();
     double groups = site.groupCost() * site.groups() * site.hosts() * GROUP_SHARE_PER_HOST;
-    return (site.rate() * Client.meanLoadSeconds(site) + groups) / can;
+    return (site.rate() * Client.meanLoadSeconds(site) + groups) / capacity;
   }
 
   public Plan plan() {
@@ -167,7 +172,7 @@
     return world;
   }
 
-  /** The zones of hosts and proxies, by their names. */
+  /** Returns the zones of hosts and proxies, by their names. */
   public Map<String, String> zones() {
     Map<String, String> zones = new LinkedHashMap<>();
     world.hosts().forEach((name, host) -> zones.put(name, host.machine().zone()));
@@ -175,7 +180,7 @@
     return zones;
   }
 
-  /** To be listened to before {@link #begin}. */
+  /** Returns the trace. Listeners must be added before {@link #begin}. */
   public Trace trace() {
     return trace;
   }
@@ -188,12 +193,12 @@
     return service;
   }
 
-  /** When the last thing of the plan happens, in microseconds. */
+  /** Returns when the plan ends, in microseconds of the run. */
   public long end() {
     return plan.seconds() * SECOND;
   }
 
-  /** Starts everybody and enters all that is to happen. */
+  /** Starts all actors, and schedules the clients and the faults. */
   public void begin() {
     world.hosts().values().forEach(host -> host.start(true));
     world.discovery().start();
@@ -206,7 +211,7 @@
     onTick();
   }
 
-  private void build(Site site, ProxyFactory cast) {
+  private void build(Site site, ProxyFactory factory) {
     RandomStreams.Stream models = draws.of("models");
     List<String> zones = site.zones();
     double[] shares = site.kinds().stream().mapToDouble(Site.HostKind::share).toArray();
@@ -226,7 +231,7 @@
     for (int i = 0; i < site.proxies(); i++) {
       String name = "n" + i;
       Machine machine = world.machine(name, zones.get(i % zones.size()), 0, i + 1);
-      proxies.put(name, cast.create(world, name, i, machine));
+      proxies.put(name, factory.create(world, name, i, machine));
     }
     for (int i = 0; i < zones.size(); i++) {
       Machine machine = world.machine("clients-" + zones.get(i), zones.get(i), 4, i + 1);
@@ -257,7 +262,10 @@
         });
   }
 
-  /** The usual clients, each by its number, whoever of them comes. */
+  /**
+   * Schedules the plan's regular clients. The numbers of all clients are drawn, including those
+   * that the plan leaves out, so that the others do not change.
+   */
   private void scheduleClients() {
     RandomStreams.Stream stream = draws.of("arrivals");
     double at = FIRST_CLIENT;
@@ -274,7 +282,7 @@
     agenda.at(at, () -> new Client(world, home.machine(), home, number).start());
   }
 
-  /** Clients that faults bring. */
+  /** Clients that faults add. */
   private final class ClientSource implements Stage.Crowd {
     @Override
     public void more(double rate, long millis) {
@@ -301,7 +309,7 @@
     }
   }
 
-  /** What the rules may know and the proxies do not. */
+  /** Facts about the run that the rules may use and the proxies do not know. */
   private final class SimulationTruth implements GroundTruth {
     @Override
     public long slack() {
@@ -376,15 +384,15 @@
 
     @Override
     public double fleetLoad() {
-      double asked = 0;
-      double can = 0;
+      double load = 0;
+      double capacity = 0;
       for (StreamHost host : world.hosts().values()) {
         if (host.isServing()) {
-          asked += host.utilization() * host.currentCapacity();
-          can += host.currentCapacity();
+          load += host.utilization() * host.currentCapacity();
+          capacity += host.currentCapacity();
         }
       }
-      return can == 0 ? 1 : asked / can;
+      return capacity == 0 ? 1 : load / capacity;
     }
 
     @Override
--- a/src/main/java/brassbank/sim/ServiceStatistics.java
+++ b/src/main/java/brassbank/sim/ServiceStatistics.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * What the usual clients had of a run: which share of the seconds that they wanted was served, how
- * long they waited, how often they were moved. No rule depends on it.
+ * Statistics of the service that regular clients received in a run: the share of the requested
+ * seconds that was served, how long clients waited, and how often they were moved. No rule depends
+ * on it.
  */
 public final class ServiceStatistics implements Trace.Listener {
   private final Map<String, Long> waitingSince = new LinkedHashMap<>();
@@ -28,15 +29,15 @@
     if (event instanceof Event.ClientCame came) {
       waitingSince.put(came.client(), now);
       reconnects += came.again() ? 1 : 0;
-    } else if (event instanceof Event.ClientServed came) {
-      long wait = now - waitingSince.remove(came.client());
+    } else if (event instanceof Event.ClientServed client) {
+      long wait = now - waitingSince.remove(client.client());
       waits.add(wait);
       waited += wait;
-      servedSince.put(came.client(), now);
+      servedSince.put(client.client(), now);
     } else if (event instanceof Event.ClientOver over) {
       Long since = servedSince.remove(over.client());
       if (since == null) {
-        // It has left before it was answered, of its own will.
+        // The client closed its connection before it was answered.
         waitingSince.remove(over.client());
         return;
       }
@@ -49,18 +50,18 @@
     }
   }
 
-  /** Counts those who still stand or wait. */
+  /** Adds the time of clients that are still served or still wait at the end of the run. */
   public void finish(long now) {
     servedSince.values().forEach(since -> served += now - since);
     waitingSince.values().forEach(since -> waited += now - since);
   }
 
-  /** Clients that were not served, after all their tries. */
+  /** Returns the number of clients that were not served in any of their tries. */
   public int unservedClients() {
     return unservedClients;
   }
 
-  /** Share of the wanted seconds that was served. */
+  /** Returns the share of the requested seconds that was served. */
   public double servedShare() {
     long all = served + waited + lost;
     return all == 0 ? 1 : served / (double) all;
@@ -73,7 +74,7 @@
         : sorted.get((int) Math.min(sorted.size() - 1.0, quantile * sorted.size())) / 1e3;
   }
 
-  /** One line for people. */
+  /** Returns a one-line summary. */
   public String summary() {
     return String.format(
         Locale.ROOT,
--- a/src/main/java/brassbank/sim/Shrinker.java
+++ b/src/main/java/brassbank/sim/Shrinker.java
@@ -9,20 +9,22 @@
 import java.util.function.Function;
 
 /**
- * Takes away faults and clients of a plan for as long as the same rule is still broken: first whole
- * halves, then smaller parts ("delta debugging", Zeller and Hildebrandt, IEEE TSE 28(2), 2002).
- * Since every fault and client draws from a stream of its own, what is left does as before.
+ * Reduces a plan that breaks a rule: removes faults and clients for as long as the same rule is
+ * still broken, first whole halves, then smaller parts ("delta debugging", Zeller and Hildebrandt,
+ * IEEE TSE 28(2), 2002). Since every fault and client draws from a random stream of its own, those
+ * that remain behave as before.
  */
 public final class Shrinker {
-  /** Runs of one shrinking, at most. */
+  /** Maximum number of runs for one plan. */
   private static final int MAX_RUNS = 2_000;
 
-  /** Who is told how far it has come. */
+  /** Receives the progress of a reduction. */
   public interface Progress {
+    /** Reports the faults and clients that remain after this many runs. */
     void onProgress(int faults, int clients, int runs);
   }
 
-  /** The smallest plan that was found, and what it breaks. */
+  /** The smallest plan found, and the breach that it causes. */
   public record Shrunk(Plan plan, Breach breach, int runs) {}
 
   private final Function<Plan, SimulationRun.Result> runner;
@@ -37,9 +39,9 @@
   }
 
   /**
-   * Shrinks a plan.
+   * Reduces a plan.
    *
-   * @param runner runs a plan; the same one each time in the same way
+   * @param runner runs a plan, each time in the same way
    * @return null where the plan breaks no rule
    */
   public static Shrunk shrink(
@@ -66,11 +68,14 @@
   }
 
   private static List<Integer> clientsOf(Plan plan) {
-    // More than ever come: those beyond the end of the run make no difference.
+    // An upper bound of the clients that arrive; those after the end of the run have no effect.
     return plan.clients().below((int) (2 * plan.rate() * plan.seconds()) + 20);
   }
 
-  /** Most breaches come long before the end, and a run that holds is run to its end. */
+  /**
+   * Ends the plan just after the breach: most breaches occur long before the end, and a run that
+   * breaks no rule continues to its end.
+   */
   private void shorten() {
     int end = (int) (breach.atMicros() / 1_000_000) + 1;
     if (end < best.seconds()) {
@@ -79,8 +84,8 @@
   }
 
   private void reduceFaults() {
-    List<Fault> left = best.faults();
-    new DeltaDebugger<Fault>(left) {
+    List<Fault> faults = best.faults();
+    new DeltaDebugger<Fault>(faults) {
       @Override
       boolean breaksWith(List<Fault> some) {
         return reproduces(best.with(some));
@@ -97,7 +102,7 @@
     }.reduce();
   }
 
-  /** Whether this smaller plan breaks the same rule; then it is the best one. */
+  /** Returns whether a smaller plan breaks the same rule; if so, it becomes the best one. */
   private boolean reproduces(Plan smaller) {
     if (runs >= MAX_RUNS) {
       return false;
@@ -114,7 +119,7 @@
     return false;
   }
 
-  /** The search: leaves parts out, the larger ones first. */
+  /** The search: leaves out parts of a list, the larger parts first. */
   private abstract static class DeltaDebugger<T> {
     private List<T> remaining;
 
@@ -122,7 +127,7 @@
       remaining = all;
     }
 
-    /** Whether it still breaks with only these. */
+    /** Returns whether the rule is still broken with only these elements. */
     abstract boolean breaksWith(List<T> some);
 
     void reduce() {
--- a/src/main/java/brassbank/sim/SimulatedMembership.java
+++ b/src/main/java/brassbank/sim/SimulatedMembership.java
@@ -10,14 +10,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How the proxies of a run in virtual time meet: at the addresses of the first of them. */
+/**
+ * Membership settings of the proxies of a run in virtual time: they join by the addresses of the
+ * first two proxies.
+ */
 final class SimulatedMembership {
   private static final int PORT = 7_070;
   private static final int SEEDS = 2;
 
   private SimulatedMembership() {}
 
-  /** The first proxies' machines are 10.0.0.1 and so on ({@code World.machine}). */
+  /**
+   * Returns the settings for a plan. The first proxies' machines are 10.0.0.1 and 10.0.0.2 ({@code
+   * World.machine}).
+   */
   static MembershipConfig configFor(Plan plan) {
     List<InetSocketAddress> seeds = new ArrayList<>();
     for (int i = 1; i <= SEEDS; i++) {
@@ -28,9 +34,9 @@
         throw new IllegalStateException("four bytes are an address", e);
       }
     }
-    MembershipConfig joining =
+    MembershipConfig config =
         new MembershipConfig("simulated", null, null, seeds, Settings.DEFAULTS);
-    joining = plan.shares() ? joining.withBaseShare(LeaseSettings.DEFAULT_BASE_SHARE) : joining;
-    return plan.subsets() ? joining.withMinProxiesPerHost(plan.askers()) : joining;
+    config = plan.shares() ? config.withBaseShare(LeaseSettings.DEFAULT_BASE_SHARE) : config;
+    return plan.subsets() ? config.withMinProxiesPerHost(plan.askers()) : config;
   }
 }
--- a/src/main/java/brassbank/sim/SimulationRun.java
+++ b/src/main/java/brassbank/sim/SimulationRun.java
@@ -19,12 +19,15 @@
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 
-/** One run of a plan: the world is built, everybody starts, and time goes by under all checks. */
+/**
+ * One run of a plan in virtual time: builds the environment, starts all actors, and advances the
+ * time while all rules are checked.
+ */
 public final class SimulationRun {
-  /** More steps than this at one moment are a loop that never ends. */
+  /** More steps than this at one virtual time are taken for an endless loop. */
   private static final long MAX_STEPS_AT_ONE_TIME = 1_000_000;
 
-  /** What came of a run. */
+  /** The result of a run. */
   public record Result(
       Plan plan,
       List<Breach> breaches,
@@ -32,7 +35,7 @@
       long steps,
       long fingerprint,
       ServiceStatistics service) {
-    /** Virtual seconds that it lasted, rounded up. */
+    /** Returns the virtual seconds that the run lasted, rounded up. */
     public long endedAtSecond() {
       return (endedAt + Agenda.SECOND - 1) / Agenda.SECOND;
     }
@@ -47,41 +50,51 @@
   private boolean logs;
 
   /**
-   * @param wrapping put round the network of each proxy; the identity but where a test plants a bug
+   * Creates a run.
+   *
+   * @param wrapping wraps the network of each proxy; the identity except where a test plants a bug
    */
   public SimulationRun(Plan plan, UnaryOperator<Network> wrapping) {
     this(plan, wrapping, UnaryOperator.identity());
   }
 
   /**
-   * @param told the site as the proxies are told of it; as it is but where a test plants a fault
+   * Creates a run.
+   *
+   * @param configured maps the site to the one that proxies are configured for; the identity except
+   *     where a test plants a fault
    */
-  public SimulationRun(Plan plan, UnaryOperator<Network> wrapping, UnaryOperator<Site> told) {
-    this(plan, wrapping, told, UnaryOperator.identity());
+  public SimulationRun(Plan plan, UnaryOperator<Network> wrapping, UnaryOperator<Site> configured) {
+    this(plan, wrapping, configured, UnaryOperator.identity());
   }
 
   /**
-   * @param joins how proxies become members, where they do; as it is but where a test plants a file
+   * Creates a run.
+   *
+   * @param joins maps the membership settings of each proxy; the identity except where a test
+   *     plants a settings file
    */
   SimulationRun(
       Plan plan,
       UnaryOperator<Network> wrapping,
-      UnaryOperator<Site> told,
+      UnaryOperator<Site> configured,
       UnaryOperator<MembershipConfig> joins) {
-    this(plan, wrapping, told, joins, ScenarioRun.site(plan));
+    this(plan, wrapping, configured, joins, ScenarioRun.site(plan));
   }
 
   /**
-   * @param stated the deployment, where it is another than the plan's own
+   * Creates a run.
+   *
+   * @param stated the deployment, where it differs from the plan's own
    */
   SimulationRun(
       Plan plan,
       UnaryOperator<Network> wrapping,
-      UnaryOperator<Site> told,
+      UnaryOperator<Site> configured,
       UnaryOperator<MembershipConfig> joins,
       Site stated) {
     this.plan = plan;
-    Site site = told.apply(stated);
+    Site site = configured.apply(stated);
     boolean upgraded =
         plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
     scenario =
@@ -101,36 +114,36 @@
             stated);
   }
 
-  /** To be called before {@link #execute}, by whoever wants to see the events. */
+  /** Returns the trace. Listeners must be added before {@link #execute}. */
   public Trace trace() {
     return scenario.trace();
   }
 
-  /** What each host can hold once it is warm, by its name, in sessions of mean load. */
+  /** Returns the warm capacity of each host in sessions of mean load, by the host's name. */
   public Map<String, Double> capacities() {
     Map<String, Double> capacities = new TreeMap<>();
     scenario.world().hosts().forEach((name, host) -> capacities.put(name, host.capacity()));
     return capacities;
   }
 
-  /** The zones of hosts and proxies, by their names. */
+  /** Returns the zones of hosts and proxies, by their names. */
   public Map<String, String> zones() {
     return scenario.zones();
   }
 
-  /** Puts what the proxies log into the trace. */
+  /** Includes what the proxies log in the trace. */
   public void includeLogs() {
     logs = true;
   }
 
-  /** Runs it to its end, or to the first breach. Nothing of it leaves the calling thread. */
+  /** Runs the plan to its end, or to the first breach, on the calling thread. */
   public Result execute() {
     return execute(breach -> true);
   }
 
   /**
-   * As {@link #execute()}, but only a breach that {@code ends} says so of ends the run: a test of
-   * one rule goes on past those that the same bug breaks before.
+   * Runs the plan to its end, or to the first breach that {@code ends} accepts: the test of one
+   * rule has to continue past rules that the same bug breaks earlier.
    */
   Result execute(Predicate<Breach> ends) {
     Log.setThreadSink(this::onLogEvent);
@@ -144,14 +157,14 @@
   private Result run(Predicate<Breach> ends) {
     Agenda agenda = scenario.agenda();
     scenario.begin();
-    long moment = 0;
-    long atOnce = 0;
+    long lastTime = 0;
+    long stepsAtOneTime = 0;
     List<Breach> breaches = scenario.checks().breaches();
     while (breaches.stream().noneMatch(ends) && agenda.step(scenario.end())) {
-      atOnce = agenda.now() == moment ? atOnce + 1 : 0;
-      moment = agenda.now();
-      if (atOnce > MAX_STEPS_AT_ONE_TIME) {
-        breaches.add(new Breach("time goes on", moment, "a loop that never ends"));
+      stepsAtOneTime = agenda.now() == lastTime ? stepsAtOneTime + 1 : 0;
+      lastTime = agenda.now();
+      if (stepsAtOneTime > MAX_STEPS_AT_ONE_TIME) {
+        breaches.add(new Breach("time goes on", lastTime, "a loop that never ends"));
       }
     }
     if (breaches.isEmpty()) {
@@ -167,7 +180,10 @@
         scenario.service());
   }
 
-  /** What a proxy logs: a failure is a rule's business, all else the trace's. */
+  /**
+   * Publishes what a proxy logs: errors always, since a rule covers them, and the rest if logs are
+   * included.
+   */
   private void onLogEvent(brassbank.log.Event event) {
     String proxy = scenario.world().fabric().running().name();
     if (event.level() == Level.ERROR) {
--- a/src/main/java/brassbank/sim/actor/AddressMapping.java
+++ b/src/main/java/brassbank/sim/actor/AddressMapping.java
@@ -2,11 +2,14 @@
 
 import brassbank.sim.net.Machine;
 
-/** Under which address a proxy meets a machine: the protocol lets it vary between proxies. */
+/**
+ * Maps a machine to the address under which a proxy reaches it, which the protocol allows to differ
+ * between proxies.
+ */
 public interface AddressMapping {
-  /** Everybody meets it under its own. */
+  /** Every proxy reaches a machine under the machine's own address. */
   AddressMapping OWN = (proxy, machine, port) -> machine.address().getHostAddress() + ":" + port;
 
-  /** {@code address:port}, as the proxy of this name is told it. */
+  /** Returns {@code address:port} as discovery reports it to the proxy of this name. */
   String addressOf(String proxy, Machine machine, int port);
 }
--- a/src/main/java/brassbank/sim/actor/BadClient.java
+++ b/src/main/java/brassbank/sim/actor/BadClient.java
@@ -13,13 +13,13 @@
 import java.util.Locale;
 
 /**
- * A client that does not keep to the protocol. It sends at full speed and reads whatever is sent to
- * it; it is owed an error or an end in time, and must not be served.
+ * A client that violates the protocol. It sends at full speed and reads all that it is sent; the
+ * proxy must answer it with an error or close the connection in time, and must not serve it.
  */
 public final class BadClient implements Program.Connected, LineConnection.Listener {
   private static final int CHUNK_BYTES = 64 * 1024;
 
-  /** What it does. */
+  /** The way in which a bad client violates the protocol. */
   public enum Kind {
     GARBAGE("send bytes that cannot be read"),
     ENDLESS("send a line that never ends"),
@@ -39,7 +39,7 @@
       this.about = about;
     }
 
-    /** What it does, for those who write scripts. */
+    /** Returns a description for authors of scripts. */
     public String about() {
       return about;
     }
@@ -72,6 +72,7 @@
     this.remainingRounds = kind == Kind.AGAIN ? 30 : 1;
   }
 
+  /** Connects, unless all repetitions are done or no proxy is admitted. */
   public void start() {
     InetSocketAddress address = world.loadBalancer().pick(machine.zone(), stream);
     if (address != null && remainingRounds > 0) {
@@ -82,7 +83,7 @@
 
   @Override
   public void failed(IOException cause) {
-    // The proxy is not there: no one is to blame.
+    // The proxy is not reachable, which breaks no rule.
   }
 
   @Override
@@ -148,7 +149,7 @@
         }
       }
       default -> {
-        // Nothing is said.
+        // The client sends nothing.
       }
     }
   }
@@ -157,18 +158,18 @@
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** So many bytes without an end of line, as fast as they are taken. */
+  /** Sends {@code count} bytes without an end of line, as fast as the peer accepts them. */
   private void sendUnterminated(int count) {
     remainingBytes = count;
     sendChunk();
   }
 
   private void sendChunk() {
-    byte[] some = new byte[CHUNK_BYTES];
-    Arrays.fill(some, (byte) 'x');
+    byte[] chunk = new byte[CHUNK_BYTES];
+    Arrays.fill(chunk, (byte) 'x');
     while (remainingBytes > 0 && lines.unwritten() < CHUNK_BYTES && !lines.isClosed()) {
       remainingBytes -= CHUNK_BYTES;
-      lines.sendBytes(some);
+      lines.sendBytes(chunk);
     }
     if (remainingBytes > 0 && !lines.isClosed()) {
       program.later(Agenda.MILLI, this::sendChunk);
@@ -195,9 +196,9 @@
   private void reportOutcome(String line) {
     if (!settled) {
       settled = true;
-      // Whoever copies the id of a flow that has ended meanwhile is a client like any other.
-      boolean usual = copiedFlow != null && !world.flows().isOpen(copiedFlow);
-      world.publish(new Event.BadSettled(name + "." + remainingRounds, usual ? "" : line));
+      // A copied id whose flow has ended meanwhile is a valid id, and the client may be served.
+      boolean isValid = copiedFlow != null && !world.flows().isOpen(copiedFlow);
+      world.publish(new Event.BadSettled(name + "." + remainingRounds, isValid ? "" : line));
     }
   }
 }
--- a/src/main/java/brassbank/sim/actor/Client.java
+++ b/src/main/java/brassbank/sim/actor/Client.java
@@ -10,8 +10,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * A usual client: asks for a connection, tries again as its kind does, sends a line every 2 s while
- * it stands, and comes again after a break or a move.
+ * A regular client: requests a session, retries as its settings say, sends a line every 2 s while
+ * the session is open, and reconnects after the connection broke or was moved.
  */
 public final class Client {
   private static final long MILLI = Agenda.MILLI;
@@ -19,26 +19,26 @@
 
   private static final long LINE_INTERVAL = 2 * SECOND;
 
-  /** A client waits a little past its time, so that the checks see an answer that is late. */
+  /** A client waits a little past its deadline, so that the rules observe a late answer. */
   private static final long DEADLINE_GRACE = 100 * MILLI;
 
-  /** Where nothing has come back for so long, a person closes the window and opens another. */
+  /** After this time without a line from the host a user closes the window and opens another. */
   private static final long SILENCE_TIMEOUT = 15 * SECOND;
 
   private static final long MIN_RECONNECT_DELAY = 51 * MILLI;
   private static final long MAX_RECONNECT_DELAY = 2_000 * MILLI;
 
-  /** Share of clients that do not wait for an answer, and how long they wait at most. */
+  /** Share of clients that close before they are answered, and how long these wait at most. */
   private static final double IMPATIENT_SHARE = 0.02;
 
   private static final long MAX_IMPATIENT_WAIT = 600 * MILLI;
 
-  /** Mean life of a connection, before its class and its chance. */
+  /** Mean lifetime of a connection, before the factors of its class and of chance. */
   private static final double MEAN_LIFETIME_SECONDS = 30;
 
   private static final long MAX_RETRY_DELAY_MILLIS = 2_000;
 
-  /** How it ends its connection before its life is over, if it does. */
+  /** How a client ends its connection before its lifetime is over, if it does. */
   private enum DisconnectMode {
     STAYS,
     CLOSES,
@@ -69,7 +69,7 @@
   private long giveUpAt;
   private boolean isReconnecting;
 
-  /** {@code number} names it: all that it draws follows from that. */
+  /** Creates a client. {@code number} determines its name and all its random numbers. */
   public Client(World world, Machine machine, Program program, int number) {
     this.world = world;
     this.machine = machine;
@@ -100,7 +100,7 @@
     impatient = stream.chance(IMPATIENT_SHARE);
   }
 
-  /** Mean load of a client times its mean seconds. */
+  /** Returns the mean load of a client multiplied by its mean lifetime in seconds. */
   public static double meanLoadSeconds(Site site) {
     return site.classes().stream()
         .mapToDouble(c -> c.share() * c.load() * c.lifetime() * MEAN_LIFETIME_SECONDS)
@@ -115,7 +115,7 @@
     return new Event.ClientCame(name, again, flowClass.name(), tenant, group);
   }
 
-  /** Comes for the first time. */
+  /** Requests the client's first session. */
   public void start() {
     world.publish(cameEvent(false));
     requestSession();
@@ -137,14 +137,19 @@
     new Flow(address).start();
   }
 
-  /** This try has not been served; {@code told} is when to come back, in ms, or -1. */
-  private void attemptFailed(long told) {
+  /**
+   * Handles a try that was not served. {@code retryHint} is the proxy's hint in milliseconds, or
+   * -1.
+   */
+  private void attemptFailed(long retryHint) {
     if (tries++ >= retries || giveUpAt - world.now() < 100 * MILLI) {
       world.publish(new Event.ClientGaveUp(name, cameAt, remainingLifetime));
       return;
     }
     long wait =
-        told > 0 && honoursRetryHint ? Math.min(told, MAX_RETRY_DELAY_MILLIS) * MILLI : backoff;
+        retryHint > 0 && honoursRetryHint
+            ? Math.min(retryHint, MAX_RETRY_DELAY_MILLIS) * MILLI
+            : backoff;
     program.later(wait, this::attempt);
   }
 
@@ -157,7 +162,7 @@
     program.later(stream.micros(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY), this::requestSession);
   }
 
-  /** One try, and the connection that comes of it. */
+  /** One try of the client, and the connection that results from it. */
   private final class Flow implements Program.Connected, LineConnection.Listener {
     private final InetSocketAddress address;
     private final String id = name + "." + flows++;
@@ -341,7 +346,7 @@
       }
     }
 
-    /** It leaves of its own will, in the way that its kind does. */
+    /** Ends the connection in the client's own manner. */
     private void disconnect() {
       if (closed || sawFarewell) {
         return;
--- a/src/main/java/brassbank/sim/actor/Discovery.java
+++ b/src/main/java/brassbank/sim/actor/Discovery.java
@@ -20,34 +20,34 @@
 import java.util.TreeMap;
 
 /**
- * Discovery, which all proxies share: it learns late of what becomes of stream hosts, handles calls
- * one after another, and keeps watches. It can be down, answer 503, stand still, cut its answers,
- * send garbage, and move to another address.
+ * The simulated discovery service, which all proxies share. It receives the status of stream hosts
+ * with a delay, handles calls one after another, and serves watches. It can be down, answer 503,
+ * freeze, truncate its answers, send garbage, and move to another address.
  */
 public final class Discovery {
-  /** Where it listens on its machine. */
+  /** The port on which discovery listens. */
   public static final int PORT = 8500;
 
   private static final int BACKLOG = 128;
   private static final long MILLI = Agenda.MILLI;
   private static final long SECOND = Agenda.SECOND;
 
-  /** A call that has waited for longer fails. */
+  /** A call that has waited longer than this fails. */
   private static final long MAX_QUEUE_WAIT = 3 * SECOND;
 
-  /** Work of one call. */
+  /** Time that discovery needs for one call. */
   private static final long MIN_CALL_TIME = 175 * MILLI;
 
   private static final long MAX_CALL_TIME = 278 * MILLI;
 
   private static final long KEEPALIVE_INTERVAL = 2 * SECOND;
 
-  /** An address that was left closes its open connections after this. */
+  /** After a move the old address closes its open connections after this time. */
   private static final long OLD_ADDRESS_LINGER = 1_500 * MILLI;
 
   private static final long FIRST_INDEX = 41;
 
-  /** What it does with its calls. */
+  /** How discovery responds to calls. */
   public enum Behavior {
     SOUND("as it should"),
     ERRORS("answers 503"),
@@ -60,17 +60,20 @@
       this.about = about;
     }
 
-    /** What it does, for those who write scripts. */
+    /** Returns a description for authors of scripts. */
     public String about() {
       return about;
     }
   }
 
-  /** A change, as one line of a watch tells it. */
+  /** A change of a host's status, as a line of a watch reports it. */
   private record Change(
       long index, StreamHost source, String host, String status, long since, String rest) {
 
-    /** As the proxy of this name is told it. */
+    /**
+     * Returns the JSON object of the change, with the address under which this proxy reaches the
+     * host.
+     */
     String entry(String proxy) {
       return "{\"name\":\"" + host + "\",\"address\":\"" + source.address(proxy) + rest;
     }
@@ -94,32 +97,35 @@
   private long soundSince;
   private final List<Runnable> deferredUpdates = new ArrayList<>();
 
-  /** {@code addresses}: where it can be; it begins at the first. */
+  /**
+   * Creates the service. It begins at the first of {@code addresses} and can move to the others.
+   */
   public Discovery(World world, List<Machine> addresses) {
     this.world = world;
     this.addresses = addresses;
     this.stream = world.draws().of("discovery");
   }
 
-  /** Where it is now, and where it would be after so many moves. */
+  /** Returns discovery's address after {@code moves} further moves; 0 is the current address. */
   public String address(String proxy, int moves) {
     return world
         .addresses()
         .addressOf(proxy, addresses.get((addressIndex + moves) % addresses.size()), PORT);
   }
 
-  /** All machines that it can be at, the first one first. */
+  /** Returns all machines that discovery can run on, the first one first. */
   public List<Machine> machines() {
     return addresses;
   }
 
+  /** Returns the machine that discovery runs on. */
   public Machine machine() {
     return addresses.get(addressIndex);
   }
 
-  // ------------------------------------------------------------------- life
+  // Process
 
-  /** Starts with all stream hosts that serve. */
+  /** Starts discovery with all stream hosts that serve in its list. */
   public void start() {
     for (StreamHost host : world.hosts().values()) {
       if (host.isServing()) {
@@ -129,7 +135,7 @@
     bringUp();
   }
 
-  /** Comes up at its address; it has lost nothing. */
+  /** Starts the process at the current address; no state has been lost. */
   public void bringUp() {
     if (program != null && program.alive()) {
       return;
@@ -145,6 +151,7 @@
     markDisturbed();
   }
 
+  /** Ends the process and closes all its connections. */
   public void takeDown() {
     markDisturbed();
     calls.clear();
@@ -153,12 +160,12 @@
   }
 
   /**
-   * Moves to its next address. The old one accepts nothing new and closes what is open a while
-   * later.
+   * Moves discovery to its next address. The old address accepts no new connections and closes the
+   * open ones {@link #OLD_ADDRESS_LINGER} microseconds later.
    */
   public void moveAddress() {
     Program old = program;
-    Set<Call> left = new LinkedHashSet<>(calls);
+    Set<Call> openCalls = new LinkedHashSet<>(calls);
     queue.clear();
     addressIndex = (addressIndex + 1) % addresses.size();
     program = null;
@@ -167,11 +174,12 @@
     old.later(
         OLD_ADDRESS_LINGER,
         () -> {
-          left.forEach(Call::close);
+          openCalls.forEach(Call::close);
           old.kill();
         });
   }
 
+  /** Sets how discovery responds to calls; open calls are cut off where it fails. */
   public void setBehavior(Behavior next) {
     behavior = next;
     markDisturbed();
@@ -182,19 +190,23 @@
     }
   }
 
+  /** Sets by which factor a call takes longer than usual. */
   public void setSlowdown(double factor) {
     slowdown = factor;
     markDisturbed();
   }
 
-  /** While it stands still it learns nothing; what it missed it learns afterwards. */
+  /**
+   * Freezes discovery's list, or releases it. While frozen, discovery applies no updates; it
+   * applies the deferred ones on release.
+   */
   public void setFrozen(boolean on) {
     frozen = on;
     markDisturbed();
     if (!on) {
-      List<Runnable> missed = List.copyOf(deferredUpdates);
+      List<Runnable> updates = List.copyOf(deferredUpdates);
       deferredUpdates.clear();
-      missed.forEach(Runnable::run);
+      updates.forEach(Runnable::run);
     }
   }
 
@@ -202,7 +214,10 @@
     soundSince = world.now();
   }
 
-  /** Since when it has worked as it should, and could be reached from a proxy's machine. */
+  /**
+   * Returns since when discovery has worked as it should and could be reached from a proxy's
+   * machine.
+   */
   public long soundSince(Machine proxy) {
     boolean sound =
         program != null
@@ -213,9 +228,9 @@
     return sound ? Math.max(soundSince, world.fabric().calmSince(proxy, machine())) : world.now();
   }
 
-  // ------------------------------------------------------------- what it knows
+  // List of hosts
 
-  /** It learns of a stream host's status after so many microseconds. */
+  /** Receives a stream host's status after a delay in microseconds. */
   public void receiveStatus(StreamHost host, String status, long micros) {
     world.agenda().after(micros, () -> applyStatus(host, status));
   }
@@ -226,7 +241,7 @@
       return;
     }
     if (!status.equals(host.status())) {
-      // It has gone on meanwhile, and what became of it is learnt for itself.
+      // The host's status has changed again, and that change is received separately.
       return;
     }
     Change change = change(host, status);
@@ -260,7 +275,9 @@
     return new Change(index, host, host.name(), status, host.since(), rest);
   }
 
-  /** The whole list in its own form, as it stands now and as this proxy is told it. */
+  /**
+   * Returns the complete list as JSON, with the addresses under which this proxy reaches the hosts.
+   */
   public String list(String proxy) {
     return object(proxy, index, true, List.copyOf(list.values()));
   }
@@ -269,15 +286,18 @@
     StringBuilder text = new StringBuilder();
     text.append("{\"index\":").append(index).append(",\"snapshot\":").append(whole);
     text.append(",\"endpoints\":[");
-    String between = "";
+    String separator = "";
     for (Change change : changes) {
-      text.append(between).append(change.entry(proxy));
-      between = ",";
+      text.append(separator).append(change.entry(proxy));
+      separator = ",";
     }
     return text.append("]}").toString();
   }
 
-  /** What a proxy knows from its start, by its configuration. */
+  /**
+   * Resets what was reported to a proxy whose process starts. {@code all}: its settings list the
+   * hosts that discovery knows.
+   */
   public void resetReported(String proxy, boolean all) {
     reportedStarts.remove(proxy);
     if (all) {
@@ -285,7 +305,10 @@
     }
   }
 
-  /** Whether this proxy has been told that the host serves since its last start. */
+  /**
+   * Returns whether the host's current start was reported to this proxy since the proxy's last
+   * start.
+   */
   boolean hasReportedStart(String proxy, StreamHost host) {
     return reportedStarts.getOrDefault(proxy, Set.of()).contains(host.name() + " " + host.since());
   }
@@ -298,7 +321,7 @@
     }
   }
 
-  /** Handles the calls one after another. */
+  /** Handles the next call of the queue, if no other is being handled. */
   private void handleNext() {
     if (isBusy || queue.isEmpty()) {
       return;
@@ -330,7 +353,7 @@
     }
   }
 
-  /** One connection, which brings one call. */
+  /** One connection, which carries one call. */
   private final class Call implements LineConnection.Listener {
     private final Program owner;
     private final String proxy;
@@ -416,7 +439,10 @@
       list.values().forEach(this::reportOnArrival);
     }
 
-    /** It is told once it has arrived: what is written into a cut way tells nobody. */
+    /**
+     * Records a change as reported once it has arrived at the proxy: a change that is written to a
+     * broken network path never arrives.
+     */
     private void reportOnArrival(Change change) {
       lines
           .endpoint()
@@ -445,7 +471,10 @@
       keepAlive();
     }
 
-    /** The changes since what was told last; an object without any only as a watch's first. */
+    /**
+     * Sends the changes since the last ones sent. An object without changes is sent only as the
+     * first of a watch.
+     */
     private void sendChanges(boolean first) {
       changesScheduled = false;
       if (closed) {
@@ -477,8 +506,8 @@
 
     private void keepAlive() {
       if (!closed) {
-        long quiet = world.now() - lastLineAt;
-        if (quiet >= KEEPALIVE_INTERVAL) {
+        long idle = world.now() - lastLineAt;
+        if (idle >= KEEPALIVE_INTERVAL) {
           sendChunk(behavior == Behavior.GARBAGE ? "%&/" : "");
         }
         owner.later(
@@ -491,7 +520,7 @@
       lines.send(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n");
     }
 
-    /** Ends it within a line. */
+    /** Closes the connection in the middle of a line. */
     void breakOff() {
       if (!closed) {
         lines.sendBytes("40\r\n{\"index\":".getBytes());
--- a/src/main/java/brassbank/sim/actor/FlowEndpoints.java
+++ b/src/main/java/brassbank/sim/actor/FlowEndpoints.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Where each flow's two connections end, client and stream host, which no one but the checks may
- * know: whether the network was to blame for what was late on one of them.
+ * The client's and the stream host's endpoint of each flow, by which the rules decide whether the
+ * network or an actor delayed one of the two connections.
  */
 public final class FlowEndpoints {
   private static final class Connections {
@@ -22,7 +22,7 @@
 
   private final Map<String, Connections> flows = new HashMap<>();
 
-  /** Flows that stand, each with its proxy, the oldest first. */
+  /** Proxies of the established flows, by flow, the oldest first. */
   private final Map<String, String> openFlows = new LinkedHashMap<>();
 
   void setClient(String flow, Endpoint endpoint) {
@@ -47,7 +47,7 @@
     return openFlows.containsKey(flow);
   }
 
-  /** A flow that stands at this proxy, or null. */
+  /** Returns an established flow of this proxy, or null where there is none. */
   String anyOpen(String proxy, RandomStreams.Stream stream) {
     List<String> all = new ArrayList<>();
     openFlows.forEach(
@@ -59,13 +59,13 @@
     return all.isEmpty() ? null : stream.pick(all);
   }
 
-  /** The client does not read, or reads slowly, until then. */
+  /** Records that the client does not read, or reads slowly, until a time. */
   void markClientBusy(String flow, long until) {
     Connections legs = flows.computeIfAbsent(flow, f -> new Connections());
     legs.clientBusyUntil = Math.max(legs.clientBusyUntil, until);
   }
 
-  /** Since when neither the network nor the client has held up the client's connection. */
+  /** Returns since when neither the network nor the client has delayed the client's connection. */
   public long clientCalmSince(String flow) {
     Connections legs = flows.get(flow);
     if (legs == null || legs.client == null) {
@@ -74,7 +74,9 @@
     return Math.max(legs.clientBusyUntil, legs.client.calmSince());
   }
 
-  /** Since when neither the network nor the stream host has held up its connection. */
+  /**
+   * Returns since when neither the network nor the stream host has delayed the host's connection.
+   */
   public long hostCalmSince(String flow) {
     Connections legs = flows.get(flow);
     return legs == null || legs.host == null
--- a/src/main/java/brassbank/sim/actor/LineConnection.java
+++ b/src/main/java/brassbank/sim/actor/LineConnection.java
@@ -6,19 +6,22 @@
 import java.util.Arrays;
 
 /**
- * A connection as an actor has it: lines that come, lines that go as far as the peer's window
- * allows, and the end. It never gives the proxy's own line reader the benefit of the doubt: it
- * shares no code with it.
+ * An actor's side of a connection: splits received bytes into lines, and buffers lines to send
+ * until the peer's window accepts them. Shares no code with the proxy's line reader, so that an
+ * error in that reader cannot hide itself.
  */
 final class LineConnection implements Endpoint.Handler {
   private static final int READ_SIZE = 4 * 1024;
 
-  /** Who is told what comes. */
+  /** Receives the lines of a connection. */
   interface Listener {
-    /** A whole line, without its CRLF. */
+    /** Receives a complete line, without its line terminator. */
     void onLine(String line);
 
-    /** The peer has ended its sending, or the connection was reset; told once. */
+    /**
+     * Reports, once, that the peer has closed its sending direction or that the connection was
+     * reset.
+     */
     void onEnd(boolean reset);
   }
 
@@ -43,7 +46,7 @@
     return endpoint;
   }
 
-  /** Whether this side has given the connection back. */
+  /** Returns whether this side has closed the connection. */
   boolean isClosed() {
     return closed;
   }
@@ -89,7 +92,7 @@
     }
   }
 
-  /** Bytes that came and belong to no whole line. */
+  /** Returns the number of bytes received after the last complete line. */
   int unterminatedBytes() {
     return partial.length();
   }
@@ -113,7 +116,7 @@
     writable();
   }
 
-  /** Bytes that the kernel has not taken yet. */
+  /** Returns the number of bytes that the network has not accepted yet. */
   int unwritten() {
     return pendingEnd - pendingStart;
   }
@@ -138,11 +141,11 @@
         closed = true;
         endpoint.close();
       }
-      // That it was reset is told by the next read.
+      // The next read reports the reset.
     }
   }
 
-  /** Ends our sending after all that was given to send. */
+  /** Closes the sending direction after all pending bytes. */
   void finish() {
     if (!finishing && !closing && !closed) {
       finishing = true;
@@ -150,7 +153,7 @@
     }
   }
 
-  /** Ends the connection after all that was given to send. */
+  /** Closes the connection after all pending bytes. */
   void close() {
     if (!closing && !closed) {
       closing = true;
--- a/src/main/java/brassbank/sim/actor/ProxyInstance.java
+++ b/src/main/java/brassbank/sim/actor/ProxyInstance.java
@@ -3,52 +3,72 @@
 import brassbank.sim.net.Machine;
 
 /**
- * One proxy of the site, as faults act upon it and rules ask for it, whatever carries its process:
- * virtual time, or the operating system. Times are in microseconds. All calls are made on the
- * thread that turns the agenda, and none waits.
+ * One proxy of the site, as faults act upon it and rules observe it, whether its process runs in
+ * virtual time or is one of the operating system's. Times are in microseconds. All methods are
+ * called on the thread that runs the agenda, and none blocks.
  */
 public interface ProxyInstance {
+  /** Returns the proxy's name. */
   String name();
 
-  /** Its machine in the simulated network, which all others of the site meet. */
+  /**
+   * Returns the proxy's machine in the simulated network, which all other actors of the site
+   * connect to.
+   */
   Machine machine();
 
-  /** Starts its process from nothing; {@code atOnce} leaves its boot time out. */
+  /** Starts the proxy's process; {@code atOnce} skips the time that it needs to start. */
   void start(boolean atOnce);
 
-  /** Kills it outright; it comes again after so long. */
+  /** Kills the process, and starts another after {@code downFor}. */
   void crash(long downFor);
 
-  /** Its machine loses its power for so long. */
+  /** Cuts the power of the proxy's machine for {@code downFor}. */
   void losePower(long downFor);
 
-  /** SIGTERM, SIGKILL when its time is over, and a new start. */
+  /**
+   * Restarts the process: SIGTERM, SIGKILL if the shutdown exceeds its time limit, and a new start.
+   */
   void restart();
 
-  /** Operators have its clients sent away, and call it back after so long. */
+  /**
+   * Puts the proxy on standby as an operator does, and returns it to service after {@code awayFor}.
+   */
   void standby(long awayFor);
 
-  /** A process is started beside the one that serves, and succeeds it. */
+  /** Starts a second process that takes over from the one that serves. */
   void upgrade();
 
-  /** SIGHUP, with this many further addresses of discovery in the new file. */
+  /**
+   * Sends SIGHUP after a new settings file was written, in which discovery's address is {@code
+   * further} moves further on.
+   */
   void hangUp(int further);
 
-  /** SIGHUP with a file that says something new at its beginning and then breaks off. */
+  /**
+   * Sends SIGHUP after a truncated settings file was written, whose beginning differs from the last
+   * one.
+   */
   void hangUpDamaged();
 
-  /** Steps its machine's wall clock by so many milliseconds. */
+  /** Steps the wall clock of the proxy's machine by this many milliseconds. */
   void stepClock(long millis);
 
-  /** Nothing of it runs for so long; its kernel goes on. */
+  /** Pauses the process for this time, while the machine's kernel continues. */
   void pause(long micros);
 
-  /** Until when nothing of it runs, or did not run; of the run's time. */
+  /**
+   * Returns until when the process is paused, or when its last pause ended, in microseconds of the
+   * run.
+   */
   long pausedUntil();
 
-  /** Whether a process of it is a member of the fleet, and has not been told to stop. */
+  /**
+   * Returns whether a process of the proxy is a member of the fleet and has not been told to shut
+   * down.
+   */
   boolean isMember();
 
-  /** Descriptors that its processes hold together. */
+  /** Returns the number of descriptors that the proxy's processes hold together. */
   int descriptors();
 }
--- a/src/main/java/brassbank/sim/actor/Site.java
+++ b/src/main/java/brassbank/sim/actor/Site.java
@@ -7,9 +7,9 @@
  * The figures of a deployment, as its operators state them. Times are in microseconds unless a name
  * says otherwise.
  *
- * @param rate new clients a second
- * @param perCore connections of mean load that fill one core at speed 1
- * @param groupCost what each group on a stream host costs it, in mean connection loads
+ * @param rate new clients per second
+ * @param perCore connections of mean load that fill one core of speed 1
+ * @param groupCost load that each group on a stream host adds, in connections of mean load
  */
 public record Site(
     List<String> zones,
@@ -31,7 +31,7 @@
     List<Tenant> tenants,
     List<HostKind> kinds) {
 
-  /** A class of flows; {@code load} and {@code life} are multiples of the mean. */
+  /** A class of flows; {@code load} and {@code lifetime} are multiples of the mean. */
   public record FlowClass(
       String name,
       double share,
@@ -42,7 +42,7 @@
       double lifetime,
       long messageMillis,
       Repeat repeat) {
-    /** The same class, of which a request may be repeated as stated. */
+    /** Returns the same class with another rule for repeating requests. */
     public FlowClass with(Repeat other) {
       return new FlowClass(
           name, share, aimMillis, deadlineMillis, value, load, lifetime, messageMillis, other);
@@ -52,14 +52,14 @@
   /**
    * Whether a request may be sent again once it may have run.
    *
-   * @param effect and {@code group}, in the settings' words
+   * @param effect and {@code group}, with the values that the settings use
    */
   public record Repeat(String effect, String group, long windowMillis) {
-    /** At any time. */
+    /** Requests may be repeated at any time. */
     public static final Repeat FREE = new Repeat("free", "all", 5_000);
   }
 
-  /** Who clients belong to, and its share of them. */
+  /** A tenant, and its share of the clients. */
   public record Tenant(String name, double share) {}
 
   /** A model of stream host. */
@@ -74,12 +74,14 @@
       double warmSecondsLeast,
       double warmSecondsMost) {}
 
-  /** The same but for the rule on cold hosts: a test plants a proxy that is told too much. */
+  /**
+   * Returns the same site with another multiple for cold hosts, by which a test misinforms a proxy.
+   */
   public Site withFallMultiple(double multiple) {
     return with(zones, multiple, classes);
   }
 
-  /** The same, whose classes may be repeated in these ways, in their order. */
+  /** Returns the same site with these rules for repeating requests, in the order of the classes. */
   public Site withRepeats(Repeat... repeats) {
     List<FlowClass> others = new ArrayList<>();
     for (int i = 0; i < classes.size(); i++) {
@@ -88,7 +90,9 @@
     return with(zones, fallMultiple, others);
   }
 
-  /** The same with other zones: a test plants proxies that take another one for theirs. */
+  /**
+   * Returns the same site with other zones, by which a test misinforms proxies about their zone.
+   */
   public Site withZones(List<String> others) {
     return with(others, fallMultiple, classes);
   }
@@ -115,7 +119,7 @@
         kinds);
   }
 
-  /** The deployment that the project was made for: two rooms, three models, two classes. */
+  /** Returns the standard deployment: two zones, three models of host, two classes. */
   public static Site standard(int proxies, int hosts, double rate, int sockets) {
     return new Site(
         List.of("leith", "dalkeith"),
--- a/src/main/java/brassbank/sim/actor/StreamHost.java
+++ b/src/main/java/brassbank/sim/actor/StreamHost.java
@@ -17,18 +17,18 @@
 import java.util.Set;
 
 /**
- * A stream host: takes attempts with every row of the protocol's outcome table, holds connections,
- * answers probes, warms up, drains, and falls over if it is pushed while cold.
+ * A simulated stream host: answers attempts with every outcome that the protocol allows, holds
+ * sessions, answers probes, warms up, drains, and fails if it is overloaded while cold.
  */
 public final class StreamHost {
-  /** Where it listens on its machine. */
+  /** The port on which stream hosts listen. */
   public static final int PORT = 7070;
 
   private static final int BACKLOG = 128;
   private static final long MILLI = Agenda.MILLI;
   private static final long SECOND = Agenda.SECOND;
 
-  /** Work of taking one connection, on a core of speed 1. */
+  /** Work of accepting one connection, in microseconds on a core of speed 1. */
   private static final long MIN_HANDSHAKE_WORK = 740;
 
   private static final long MAX_HANDSHAKE_WORK = 1_500;
@@ -38,37 +38,39 @@
   private static final long MIN_PROBE_WORK = 110;
   private static final long MAX_PROBE_WORK = 230;
 
-  /** A line is returned after this on a host that is not busy. */
+  /** A host that is not busy echoes a line after this time. */
   private static final long ECHO_DELAY = 1 * MILLI;
 
-  /** Connections a host holds at most, for each that it can serve well. */
+  /** Maximum number of connections, as a multiple of the number that the host can serve well. */
   private static final double MAX_CONNECTIONS_FACTOR = 2.5;
 
   private static final long OVERLOAD_CHECK_INTERVAL = 100 * MILLI;
 
-  /** Between two bytes of an answer that drips. */
+  /** Interval between the bytes of an answer that is sent one byte at a time. */
   private static final long DRIP_INTERVAL = 30 * MILLI;
 
-  /** An idle connection of a probe is closed after this. */
+  /** An idle probe connection is closed after this time. */
   private static final long IDLE_TIMEOUT = 5 * SECOND;
 
-  /** A push that a few heavy connections could make by chance. */
+  /**
+   * Additional load, in connections of mean load, that a few heavy connections may cause by chance.
+   */
   private static final double OVERLOAD_SLACK = 3;
 
   /**
-   * What an attempt costs a cold host, turned away or not, against a connection that it holds: what
-   * a warm one has at hand, as the project's model, it must load first.
+   * Load of an attempt at a cold host, rejected or not, relative to an established connection: a
+   * cold host must first load what a warm one has in memory, such as the project's model.
    */
   private static final double ATTEMPT_WEIGHT = 2;
 
-  /** Share of connections on which much comes at once, and how many lines that is. */
+  /** Share of connections on which the host sends many lines at once, and how many lines. */
   private static final double PUSH_SHARE = 0.06;
 
   private static final int MIN_PUSH_LINES = 20;
   private static final int MAX_PUSH_LINES = 150;
   private static final int MAX_PUSH_LENGTH = 3_900;
 
-  /** What the host does with an attempt, apart from serving it. */
+  /** How the host responds to an attempt. */
   public enum Behavior {
     SERVES("serves it"),
     LOSES("loses it, while probes are answered"),
@@ -88,13 +90,13 @@
       this.about = about;
     }
 
-    /** What it does, for those who write scripts. */
+    /** Returns a description for authors of scripts. */
     public String about() {
       return about;
     }
   }
 
-  /** What its load reports say. */
+  /** How the host's load reports differ from its load. */
   public enum LoadReports {
     TRUE("with what there is"),
     LOW("with far less load than there is"),
@@ -107,7 +109,7 @@
       this.about = about;
     }
 
-    /** What it does, for those who write scripts. */
+    /** Returns a description for authors of scripts. */
     public String about() {
       return about;
     }
@@ -121,9 +123,13 @@
 
   private record Report(long visibleAt, double load, double backlog, double rate, double errors) {}
 
-  /** What it was asked for at a moment, and how much of that by proxies that knew of its start. */
+  /**
+   * The load on a cold host at a moment, and the part of it from proxies to which discovery had
+   * reported the host's start.
+   */
   private record LoadSample(long at, double demand, double informedDemand, double capacity) {}
 
+  /** An attempt that has arrived; {@code informed}: its proxy knew of the host's start. */
   private record Arrival(long at, boolean informed, double load) {}
 
   private final World world;
@@ -187,17 +193,17 @@
     return kind;
   }
 
-  /** As the proxy of this name is told it. */
+  /** Returns the address under which this proxy reaches the host. */
   String address(String proxy) {
     return world.addresses().addressOf(proxy, machine, PORT);
   }
 
-  /** Connections of mean load that it serves well once it is warm. */
+  /** Returns the number of connections of mean load that the host serves well once it is warm. */
   public double capacity() {
     return capacity;
   }
 
-  /** The same, as far as it is warm now. */
+  /** Returns the host's capacity at its present warmth. */
   public double currentCapacity() {
     return capacity * warmth();
   }
@@ -206,7 +212,7 @@
     return state == State.SERVING;
   }
 
-  /** Its state, in discovery's words. */
+  /** Returns the host's state, as discovery names it. */
   String status() {
     return switch (state) {
       case DOWN -> "DELETED";
@@ -215,19 +221,22 @@
     };
   }
 
-  /** Whether it was pushed over and so stays down. */
+  /** Returns whether the host failed under overload, after which it stays down. */
   public boolean hasFallen() {
     return fallen;
   }
 
-  /** When it began to serve, in microseconds of the run; 0 where it stood at the beginning. */
+  /**
+   * Returns when the host began to serve, in microseconds of the run; 0 where it already ran at the
+   * beginning.
+   */
   public long since() {
     return since;
   }
 
-  // ------------------------------------------------------------------- life
+  // Process
 
-  /** Starts its process; {@code warm}: it has run for long. */
+  /** Starts the host's process; {@code warm}: it counts as having run for a long time. */
   public void start(boolean warm) {
     if (state != State.DOWN || fallen) {
       return;
@@ -263,7 +272,7 @@
     }
   }
 
-  /** Drains: all clients are sent away at once, nothing new is taken. */
+  /** Drains the host: sends all clients away at once and takes no new sessions. */
   public void drain() {
     if (state != State.SERVING) {
       return;
@@ -278,7 +287,7 @@
     }
   }
 
-  /** Its process dies: connections are reset, new ones refused. */
+  /** Kills the host's process: its connections are reset and new ones refused. */
   public void kill() {
     if (state == State.DOWN) {
       return;
@@ -297,13 +306,13 @@
     world.publish(new Event.HostGone(name));
   }
 
-  /** Its machine loses its power: nothing is told to anybody. */
+  /** Cuts the power of the host's machine: its peers receive no sign of that. */
   public void losePower() {
     machine.darken();
     kill();
   }
 
-  /** Nothing of it runs for a while; its kernel goes on. */
+  /** Pauses the host's process, while the machine's kernel continues. */
   public void pause(long micros) {
     if (state != State.DOWN) {
       pausedUntil = Math.max(pausedUntil, world.now() + micros);
@@ -311,31 +320,35 @@
     }
   }
 
-  /** Until when nothing of it runs, or did not run. */
+  /** Returns until when the process is paused, or when its last pause ended. */
   long pausedUntil() {
     return pausedUntil;
   }
 
+  /** Sets how the host responds to attempts, and to which share of them. */
   public void setBehavior(Behavior next, double share) {
     behavior = next;
     behaviorShare = share;
   }
 
+  /** Sets how the host's load reports differ from its load. */
   public void setLoadReports(LoadReports next) {
     loadReports = next;
   }
 
-  /** How many times slower than usual it is. */
+  /** Sets by which factor the host is slower than usual. */
   public void setSlowdown(double factor) {
     slowdown = factor;
   }
 
-  /** Load reports show up so much later than usual. */
+  /** Delays load reports by {@code micros} in addition to their usual delay. */
   public void setReportDelay(long micros) {
     reportDelay = micros;
   }
 
-  /** Resets all connections that stand, as a middle box that forgets them does. */
+  /**
+   * Resets this share of the connections, as a middlebox does that has lost its connection table.
+   */
   public void resetConnections(double share) {
     for (Connection connection : List.copyOf(connections)) {
       if (stream.chance(share)) {
@@ -344,7 +357,7 @@
     }
   }
 
-  // ------------------------------------------------------------------- load
+  // Load
 
   private double warmth() {
     if (since == 0) {
@@ -354,7 +367,7 @@
     return coldFrom + (1 - coldFrom) * Math.min(1, age);
   }
 
-  /** Load asked over what it can do now. */
+  /** Returns the load of the established connections, relative to the host's current capacity. */
   public double utilization() {
     double load = 0;
     Set<String> groups = new LinkedHashSet<>();
@@ -407,16 +420,20 @@
     return String.valueOf(Math.round(value * 1000) / 1000.0);
   }
 
-  /** Work on a queue that all cores share; when it is done. */
+  /**
+   * Adds work to the queue that all cores share.
+   *
+   * @return the time until this work is done, in microseconds
+   */
   private long enqueueWork(long micros) {
     double cost = micros * slowdown / (speed * warmth() * kind.cores());
     idleAt = Math.max(idleAt, world.now()) + (long) cost;
     return idleAt - world.now();
   }
 
-  // ------------------------------------------------------------- falling over
+  // Overload of a cold host
 
-  /** Looks whether it is being pushed over, which only a cold host can be. */
+  /** Checks whether the host is overloaded, which makes it fail only while it is cold. */
   private void checkOverload() {
     if (state != State.SERVING || warmth() >= 1) {
       return;
@@ -426,19 +443,19 @@
     while (!arrivals.isEmpty() && arrivals.peek().at() < from) {
       arrivals.removeFirst();
     }
-    double asked = 0;
-    double told = 0;
+    double demand = 0;
+    double informedDemand = 0;
     for (Connection connection : connections) {
       if (connection.established) {
-        asked += connection.load;
-        told += connection.informed ? connection.load : 0;
+        demand += connection.load;
+        informedDemand += connection.informed ? connection.load : 0;
       }
     }
     for (Arrival arrival : arrivals) {
-      asked += ATTEMPT_WEIGHT * arrival.load();
-      told += arrival.informed() ? ATTEMPT_WEIGHT * arrival.load() : 0;
+      demand += ATTEMPT_WEIGHT * arrival.load();
+      informedDemand += arrival.informed() ? ATTEMPT_WEIGHT * arrival.load() : 0;
     }
-    loadSamples.add(new LoadSample(now, asked, told, currentCapacity()));
+    loadSamples.add(new LoadSample(now, demand, informedDemand, currentCapacity()));
     while (loadSamples.peek().at() < from) {
       loadSamples.removeFirst();
     }
@@ -456,28 +473,31 @@
     program.later(OVERLOAD_CHECK_INTERVAL, this::checkOverload);
   }
 
-  /** What it is asked for over what it can bear, in the time that counts for its fall. */
+  /**
+   * Returns the load relative to what the host withstands, over the window that decides on its
+   * failure.
+   */
   private double overload() {
-    double asked = 0;
-    double could = 0;
-    for (LoadSample pressure : loadSamples) {
-      asked += pressure.demand();
-      could += pressure.capacity();
+    double demand = 0;
+    double capacity = 0;
+    for (LoadSample sample : loadSamples) {
+      demand += sample.demand();
+      capacity += sample.capacity();
     }
-    return asked / (world.site().fallMultiple() * could + OVERLOAD_SLACK * loadSamples.size());
+    return demand / (world.site().fallMultiple() * capacity + OVERLOAD_SLACK * loadSamples.size());
   }
 
   private double informedShare() {
-    double asked = 0;
-    double told = 0;
-    for (LoadSample pressure : loadSamples) {
-      asked += pressure.demand();
-      told += pressure.informedDemand();
+    double demand = 0;
+    double informedDemand = 0;
+    for (LoadSample sample : loadSamples) {
+      demand += sample.demand();
+      informedDemand += sample.informedDemand();
     }
-    return asked == 0 ? 0 : told / asked;
+    return demand == 0 ? 0 : informedDemand / demand;
   }
 
-  // ------------------------------------------------------------ a connection
+  // Connections
 
   private final class Connection implements LineConnection.Listener {
     private final LineConnection lines;
@@ -486,13 +506,13 @@
     private String group = "";
     private double load = 1;
 
-    /** The proxy knew of the host's start when it sent this. */
+    /** The proxy knew of the host's start when it sent the attempt. */
     private boolean informed;
 
     private boolean established;
     private boolean closed;
 
-    /** The proxy has ended its side, though nothing may tell the host of that. */
+    /** The proxy has closed its side, although the host may receive no sign of that. */
     private boolean leftByProxy;
 
     private long echoFreeAt;
@@ -517,7 +537,10 @@
       leftByProxy = true;
     }
 
-    /** What becomes of a connection that the proxy has left is of no interest to any rule. */
+    /**
+     * Publishes an event, unless the proxy has closed the connection: what happens to it afterwards
+     * concerns no rule.
+     */
     private void publish(Event event) {
       if (!leftByProxy) {
         world.publish(event);
@@ -561,7 +584,11 @@
           });
     }
 
-    /** The line's parts as the protocol page has them. */
+    /**
+     * Handles an {@code OPEN} line: the flow's id, a key, and options of the form {@code
+     * name=value} joined by commas, among them the class {@code c}, the deadline {@code d} and the
+     * lifetime {@code life}, both in milliseconds.
+     */
     private void open(String line) {
       String[] parts = line.split(" ", -1);
       Map<String, String> values = new LinkedHashMap<>();
@@ -643,7 +670,7 @@
         }
         case DRIPS -> drip(life);
         default -> {
-          // Lost: nothing is ever said.
+          // LOSES: the host never answers.
         }
       }
     }
@@ -668,7 +695,7 @@
       scheduleSession(life);
     }
 
-    /** The answer comes slowly, and nothing else before it is whole. */
+    /** Sends the answer one byte at a time, and nothing else before it is complete. */
     private void drip(long life) {
       String answer = "UP r" + ++receiptCount + "\r\n";
       publish(new Event.AttemptAnswered(flow, name, answer.trim(), false));
@@ -697,7 +724,9 @@
       }
     }
 
-    /** A picture of the walkthrough: more than all buffers on the way hold. */
+    /**
+     * Sends lines that together exceed all buffers on the path, as an image of a walkthrough does.
+     */
     private void push() {
       int count = stream.between(MIN_PUSH_LINES, MAX_PUSH_LINES);
       for (int i = 0; i < count && !closed; i++) {
@@ -754,7 +783,7 @@
       }
     }
 
-    /** The host ends it, after what it has said. */
+    /** Closes the connection after all pending lines, or resets it. */
     private void end(boolean reset) {
       if (closed) {
         return;
--- a/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
+++ b/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
@@ -14,24 +14,27 @@
 import java.util.Map;
 
 /**
- * The plain layer before the proxies: spreads clients over the proxies of their zone that have
- * answered {@code PONG}, and learns only some seconds later that one has died.
+ * The load balancer in front of the proxies: distributes clients over the proxies of their zone
+ * that have answered {@code PONG}, and detects the failure of a proxy only some seconds later.
  */
 public final class UpstreamLoadBalancer {
   private static final long PROBE_INTERVAL = 100 * Agenda.MILLI;
 
-  /** How long a PING waits; the proxy may keep it until it knows a stream host. */
+  /**
+   * How long a {@code PING} waits for its answer; a proxy may delay it until it knows a stream
+   * host.
+   */
   private static final long PROBE_TIMEOUT = 5 * Agenda.SECOND;
 
   private static final long MIN_DETECTION_DELAY = 1_200 * Agenda.MILLI;
   private static final long MAX_DETECTION_DELAY = 3_100 * Agenda.MILLI;
 
-  /** New connections keep arriving for so long after SIGTERM. */
+  /** New connections still arrive at a proxy for this time after SIGTERM. */
   private static final long MIN_REMOVAL_DELAY = 200 * Agenda.MILLI;
 
   private static final long MAX_REMOVAL_DELAY = 400 * Agenda.MILLI;
 
-  /** A proxy that clients are sent to; {@code life} tells its processes apart. */
+  /** A proxy that clients are sent to; {@code incarnation} identifies its process. */
   private static final class Upstream {
     final String name;
     final Machine machine;
@@ -62,80 +65,88 @@
     }
   }
 
-  /** A proxy's process has begun: it is asked until it answers. */
+  /** Handles the start of a proxy's process: probes it until it answers. */
   public void processStarted(String name, Machine machine, InetSocketAddress address) {
-    Upstream entry = upstreams.computeIfAbsent(name, n -> new Upstream(name, machine, address));
-    entry.incarnation++;
-    probe(entry, entry.incarnation);
+    Upstream upstream = upstreams.computeIfAbsent(name, n -> new Upstream(name, machine, address));
+    upstream.incarnation++;
+    probe(upstream, upstream.incarnation);
   }
 
-  /** A proxy's process has ended without a word. */
+  /** Handles the failure of a proxy's process, which takes effect after the detection delay. */
   public void processFailed(String name) {
-    Upstream entry = upstreams.get(name);
-    int life = entry.incarnation;
+    Upstream upstream = upstreams.get(name);
+    int incarnation = upstream.incarnation;
     world
         .agenda()
         .after(
             stream.micros(MIN_DETECTION_DELAY, MAX_DETECTION_DELAY),
             () -> {
-              if (entry.incarnation == life) {
-                entry.admitted = false;
+              if (upstream.incarnation == incarnation) {
+                upstream.admitted = false;
               }
             });
   }
 
-  /** A planned stop has begun. */
+  /** Handles the start of a planned shutdown, which takes effect after the removal delay. */
   public void shutdownStarted(String name) {
-    Upstream entry = upstreams.get(name);
+    Upstream upstream = upstreams.get(name);
     world
         .agenda()
-        .after(stream.micros(MIN_REMOVAL_DELAY, MAX_REMOVAL_DELAY), () -> entry.admitted = false);
+        .after(
+            stream.micros(MIN_REMOVAL_DELAY, MAX_REMOVAL_DELAY), () -> upstream.admitted = false);
   }
 
-  /** A proxy that was on standby is asked again until it answers. */
+  /** Handles the end of a proxy's standby: probes it until it answers. */
   public void returnedToService(String name) {
-    Upstream entry = upstreams.get(name);
-    probe(entry, entry.incarnation);
+    Upstream upstream = upstreams.get(name);
+    probe(upstream, upstream.incarnation);
   }
 
-  /** Where a client of this zone connects to, or null where no proxy is admitted. */
-  InetSocketAddress pick(String zone, RandomStreams.Stream chance) {
-    List<Upstream> near = new ArrayList<>();
+  /**
+   * Returns the address of a proxy for a client of this zone, of another zone where this one has
+   * none, or null where no proxy is admitted.
+   */
+  InetSocketAddress pick(String zone, RandomStreams.Stream random) {
+    List<Upstream> sameZone = new ArrayList<>();
     List<Upstream> all = new ArrayList<>();
-    for (Upstream entry : upstreams.values()) {
-      if (entry.admitted) {
-        all.add(entry);
-        if (entry.machine.zone().equals(zone)) {
-          near.add(entry);
+    for (Upstream upstream : upstreams.values()) {
+      if (upstream.admitted) {
+        all.add(upstream);
+        if (upstream.machine.zone().equals(zone)) {
+          sameZone.add(upstream);
         }
       }
     }
-    List<Upstream> from = near.isEmpty() ? all : near;
-    if (from.stream().allMatch(entry -> entry.weight == 1)) {
-      return from.isEmpty() ? null : chance.pick(from).address;
+    List<Upstream> candidates = sameZone.isEmpty() ? all : sameZone;
+    if (candidates.stream().allMatch(upstream -> upstream.weight == 1)) {
+      return candidates.isEmpty() ? null : random.pick(candidates).address;
     }
-    double[] favours = from.stream().mapToDouble(entry -> entry.weight).toArray();
-    return from.get(chance.pick(favours)).address;
+    double[] weights = candidates.stream().mapToDouble(upstream -> upstream.weight).toArray();
+    return candidates.get(random.pick(weights)).address;
   }
 
-  /** Sends a proxy so many times as many clients as the others get, each. */
-  public void setWeight(String name, double times) {
-    upstreams.get(name).weight = times;
+  /** Sets a proxy's weight: how many times as many clients it gets as a proxy of weight 1. */
+  public void setWeight(String name, double weight) {
+    upstreams.get(name).weight = weight;
   }
 
-  /** The name of the proxy at an address. */
+  /**
+   * Returns the name of the proxy at an address.
+   *
+   * @throws IllegalArgumentException if no proxy has this address
+   */
   String name(InetSocketAddress address) {
-    for (Upstream entry : upstreams.values()) {
-      if (entry.address.equals(address)) {
-        return entry.name;
+    for (Upstream upstream : upstreams.values()) {
+      if (upstream.address.equals(address)) {
+        return upstream.name;
       }
     }
-    throw new IllegalArgumentException("no proxy is at " + address);
+    throw new IllegalArgumentException("no proxy listens on " + address);
   }
 
-  private void probe(Upstream entry, int life) {
-    if (entry.incarnation == life && !entry.admitted) {
-      new Probe(entry, life).start();
+  private void probe(Upstream upstream, int incarnation) {
+    if (upstream.incarnation == incarnation && !upstream.admitted) {
+      new Probe(upstream, incarnation).start();
     }
   }
 
@@ -146,10 +157,10 @@
     private LineConnection lines;
     private boolean finished;
 
-    Probe(Upstream entry, int life) {
-      this.upstream = entry;
-      this.incarnation = life;
-      this.program = programs.get(entry.machine.zone());
+    Probe(Upstream upstream, int incarnation) {
+      this.upstream = upstream;
+      this.incarnation = incarnation;
+      this.program = programs.get(upstream.machine.zone());
     }
 
     void start() {
--- a/src/main/java/brassbank/sim/actor/World.java
+++ b/src/main/java/brassbank/sim/actor/World.java
@@ -11,9 +11,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What all actors of one run share: time, chance, the network, the trace, and each other. */
+/**
+ * The environment that all actors of one run share: time, randomness, the network, the trace, and
+ * the other actors.
+ */
 public final class World {
-  /** Unix time at the beginning of a run in virtual time: 2026-01-01T00:00:00Z. */
+  /** The Unix time at which a run in virtual time begins: 2026-01-01T00:00:00Z. */
   public static final long EPOCH_MILLIS = 1_767_225_600_000L;
 
   private final Agenda agenda;
@@ -48,16 +51,20 @@
     this.epochMillis = epochMillis;
   }
 
-  /** Unix time now, by the clock that every machine reads. */
+  /**
+   * Returns the Unix time in milliseconds at {@code micros} of the run, by the clock that every
+   * machine reads.
+   */
   public long unixMillis(long micros) {
     return epochMillis + micros / Agenda.MILLI;
   }
 
+  /** Returns the Unix time at which the run began. */
   public long epochMillis() {
     return epochMillis;
   }
 
-  /** Time begins only now, at this Unix time. */
+  /** Sets the Unix time at which the run began. */
   public void setEpochMillis(long unixMillis) {
     epochMillis = unixMillis;
   }
@@ -102,20 +109,24 @@
     return loadBalancer;
   }
 
-  public void loadBalancer(UpstreamLoadBalancer layer) {
-    loadBalancer = layer;
+  public void loadBalancer(UpstreamLoadBalancer balancer) {
+    loadBalancer = balancer;
   }
 
-  /** All stream hosts by their names, in a fixed order. */
+  /** Returns all stream hosts by their names, in a fixed order. */
   public Map<String, StreamHost> hosts() {
     return hosts;
   }
 
+  /** Publishes an event to the trace's listeners. */
   public void publish(Event event) {
     trace.publish(event);
   }
 
-  /** A machine at 10.{group}.0.{number}; no name is looked up. */
+  /**
+   * Creates a machine with the address 10.{group}.{number / 256}.{number % 256}; no name is
+   * resolved.
+   */
   public Machine machine(String name, String zone, int group, int number) {
     try {
       InetAddress address =
--- a/src/main/java/brassbank/sim/actor/package-info.java
+++ b/src/main/java/brassbank/sim/actor/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Those whom a proxy meets: stream hosts, discovery, the front layer, usual and bad clients. They
- * follow the platform's protocol page with code of their own: nothing here reads a line or a list
- * with the proxy's code, so that the two readers of one protocol check each other. Uses {@code
- * sim.net}, {@code sim.event} and {@code sim.time}.
+ * The simulated actors that a proxy communicates with: stream hosts, discovery, the load balancer
+ * in front of the proxies, regular and bad clients. They implement the platform's protocol in code
+ * of their own: nothing here parses a line or a list with the proxy's code, so that two independent
+ * implementations check each other. Uses {@code sim.net}, {@code sim.event} and {@code sim.time}.
  */
 package brassbank.sim.actor;
--- a/src/main/java/brassbank/sim/check/AttemptLimit.java
+++ b/src/main/java/brassbank/sim/check/AttemptLimit.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * No flow costs the stream hosts more attempts than are allowed, over all proxies and their lives.
+ * No flow causes more attempts at the stream hosts than are allowed, counted over all proxies and
+ * all incarnations of their processes.
  */
 final class AttemptLimit extends Rule {
   private final Checks.RuleParameters figures;
--- a/src/main/java/brassbank/sim/check/BadClientsRejected.java
+++ b/src/main/java/brassbank/sim/check/BadClientsRejected.java
@@ -6,7 +6,7 @@
 
 /**
  * A bad client is answered {@code ERR} or {@code BUSY}, or closed, within 3 s of connecting (6 s
- * where it has much to send), and never served.
+ * where it sends much data), and is never served.
  */
 final class BadClientsRejected extends Rule {
   private record Bad(String proxy, String kind, long since, long limitMicros) {}
@@ -26,7 +26,7 @@
       Bad bad = open.remove(settled.client());
       String line = settled.line();
       if (bad != null && !line.isEmpty() && !line.matches("(ERR|BUSY)( .*)?")) {
-        reportBreach(now, settled.client() + " (" + bad.kind() + ") was told '" + line + "'");
+        reportBreach(now, settled.client() + " (" + bad.kind() + ") was answered '" + line + "'");
       }
     } else if (event instanceof Event.ProxyKilled killed) {
       open.values().removeIf(bad -> bad.proxy().equals(killed.proxy()));
@@ -45,7 +45,7 @@
                       groundTruth.proxyCalmSince(bad.proxy())));
           if (now - from > bad.limitMicros() + groundTruth.slack()) {
             reportBreach(
-                now, client + " (" + bad.kind() + ") has had neither an answer nor an end");
+                now, client + " (" + bad.kind() + ") was neither answered nor closed in time");
           }
         });
   }
--- a/src/main/java/brassbank/sim/check/Breach.java
+++ b/src/main/java/brassbank/sim/check/Breach.java
@@ -1,11 +1,11 @@
 package brassbank.sim.check;
 
 /**
- * A rule that was broken.
+ * A breach of a rule.
  *
  * @param rule the rule's name
- * @param atMicros microseconds of the run
- * @param description what was seen, for a reader of the trace
+ * @param atMicros when it happened, in microseconds of virtual time
+ * @param description what was observed, for a reader of the trace
  */
 public record Breach(String rule, long atMicros, String description) {
   @Override
--- a/src/main/java/brassbank/sim/check/Checks.java
+++ b/src/main/java/brassbank/sim/check/Checks.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** All rules of a run, and what they found. */
+/** Evaluates the rules of a run and collects their breaches. */
 public final class Checks implements Trace.Listener {
-  /** How often time alone is looked at, in microseconds. */
+  /** How often {@link #onTick} is to be called, in microseconds. */
   public static final long TICK_MICROS = 50_000;
 
   private static final int MAX_BREACHES = 20;
@@ -27,22 +27,22 @@
         });
   }
 
-  /** Every rule there is; {@code figures} are the site's. */
-  public static List<Rule> commonRules(RuleParameters figures) {
+  /** Returns the rules that hold in every run. */
+  public static List<Rule> commonRules(RuleParameters parameters) {
     return List.of(
-        new SingleTimelyAnswer(figures),
+        new SingleTimelyAnswer(parameters),
         new AnswerProvenance(),
         new SingleAttemptInFlight(),
-        new AttemptLimit(figures),
-        new NoDuplicateEffect(figures),
-        new PromptFinalAnswer(figures),
-        new DrainRespected(figures),
+        new AttemptLimit(parameters),
+        new NoDuplicateEffect(parameters),
+        new PromptFinalAnswer(parameters),
+        new DrainRespected(parameters),
         new NoColdHostOverload(),
         new ColdHostCalls(),
-        new HostRequestRate(HostRequestRate.Operation.PROBES, figures),
-        new HostRequestRate(HostRequestRate.Operation.CONNECTS, figures),
-        new HostRequestRate(HostRequestRate.Operation.SETUPS, figures),
-        new DiscoveryCallRate(figures),
+        new HostRequestRate(HostRequestRate.Operation.PROBES, parameters),
+        new HostRequestRate(HostRequestRate.Operation.CONNECTS, parameters),
+        new HostRequestRate(HostRequestRate.Operation.SETUPS, parameters),
+        new DiscoveryCallRate(parameters),
         new LineIntegrity(),
         new NoUnannouncedDisconnect(),
         new NoOrphanedClient(),
@@ -52,41 +52,48 @@
         new PlannedShutdown(),
         new StandbyDrained(),
         new SingleAcceptor(),
-        new DescriptorUse(figures),
+        new DescriptorUse(parameters),
         new NoTaskFailure(),
-        new Recovery(figures));
+        new Recovery(parameters));
   }
 
-  /** Those that a fleet with a view of itself has beside them. */
-  public static List<Rule> membershipRules(RuleParameters figures, boolean shares) {
+  /** Returns the rules that hold in addition in a fleet whose proxies keep a membership view. */
+  public static List<Rule> membershipRules(RuleParameters parameters, boolean shares) {
     return List.of(
-        new FailureDetection(figures),
+        new FailureDetection(parameters),
         new NoFalseFailure(),
-        new ViewConvergence(figures),
+        new ViewConvergence(parameters),
         new ViewMonotonicity(),
-        new MembershipTrafficRate(figures, shares));
+        new MembershipTrafficRate(parameters, shares));
   }
 
-  /** Those that a fleet has besides whose proxies share its budgets. */
-  public static List<Rule> sharedBudgetRules(RuleParameters figures) {
-    return List.of(new ColdHostSlots(figures), new SingleDrain());
+  /** Returns the rules that hold in addition in a fleet whose proxies share its budgets. */
+  public static List<Rule> sharedBudgetRules(RuleParameters parameters) {
+    return List.of(new ColdHostSlots(parameters), new SingleDrain());
   }
 
-  /** Those that a fleet has besides whose proxies ask a part of the hosts each. */
-  public static List<Rule> subsetRules(RuleParameters figures) {
-    return List.of(new SubsetFanIn(figures), new SubsetAvailability(figures));
+  /**
+   * Returns the rules that hold in addition in a fleet whose proxies use a subset of the hosts
+   * each.
+   */
+  public static List<Rule> subsetRules(RuleParameters parameters) {
+    return List.of(new SubsetFanIn(parameters), new SubsetAvailability(parameters));
   }
 
   /**
-   * The site's figures that rules need, in microseconds where they are times.
+   * The figures of a site that the rules need, in microseconds where they are times.
    *
+   * @param answerSlack by how much an answer may exceed its deadline
+   * @param drainGrace how long after the report of a drain a proxy may still use the host
    * @param maxAttempts attempts that a flow may have
-   * @param descriptorsAreScarce there may be fewer descriptors than the usual clients need
-   * @param demand what the usual clients ask for together, over what the fleet can do once warm
-   * @param minProxiesPerHost by how many proxies a host is asked at least, where they choose among
-   *     hosts
-   * @param repeats how flows of each class may be repeated; a class that is missing, at any time
-   * @param recovery how long after the last fault everything must be sound again
+   * @param minProxiesPerHost the least number of proxies that use a host, where proxies use subsets
+   * @param recovery how long after the last fault the system must have recovered
+   * @param descriptorsAreScarce whether a proxy may have fewer descriptors than the regular clients
+   *     need
+   * @param demand the load that the regular clients ask for together, relative to the capacity of
+   *     all hosts once they are warm
+   * @param repeats the repetition rule of each class; requests of a class without one may be
+   *     repeated at any time
    */
   public record RuleParameters(
       long answerSlack,
@@ -103,8 +110,9 @@
   /**
    * Whether a flow may be sent again once it may have run.
    *
-   * @param never it may not
-   * @param window else for how long, in microseconds from the first attempt that may have run
+   * @param never it may not be sent again
+   * @param window otherwise, for how long it may be, in microseconds from the first attempt that
+   *     may have run
    */
   public record Repeat(boolean never, long window) {}
 
@@ -115,13 +123,17 @@
     }
   }
 
-  /** To be called every {@link #TICK_MICROS}. */
+  /**
+   * Lets the rules check what depends on time alone. The caller calls it every {@link
+   * #TICK_MICROS}.
+   */
   public void onTick(long now) {
     for (Rule rule : rules) {
       rule.onTick(now);
     }
   }
 
+  /** Lets the rules check what can be judged at the end of a run only. */
   public void onEnd(long now) {
     for (Rule rule : rules) {
       rule.onEnd(now);
@@ -135,12 +147,12 @@
     }
   }
 
-  /** How often each rule was broken so far, in the rules' order. */
+  /** Returns how often each rule was broken so far, in the order of the rules. */
   public Map<String, Integer> breachCounts() {
     return breachCounts;
   }
 
-  /** What was broken so far, in the order of time; no more than the first twenty. */
+  /** Returns the first twenty breaches so far, in the order of time. */
   public List<Breach> breaches() {
     return breaches;
   }
--- a/src/main/java/brassbank/sim/check/ColdHostCalls.java
+++ b/src/main/java/brassbank/sim/check/ColdHostCalls.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 
 /**
- * A cold host gets no more calls within the time that counts for its fall than its budget and what
- * chance may add, whoever sent them: beyond N, twice the root of N and two (STANDING). Counted
- * where they arrive, of proxies that knew of its start.
+ * Limits the attempts that a cold host receives from all proxies to which discovery had reported
+ * its start. Within the window that decides on its failure it receives at most N + 2 sqrt(N) + 2,
+ * where N is its budget and the rest allows for chance. Attempts are counted where they arrive.
  */
 final class ColdHostCalls extends Rule {
-  /** Those that it was broken at since they started. */
+  /** Hosts for which a breach was reported since their last start. */
   private final Set<String> reported = new HashSet<>();
 
   ColdHostCalls() {
--- a/src/main/java/brassbank/sim/check/ColdHostSlots.java
+++ b/src/main/java/brassbank/sim/check/ColdHostSlots.java
@@ -3,15 +3,17 @@
 import brassbank.sim.event.Event;
 
 /**
- * A cold host's places are the fleet's: in the time that counts for its fall all proxies that know
- * of its start send it no more attempts than a budget and one each (docs/shares.md has the proof).
- * Counted where they arrive.
+ * Limits the attempts that a cold host receives from all proxies together. Within the window that
+ * decides on its failure, the proxies to which discovery had reported its start send it at most its
+ * budget and one attempt each; docs/shares.md has the proof. Attempts are counted where they
+ * arrive.
  */
 final class ColdHostSlots extends Rule {
   /**
-   * What proxies take the host's budget for, over what the host knows it to be: they guess how long
-   * sessions live and how much they ask. Seen, less one for each proxy: 1.3 where clients came
-   * three times as fast as hosts could take them; with a budget that each takes for his own, 3.4.
+   * Tolerated ratio of the budget that proxies estimate to the budget that the host itself knows:
+   * proxies estimate how long sessions live and how much load they add. Measured, after one attempt
+   * for each proxy is deducted: 1.3 where clients arrived three times as fast as hosts could take
+   * them, and 3.4 where each proxy used the whole budget for itself.
    */
   private static final double ESTIMATE_FACTOR = 2;
 
@@ -25,15 +27,15 @@
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.ColdHostAsked asked) {
-      double most = figures.proxies() + ESTIMATE_FACTOR * asked.bears();
-      if (asked.placed() > most) {
+      double maxAttempts = figures.proxies() + ESTIMATE_FACTOR * asked.bears();
+      if (asked.placed() > maxAttempts) {
         reportBreach(
             now,
             asked.host()
                 + " was sent "
                 + asked.placed()
                 + " attempts while it is cold, and "
-                + (int) most
+                + (int) maxAttempts
                 + " are allowed");
       }
     }
--- a/src/main/java/brassbank/sim/check/DescriptorUse.java
+++ b/src/main/java/brassbank/sim/check/DescriptorUse.java
@@ -6,16 +6,18 @@
 import java.util.Map;
 
 /**
- * A proxy never meets its limit of descriptors, and gives back what it no longer needs: beside two
- * for each connection that stands or waits it holds no more than its probes and its calls need.
+ * A proxy never reaches its limit of descriptors, and releases those that it no longer needs: in
+ * addition to two for each open or waiting connection it holds no more than its probes and its
+ * calls need.
  */
 final class DescriptorUse extends Rule {
-  /** What is ended may linger for so long. */
+  /** A closed connection may keep its descriptor for this time. */
   private static final long LINGER_MICROS = 8 * SECOND;
 
-  /** Idle connections of probes for each host, and a few calls and closings. */
+  /** Idle probe connections to each host. */
   private static final int DESCRIPTORS_PER_HOST = 4;
 
+  /** Listening sockets, calls to discovery and connections that are being closed. */
   private static final int BASE_DESCRIPTORS = 70;
 
   private final Checks.RuleParameters figures;
--- a/src/main/java/brassbank/sim/check/DisconnectRelayed.java
+++ b/src/main/java/brassbank/sim/check/DisconnectRelayed.java
@@ -5,11 +5,13 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A connection that its stream host has ended is ended or moved within a second. */
+/**
+ * When a stream host ends a connection, the client's connection is ended or moved within a second.
+ */
 final class DisconnectRelayed extends Rule {
   private static final long MAX_DELAY_MICROS = SECOND;
 
-  /** Flows that wait or stand, with their proxies. */
+  /** Proxies of the flows that wait for an answer or are established, by flow. */
   private final Map<String, String> proxyOfFlow = new HashMap<>();
 
   private final Map<String, Long> servedAt = new HashMap<>();
@@ -30,7 +32,7 @@
         hostEndedAt.put(end.flow(), now);
       }
     } else if (event instanceof Event.AttemptArrived again && !again.givenUp()) {
-      // What has ended was an attempt, and another has followed.
+      // What the host ended was an attempt, and another attempt has followed.
       hostEndedAt.remove(again.flow());
     } else if (event instanceof Event.FlowAnswered answered && !answered.line().startsWith("UP")) {
       forget(answered.flow());
@@ -69,7 +71,11 @@
                   Math.max(groundTruth.clientCalmSince(flow), groundTruth.hostCalmSince(flow)));
           if (now - from > MAX_DELAY_MICROS + groundTruth.slack()) {
             reportBreach(
-                now, flow + " was ended by its host at " + at / 1e6 + " s and still stands");
+                now,
+                flow
+                    + " was ended by its host at "
+                    + at / 1e6
+                    + " s, and its client's connection is still open");
           }
         });
   }
--- a/src/main/java/brassbank/sim/check/DiscoveryCallRate.java
+++ b/src/main/java/brassbank/sim/check/DiscoveryCallRate.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 
 /**
- * No proxy calls discovery more than so many times a second, nor all of them together: it handles
- * calls one after another, four to six a second, and turns away who has waited.
+ * Limits the calls per second that discovery receives, from each proxy and from all together.
+ * Discovery handles four to six calls a second, one after another, and rejects calls that have
+ * waited too long.
  */
 final class DiscoveryCallRate extends Rule {
-  /** Seen of one proxy whose calls are refused at once: 7. */
+  /** A proxy whose calls are rejected at once reached 7. */
   private static final int MAX_CALLS_PER_PROXY = 8;
 
-  /** Seen at a start of 3 proxies: 12; of 56: 32. */
+  /** A simultaneous start of 3 proxies reached 12, of 56 proxies 32. */
   private static final int MAX_TOTAL_CALLS_PER_PROXY = 4;
 
   private static final int MAX_TOTAL_CALLS_BASE = 8;
@@ -29,20 +30,21 @@
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.ListCalled call) {
-      int own = calls.computeIfAbsent(call.proxy(), p -> new SlidingWindowCounter()).add(now);
-      int together = allCalls.add(now);
-      int most = MAX_TOTAL_CALLS_PER_PROXY * figures.proxies() + MAX_TOTAL_CALLS_BASE;
-      if (own > MAX_CALLS_PER_PROXY) {
-        reportBreach(now, call.proxy() + " has called discovery " + own + " times within a second");
-      } else if (together > most) {
+      int ofProxy = calls.computeIfAbsent(call.proxy(), p -> new SlidingWindowCounter()).add(now);
+      int total = allCalls.add(now);
+      int maxTotal = MAX_TOTAL_CALLS_PER_PROXY * figures.proxies() + MAX_TOTAL_CALLS_BASE;
+      if (ofProxy > MAX_CALLS_PER_PROXY) {
+        reportBreach(
+            now, call.proxy() + " has called discovery " + ofProxy + " times within a second");
+      } else if (total > maxTotal) {
         reportBreach(
             now,
             "discovery was called "
-                + together
+                + total
                 + " times within a second, last by "
                 + call.proxy()
                 + ", and "
-                + most
+                + maxTotal
                 + " are allowed");
       }
     }
--- a/src/main/java/brassbank/sim/check/DrainRespected.java
+++ b/src/main/java/brassbank/sim/check/DrainRespected.java
@@ -8,9 +8,10 @@
 import java.util.Set;
 
 /**
- * Nothing is sent to a stream host later than the grace after the proxy was told that it drains or
- * is gone. Told is what discovery has written to the proxy, and what it has had to tell for 6 s
- * while it worked and could be reached (4 s after a SIGHUP).
+ * Nothing is sent to a stream host later than the grace period after its drain or removal was
+ * reported to the proxy. It counts as reported once discovery has written it to the proxy, or once
+ * discovery has known it for 6 s while it worked and could be reached by the proxy (4 s after a
+ * SIGHUP).
  */
 final class DrainRespected extends Rule {
   private static final long ASSUMED_REPORTED_MICROS = 6 * SECOND;
@@ -43,9 +44,9 @@
       } else {
         unavailableSince.putIfAbsent(listed.host(), now);
       }
-    } else if (event instanceof Event.Told told) {
-      Pair pair = new Pair(told.proxy(), told.host());
-      if (told.status().equals("SERVING")) {
+    } else if (event instanceof Event.Told report) {
+      Pair pair = new Pair(report.proxy(), report.host());
+      if (report.status().equals("SERVING")) {
         reportedAt.remove(pair);
       } else {
         reportedAt.putIfAbsent(pair, now);
@@ -56,9 +57,10 @@
   }
 
   private void checkAttempt(long now, Event.AttemptArrived arrived) {
-    Long told = reportedAt.get(new Pair(arrived.proxy(), arrived.host()));
-    if (told != null && arrived.firstByteAt() > told + figures.drainGrace() + groundTruth.slack()) {
-      long late = (arrived.firstByteAt() - told) / MILLI;
+    Long reported = reportedAt.get(new Pair(arrived.proxy(), arrived.host()));
+    if (reported != null
+        && arrived.firstByteAt() > reported + figures.drainGrace() + groundTruth.slack()) {
+      long late = (arrived.firstByteAt() - reported) / MILLI;
       reportBreach(
           now,
           arrived.flow()
@@ -68,7 +70,7 @@
               + late
               + " ms after "
               + arrived.proxy()
-              + " was told that it leaves");
+              + " had received the report of its drain or removal");
     }
   }
 
@@ -81,11 +83,11 @@
                   long reachable =
                       Math.max(Math.max(since, started), groundTruth.discoverySoundSince(proxy));
                   long hungUp = hungUpAt.getOrDefault(proxy, -1L);
-                  boolean told =
+                  boolean isAssumed =
                       hungUp > reachable
                           ? now - hungUp >= ASSUMED_AFTER_HANGUP_MICROS
                           : now - reachable >= ASSUMED_REPORTED_MICROS;
-                  if (told) {
+                  if (isAssumed) {
                     reportedAt.putIfAbsent(new Pair(proxy, host), now);
                   }
                 }));
--- a/src/main/java/brassbank/sim/check/FailureDetection.java
+++ b/src/main/java/brassbank/sim/check/FailureDetection.java
@@ -6,12 +6,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Whoever does not run is not there in each view of those that do, within a time. */
+/** A proxy that does not run is, within a time limit, not live in the view of any running proxy. */
 final class FailureDetection extends Rule {
-  /** Seen at 14 members: 2.9 s in 4,000 crashes. */
+  /** In 4,000 crashes among 14 members the slowest detection took 2.9 s. */
   private static final long DETECTION_MICROS = 8 * SECOND;
 
-  /** One that is left alone finds out about all others by itself; seen for 13: 13.5 s. */
+  /**
+   * A member that remains alone detects all other failures by itself; for 13 failed members that
+   * took 13.5 s.
+   */
   private static final long MICROS_PER_FAILURE = SECOND;
 
   private final Checks.RuleParameters figures;
@@ -56,7 +59,7 @@
     for (String name : view.liveMembers()) {
       Long down = downSince.get(name);
       if (down != null && now - Math.max(down, since) > within && reported.add(viewer + name)) {
-        reportBreach(now, viewer + " takes " + name + " for there, which is gone since " + down);
+        reportBreach(now, viewer + " holds " + name + " to be live, which stopped at " + down);
       }
     }
   }
--- a/src/main/java/brassbank/sim/check/FaultFreePeriod.java
+++ b/src/main/java/brassbank/sim/check/FaultFreePeriod.java
@@ -4,9 +4,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Whether no fault is on, and none was for so long; not before the fleet has met either. */
+/**
+ * Tells whether the run is free of faults: no fault is active, the last fault and the last start or
+ * stop of a proxy are at least {@code recoveryMicros} ago, and the fleet has formed.
+ */
 final class FaultFreePeriod {
-  /** Proxies that start together know each other by then. */
+  /** Proxies that start together know each other after this time. */
   private static final long FORMATION_MICROS = 6_000_000;
 
   private final long recoveryMicros;
@@ -17,7 +20,10 @@
     this.recoveryMicros = recovery;
   }
 
-  /** Whether a proxy comes or goes. */
+  /**
+   * Returns whether the event is the start or the end of a proxy's process, or the beginning of its
+   * shutdown.
+   */
   static boolean isFleetChange(Event event) {
     return event instanceof Event.ProxyStarted
         || event instanceof Event.ProxyTerminated
@@ -36,6 +42,7 @@
     }
   }
 
+  /** Returns whether the run is free of faults at {@code now}. */
   boolean isActive(long now) {
     return activeFaults.isEmpty() && now >= startsAt;
   }
--- a/src/main/java/brassbank/sim/check/GroundTruth.java
+++ b/src/main/java/brassbank/sim/check/GroundTruth.java
@@ -4,71 +4,80 @@
 import java.util.List;
 import java.util.Set;
 
-/** What no proxy can know and the rules must, to blame no one for what the network did. */
+/**
+ * Facts about the run that no proxy can know and that rules need, so that a proxy is not blamed for
+ * what the network or another actor did.
+ */
 public interface GroundTruth {
-  /** PROTOCOL, The rules on sockets: each time limit is extended by this. */
+  /** The protocol's allowance for delays of sockets, which extends each time limit. */
   long SOCKET_SLACK_MICROS = 50_000;
 
   /**
-   * What each time limit is extended by here; more than the protocol's on a machine that others
-   * use.
+   * Returns by how much each time limit is extended in this run, in microseconds: more than the
+   * protocol's allowance on a machine that other programs use.
    */
   default long slack() {
     return SOCKET_SLACK_MICROS;
   }
 
-  /** Since when neither the network nor the client has held up the client's connection. */
+  /** Returns since when neither the network nor the client has delayed the client's connection. */
   long clientCalmSince(String flow);
 
-  /** Since when neither the network nor the stream host has held up its connection. */
+  /**
+   * Returns since when neither the network nor the stream host has delayed the host's connection.
+   */
   long hostCalmSince(String flow);
 
-  /** Since when nothing has kept this proxy's process from running. */
+  /** Returns since when nothing has kept this proxy's process from running. */
   long proxyCalmSince(String proxy);
 
-  /** Since when discovery has worked, and could be reached by this proxy. */
+  /** Returns since when discovery has worked and could be reached by this proxy. */
   long discoverySoundSince(String proxy);
 
-  /** Names of the proxies that run as members of the fleet. */
+  /** Returns the names of the proxies that run as members of the fleet. */
   default Set<String> runningMembers() {
     return Collections.emptySet();
   }
 
   /**
-   * Since when two members have run, and could hear each other, straight or by a third, whatever
-   * the rules take for a way; Long.MAX_VALUE while it is not so.
+   * Returns since when two members have run and could reach each other, directly or through a
+   * third, by the loss and delay that membership has to tolerate; {@link Long#MAX_VALUE} while they
+   * cannot.
    */
   default long mutuallyReachableSince(String one, String other) {
     return Long.MAX_VALUE;
   }
 
-  /** Datagrams that this proxy has sent so far, and bytes in them. */
+  /** Returns the number of datagrams that this proxy has sent so far, and of bytes in them. */
   default long[] datagrams(String proxy) {
     return new long[2];
   }
 
-  /** The zone that a proxy or a stream host is in. */
+  /** Returns the zone of a proxy or a stream host. */
   default String zone(String name) {
     return "";
   }
 
-  /** Whether most hosts of a proxy's zone have served for so long, and have room. */
+  /**
+   * Returns whether most hosts of a proxy's zone have served for {@code forMicros} and have
+   * capacity.
+   */
   default boolean zoneHasCapacity(String proxy, long forMicros) {
     return false;
   }
 
-  /** Descriptors that this proxy holds now. */
+  /** Returns the number of descriptors that this proxy holds. */
   int descriptors(String proxy);
 
-  /** Descriptors that this proxy may hold. */
+  /** Returns the number of descriptors that this proxy may hold. */
   int descriptorLimit(String proxy);
 
-  /** Load asked of all stream hosts that serve, over what they can do now. */
+  /** Returns the load on all serving stream hosts, relative to their current capacity. */
   double fleetLoad();
 
   /**
-   * Names of the stream hosts that have served for so long, have room, and stand in a zone that a
-   * proxy serves: of another zone a proxy takes hosts only as a last resort.
+   * Returns the names of the stream hosts that have served for {@code forMicros}, have capacity,
+   * and are in the zone of a proxy: a proxy uses hosts of another zone only as a last resort.
    */
   List<String> usableHosts(long forMicros);
 }
--- a/src/main/java/brassbank/sim/check/HostRequestRate.java
+++ b/src/main/java/brassbank/sim/check/HostRequestRate.java
@@ -5,18 +5,19 @@
 import java.util.Map;
 
 /**
- * All proxies together ask one stream host, connect to it or set sessions up there no more often
- * than so many times a second: some for each proxy, and some for the flows that came meanwhile,
- * since a flow that has failed at a host may have it asked, and one that goes there needs a
- * connection. Flows that waited for a host may all go there at once when it is back.
+ * Limits how many probes, connects or session set-ups one stream host receives per second from all
+ * proxies together. The limit has a part for each proxy and a part for the flows that arrived
+ * within a window, since a flow that failed at a host may cause a probe, and a flow that is sent
+ * there needs a connection. Flows that waited for a host may all be sent to it at once when it
+ * returns.
  */
 final class HostRequestRate extends Rule {
-  /** A flow waits for a host no longer than its deadline. */
+  /** The longest time for which a flow waits for a host: its deadline. */
   private static final long MAX_WAIT_MICROS = 5 * SECOND;
 
-  /** What is counted, and by what it is bounded. */
+  /** An operation that is counted, with the parts of its limit. */
   enum Operation {
-    /** Seen of one proxy in a second, without flows that fail: 3. */
+    /** One proxy reached 3 probes in a second where no flow failed. */
     PROBES("probes", "was asked", 4, 0.5, SECOND),
     CONNECTS("connects", "was connected to", 8, 1, MAX_WAIT_MICROS),
     SETUPS("set-ups", "was sent flows", 4, 1, MAX_WAIT_MICROS);
@@ -53,7 +54,7 @@
     if (event instanceof Event.FlowSent) {
       flows.add(now);
     } else if (operation == Operation.PROBES && event instanceof Event.ProbeArrived probe) {
-      // What was held up on its way, and arrives all at once, is not counted.
+      // Probes that the network delayed and then delivered together are not counted.
       if (now - probe.calmSince() > SECOND) {
         count(now, probe.host(), probe.proxy());
       }
@@ -66,9 +67,9 @@
 
   private void count(long now, String host, String proxy) {
     int count = counts.computeIfAbsent(host, h -> new SlidingWindowCounter()).add(now);
-    int most =
+    int maxCount =
         operation.perProxy * figures.proxies() + (int) (operation.perFlow * flows.count(now));
-    if (count > most) {
+    if (count > maxCount) {
       reportBreach(
           now,
           host
@@ -79,7 +80,7 @@
               + " times within a second, last by "
               + proxy
               + ", and "
-              + most
+              + maxCount
               + " are allowed");
     }
   }
--- a/src/main/java/brassbank/sim/check/LineIntegrity.java
+++ b/src/main/java/brassbank/sim/check/LineIntegrity.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * On a standing connection no byte is lost, invented or reordered, and no line is held for over a
- * second.
+ * On an established connection no byte is lost, invented or reordered, and no line is delayed for
+ * more than a second.
  */
 final class LineIntegrity extends Rule {
   private static final long MAX_HOLD_MICROS = SECOND;
@@ -23,7 +23,7 @@
   private final Map<Direction, Deque<Line>> unread = new LinkedHashMap<>();
   private final Map<String, String> proxies = new HashMap<>();
 
-  /** Ways whose further end is gone: what is still sent there may be lost. */
+  /** Directions whose receiving end is closed: lines still sent there may be lost. */
   private final Set<Direction> closed = new HashSet<>();
 
   LineIntegrity() {
@@ -33,18 +33,23 @@
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.LineSent sent) {
-      Direction way = new Direction(sent.flow(), sent.byClient());
-      if (!closed.contains(way)) {
-        unread.computeIfAbsent(way, w -> new ArrayDeque<>()).add(new Line(now, sent.line()));
+      Direction direction = new Direction(sent.flow(), sent.byClient());
+      if (!closed.contains(direction)) {
+        unread.computeIfAbsent(direction, d -> new ArrayDeque<>()).add(new Line(now, sent.line()));
       }
     } else if (event instanceof Event.LineArrived arrived) {
       lineArrived(now, arrived);
     } else if (event instanceof Event.FlowSent sent) {
       proxies.put(sent.flow(), sent.proxy());
     } else if (event instanceof Event.ClientSawEnd end) {
-      Deque<Line> left = unread.get(new Direction(end.flow(), false));
-      if (end.served() && !end.reset() && end.byHost() && left != null && !left.isEmpty()) {
-        reportBreach(now, end.flow() + " ended and lost '" + abbreviate(left.peek().text()) + "'");
+      Deque<Line> undelivered = unread.get(new Direction(end.flow(), false));
+      if (end.served()
+          && !end.reset()
+          && end.byHost()
+          && undelivered != null
+          && !undelivered.isEmpty()) {
+        reportBreach(
+            now, end.flow() + " ended and lost '" + abbreviate(undelivered.peek().text()) + "'");
       }
       forget(end.flow());
     } else if (event instanceof Event.ClientLeft left) {
@@ -65,15 +70,15 @@
     proxies.remove(flow);
   }
 
-  private void forget(Direction way) {
-    closed.add(way);
-    unread.remove(way);
+  private void forget(Direction direction) {
+    closed.add(direction);
+    unread.remove(direction);
   }
 
   private void lineArrived(long now, Event.LineArrived arrived) {
     Deque<Line> expected = unread.get(new Direction(arrived.flow(), arrived.byClient()));
     if (expected == null) {
-      // The other end may have left meanwhile: then what it sent is no longer kept.
+      // The sending end may have closed meanwhile; then its lines are no longer tracked.
       if (!closed.contains(new Direction(arrived.flow(), arrived.byClient()))) {
         reportBreach(
             now, arrived.flow() + ": '" + abbreviate(arrived.line()) + "' came and was not sent");
@@ -122,9 +127,9 @@
   @Override
   void onTick(long now) {
     unread.forEach(
-        (way, lines) -> {
+        (direction, lines) -> {
           if (now - lines.peek().sentAt() > MAX_HOLD_MICROS + groundTruth.slack()) {
-            checkHold(now, way.flow(), lines.peek());
+            checkHold(now, direction.flow(), lines.peek());
           }
         });
   }
--- a/src/main/java/brassbank/sim/check/MembershipTrafficRate.java
+++ b/src/main/java/brassbank/sim/check/MembershipTrafficRate.java
@@ -6,15 +6,24 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a member sends in a second is bounded, whatever it hears. */
+/** Limits the datagrams and bytes that a member sends in a second, whatever it receives. */
 final class MembershipTrafficRate extends Rule {
-  /** 10 in a calm second; news to three others on each beat, answers, notices. */
+  /**
+   * A member sends 10 datagrams in an undisturbed second. Under load it sends updates to three
+   * others in each period, answers and notices.
+   */
   private static final int MAX_DATAGRAMS = 400;
 
-  /** 650 bytes in a calm second; a whole view and news in a storm. */
+  /**
+   * A member sends 650 bytes in an undisturbed second; when many members change, it sends a whole
+   * view and updates.
+   */
   private static final int MAX_BYTES = 128 * 1024;
 
-  /** With shares besides: it asks fifteen keepers, or answers all, each 0.3 s. */
+  /**
+   * Lease grantors that a member asks every 0.3 s where the fleet shares its budgets; as a grantor
+   * it also answers all members.
+   */
   private static final int LEASE_GRANTORS = 15;
 
   private static final int LEASE_DATAGRAMS_PER_PEER = 4;
@@ -27,15 +36,16 @@
 
   MembershipTrafficRate(Checks.RuleParameters figures, boolean shares) {
     super("datagrams and bytes a second of one member");
-    int seats = shares ? LEASE_DATAGRAMS_PER_PEER * (figures.proxies() + LEASE_GRANTORS) : 0;
-    maxDatagrams = MAX_DATAGRAMS + seats;
-    // Each names at most all ranks, with a byte and a bit for each.
-    maxBytes = MAX_BYTES + seats * (64 + 2 * figures.proxies());
+    int leaseDatagrams =
+        shares ? LEASE_DATAGRAMS_PER_PEER * (figures.proxies() + LEASE_GRANTORS) : 0;
+    maxDatagrams = MAX_DATAGRAMS + leaseDatagrams;
+    // Each lease message names at most all ranks, with a byte and a bit for each of them.
+    maxBytes = MAX_BYTES + leaseDatagrams * (64 + 2 * figures.proxies());
   }
 
   @Override
   void onEvent(long now, Event event) {
-    // Time alone is looked at.
+    // This rule is checked on ticks only.
   }
 
   @Override
@@ -49,9 +59,9 @@
       }
       long datagrams = sent[0] - last.peek().datagrams();
       long bytes = sent[1] - last.peek().bytes();
-      // What was held up by a stop comes at once after it.
-      boolean calm = now - groundTruth.proxyCalmSince(name) > SECOND;
-      if (calm && (datagrams > maxDatagrams || bytes > maxBytes)) {
+      // Datagrams that a paused process could not send go out together after the pause.
+      boolean undisturbed = now - groundTruth.proxyCalmSince(name) > SECOND;
+      if (undisturbed && (datagrams > maxDatagrams || bytes > maxBytes)) {
         last.clear();
         reportBreach(
             now, name + " has sent " + datagrams + " datagrams, " + bytes + " bytes, in a second");
--- a/src/main/java/brassbank/sim/check/NoColdHostOverload.java
+++ b/src/main/java/brassbank/sim/check/NoColdHostOverload.java
@@ -3,14 +3,15 @@
 import brassbank.sim.event.Event;
 
 /**
- * No cold host is pushed over: it fell, and two thirds of what pushed it came from proxies that
- * knew of its start. Nor do these ask it, all together, for more than a share of what it bears: its
- * budget is the fleet's, and nobody may rest on luck.
+ * No cold host fails under overload when two thirds or more of the load came from proxies to which
+ * discovery had reported its start. Nor may these proxies together ask for more than a fixed share
+ * of what a cold host withstands, so that a missing bound on the fleet's budget is found even where
+ * the host survives.
  */
 final class NoColdHostOverload extends Rule {
   private static final double MAX_INFORMED_SHARE = 2.0 / 3;
 
-  /** The worst seen in each of 141 plays: 0.25 or less in all but one, 0.55 there. */
+  /** The maximum over a run was 0.25 or less in 140 of 141 runs, and 0.55 in the other. */
   private static final double MAX_LOAD_SHARE = 0.8;
 
   NoColdHostOverload() {
@@ -20,14 +21,14 @@
   @Override
   void onEvent(long now, Event event) {
     if (event instanceof Event.HostFellOver fell && fell.told() >= MAX_INFORMED_SHARE) {
-      reportBreach(now, fell.host() + " fell over while it was cold");
+      reportBreach(now, fell.host() + " failed under overload while it was cold");
     } else if (event instanceof Event.ColdHostAsked asked && asked.share() > MAX_LOAD_SHARE) {
       reportBreach(
           now,
           asked.host()
               + " is asked for "
               + Math.round(100 * asked.share())
-              + "% of what it bears while it is cold, by all proxies together");
+              + "% of what it withstands while it is cold, by all proxies together");
     }
   }
 }
--- a/src/main/java/brassbank/sim/check/NoDuplicateEffect.java
+++ b/src/main/java/brassbank/sim/check/NoDuplicateEffect.java
@@ -5,20 +5,22 @@
 import java.util.Map;
 
 /**
- * A flow that may have run is not sent again, nor told that trying again is harmless, but where its
- * class allows that: in its window, or never. What a stream host has turned away has not run.
+ * A flow that may have run is neither sent again nor answered that a repeat is harmless, unless its
+ * class allows that: within its window, or not at all. A flow that a stream host has rejected has
+ * not run.
  */
 final class NoDuplicateEffect extends Rule {
-  /** One flow of a class that may not simply be repeated. */
+  /** A flow of a class that may not be repeated at any time. */
   private static final class GuardedFlow {
     final Checks.Repeat repeat;
 
-    /** When the first attempt arrived that may have run; below 0 while there is none. */
+    /** When the first attempt that may have run arrived; below 0 while there is none. */
     long mayHaveRunAt = -1;
 
-    /** An attempt is with this host, and not answered yet. */
+    /** The host that has an unanswered attempt of the flow, or null. */
     String pendingHost;
 
+    /** The client was answered {@code BUSY}, after which it may repeat the flow. */
     boolean wasRefused;
 
     GuardedFlow(Checks.Repeat repeat) {
@@ -68,7 +70,8 @@
     } else if (event instanceof Event.FlowAnswered answered && answered.line().startsWith("BUSY")) {
       GuardedFlow flow = flows.get(answered.flow());
       if (flow != null && flow.repeat.never() && flow.mayHaveRun()) {
-        reportBreach(now, answered.flow() + " may have run and is told '" + answered.line() + "'");
+        reportBreach(
+            now, answered.flow() + " may have run and is answered '" + answered.line() + "'");
       } else if (flow != null) {
         flow.wasRefused = true;
       }
@@ -101,9 +104,9 @@
     }
   }
 
-  private void settleAttempt(long now, GuardedFlow flow, boolean never) {
+  private void settleAttempt(long now, GuardedFlow flow, boolean hasNotRun) {
     flow.pendingHost = null;
-    if (!never && flow.mayHaveRunAt < 0) {
+    if (!hasNotRun && flow.mayHaveRunAt < 0) {
       flow.mayHaveRunAt = now;
     }
   }
--- a/src/main/java/brassbank/sim/check/NoFalseFailure.java
+++ b/src/main/java/brassbank/sim/check/NoFalseFailure.java
@@ -2,11 +2,12 @@
 
 import brassbank.sim.event.Event;
 
-/** Nobody who runs and could be heard is declared dead. */
+/** No member that runs and can be reached is declared failed. */
 final class NoFalseFailure extends Rule {
   /**
-   * Whoever could not be heard within this is not falsely dead: a long stop cannot be told from a
-   * death, and what was decided during it takes its time to be heard of.
+   * A member must have been reachable for this time before a failure declared of it counts as
+   * false: a long pause cannot be distinguished from a failure, and a decision made during the
+   * pause takes time to spread.
    */
   private static final long MIN_REACHABLE_MICROS = 3 * SECOND;
 
@@ -23,12 +24,13 @@
       return;
     }
     Event.ViewSeen after = (Event.ViewSeen) event;
-    for (Event.Seen one : after.members()) {
-      if (one.state().equals("dead")
-          && before.liveMembers().contains(one.name())
-          && now - groundTruth.mutuallyReachableSince(after.proxy(), one.name())
+    for (Event.Seen member : after.members()) {
+      if (member.state().equals("dead")
+          && before.liveMembers().contains(member.name())
+          && now - groundTruth.mutuallyReachableSince(after.proxy(), member.name())
               > MIN_REACHABLE_MICROS + groundTruth.slack()) {
-        reportBreach(now, after.proxy() + " declares " + one.name() + " dead, which it could hear");
+        reportBreach(
+            now, after.proxy() + " declares " + member.name() + " dead, which it could reach");
       }
     }
   }
--- a/src/main/java/brassbank/sim/check/NoOrphanedClient.java
+++ b/src/main/java/brassbank/sim/check/NoOrphanedClient.java
@@ -6,19 +6,22 @@
 import java.util.Map;
 
 /**
- * No client is left that no proxy holds and no one has told: when a proxy has ended, each of its
- * clients sees the end of its connection, at the latest with its next line, which comes every 2 s.
+ * When a proxy's process has ended, each of its clients sees the end of its connection, at the
+ * latest with the client's next line, which it sends every 2 s.
  */
 final class NoOrphanedClient extends Rule {
   private static final long MAX_DELAY_MICROS = 3 * SECOND;
 
-  /** Which proxy each flow was sent to. */
+  /** The proxy that each flow was sent to. */
   private final Map<String, String> proxyOfFlow = new HashMap<>();
 
-  /** Flows that stand, with their proxies; who waits for an answer knows himself how long. */
+  /**
+   * Proxies of the served flows, by flow. A client that still waits for an answer limits its wait
+   * itself.
+   */
   private final Map<String, String> proxyOfServedFlow = new HashMap<>();
 
-  /** Those whose proxy has ended, and when. */
+  /** When the proxy of a served flow ended, by flow. */
   private final Map<String, Long> orphanedAt = new LinkedHashMap<>();
 
   NoOrphanedClient() {
@@ -50,8 +53,8 @@
 
   private void proxyEnded(long now, String proxy) {
     proxyOfServedFlow.forEach(
-        (flow, at) -> {
-          if (at.equals(proxy)) {
+        (flow, holder) -> {
+          if (holder.equals(proxy)) {
             orphanedAt.put(flow, now);
           }
         });
@@ -66,7 +69,7 @@
             reportBreach(
                 now,
                 flow
-                    + " still stands at "
+                    + " is still open at "
                     + proxyOfServedFlow.get(flow)
                     + ", which ended at "
                     + since / 1e6
--- a/src/main/java/brassbank/sim/check/NoTaskFailure.java
+++ b/src/main/java/brassbank/sim/check/NoTaskFailure.java
@@ -2,7 +2,9 @@
 
 import brassbank.sim.event.Event;
 
-/** No part of the proxy fails: what its loop would only log here ends the run. */
+/**
+ * No task of the proxy fails: an error that the proxy's event loop would only log is a breach here.
+ */
 final class NoTaskFailure extends Rule {
   NoTaskFailure() {
     super("no task of the proxy fails");
--- a/src/main/java/brassbank/sim/check/NoUnannouncedDisconnect.java
+++ b/src/main/java/brassbank/sim/check/NoUnannouncedDisconnect.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * No standing connection is cut off without {@code MOVE} while its stream host still answers, by
- * whatever the proxy does, its planned stop among that.
+ * No established connection is cut off without {@code MOVE} while its stream host still answers,
+ * whatever the proxy does, its planned shutdown included.
  */
 final class NoUnannouncedDisconnect extends Rule {
   private final Map<String, String> openFlows = new HashMap<>();
@@ -29,8 +29,8 @@
       openFlows.remove(left.flow());
     } else if (event instanceof Event.ProxyKilled proxy) {
       openFlows.forEach(
-          (flow, at) -> {
-            if (at.equals(proxy.proxy())) {
+          (flow, holder) -> {
+            if (holder.equals(proxy.proxy())) {
               killed.add(flow);
             }
           });
--- a/src/main/java/brassbank/sim/check/PromptFinalAnswer.java
+++ b/src/main/java/brassbank/sim/check/PromptFinalAnswer.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * What has been given up is answered at once: once a flow's last allowed attempt has failed, no
- * answer is kept back. (That nothing is kept back before that cannot be seen from outside: a flow
- * may wait for a stream host with room.)
+ * Once the last allowed attempt of a flow has failed, its client is answered without delay. Whether
+ * an answer is delayed before that cannot be seen from outside, since a flow may wait for a stream
+ * host with capacity.
  */
 final class PromptFinalAnswer extends Rule {
-  /** Both ways of the two connections. */
+  /** Round trip over the client's and the stream host's connection. */
   private static final long TRANSIT_MICROS = 10 * MILLI;
 
   private record Exhausted(String proxy, long at) {}
@@ -61,16 +61,21 @@
   @Override
   void onTick(long now) {
     exhausted.forEach(
-        (flow, given) -> {
+        (flow, failure) -> {
           long from =
               Math.max(
-                  given.at(),
+                  failure.at(),
                   Math.max(
-                      groundTruth.proxyCalmSince(given.proxy()),
+                      groundTruth.proxyCalmSince(failure.proxy()),
                       Math.max(
                           groundTruth.clientCalmSince(flow), groundTruth.hostCalmSince(flow))));
           if (now > from + groundTruth.slack() + TRANSIT_MICROS) {
-            reportBreach(now, flow + " has failed " + attempts.get(flow) + " times and waits");
+            reportBreach(
+                now,
+                flow
+                    + " has failed "
+                    + attempts.get(flow)
+                    + " times and still waits for its answer");
           }
         });
   }
--- a/src/main/java/brassbank/sim/check/Recovery.java
+++ b/src/main/java/brassbank/sim/check/Recovery.java
@@ -5,25 +5,29 @@
 import java.util.Set;
 
 /**
- * After the last fault everything becomes sound again, within the stated time: from then on every
- * client is served where the fleet has room, and every healthy host is in use.
+ * After the last fault the system recovers within the stated time: from then on every client is
+ * served where the fleet has capacity, and every healthy host is in use.
  */
 final class Recovery extends Rule {
   /**
-   * Up to so many hosts that is enough for each of them. The more there are, the likelier chance
-   * leaves one out: of 60 hosts with 7 attempts each, it did on every second night.
+   * Up to this number of hosts, {@link #MIN_ATTEMPTS_PER_HOST} is enough for each. With more hosts
+   * chance is likelier to leave one out: among 60 hosts with 7 attempts each, that happened in
+   * every second run.
    */
   private static final double SMALL_FLEET_HOSTS = 12;
 
-  /** A host that serves for this long must have been chosen. */
+  /** A host that has served for this time must have been chosen. */
   private static final long IN_USE_MICROS = 14 * SECOND;
 
   private final Checks.RuleParameters figures;
 
-  /** With so many attempts for each host, one that got none was left out. */
+  /**
+   * With this number of attempts per host, a host without any was left out for another reason than
+   * chance.
+   */
   private static final int MIN_ATTEMPTS_PER_HOST = 8;
 
-  /** A fleet that is asked for less of what it can do has room for everybody. */
+  /** Below this share of its capacity the fleet has capacity for every client. */
   private static final double MAX_LOAD = 0.5;
 
   private int attempts;
--- a/src/main/java/brassbank/sim/check/Rule.java
+++ b/src/main/java/brassbank/sim/check/Rule.java
@@ -3,7 +3,8 @@
 import brassbank.sim.event.Event;
 
 /**
- * One rule of a run. It sees every event, and is asked every {@link Checks#TICK_MICROS} besides.
+ * A rule that must hold in a run. It receives every event, and a tick every {@link
+ * Checks#TICK_MICROS}.
  */
 public abstract class Rule {
   static final long MILLI = 1_000;
@@ -13,29 +14,31 @@
   private Checks checks;
   GroundTruth groundTruth;
 
-  /** {@code name} is what reports and tables call it. */
+  /** Creates a rule; {@code name} is its name in reports and tables. */
   Rule(String name) {
     this.name = name;
   }
 
+  /** Returns the rule's name in reports and tables. */
   public final String name() {
     return name;
   }
 
-  final void attach(Checks by, GroundTruth known) {
+  final void attach(Checks by, GroundTruth truth) {
     checks = by;
-    groundTruth = known;
+    groundTruth = truth;
   }
 
-  /** An event has happened. */
+  /** Receives an event. */
   abstract void onEvent(long now, Event event);
 
-  /** Time has passed. */
+  /** Checks what depends on time alone. */
   void onTick(long now) {}
 
-  /** The run is over. */
+  /** Checks what can be judged at the end of the run only. */
   void onEnd(long now) {}
 
+  /** Records a breach of this rule. */
   final void reportBreach(long now, String what) {
     checks.record(new Breach(name, now, what));
   }
--- a/src/main/java/brassbank/sim/check/SessionTracker.java
+++ b/src/main/java/brassbank/sim/check/SessionTracker.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which proxies have attempts out or sessions at which hosts, and until when they last had. */
+/** Tracks which proxies have attempts or sessions at which hosts, and when they last had one. */
 final class SessionTracker {
   private record Pair(String proxy, String host) {}
 
@@ -42,7 +42,10 @@
     }
   }
 
-  /** Until when the proxy has had anything there; a time long past where it never had. */
+  /**
+   * Returns when the proxy last had an attempt or a session at the host: {@code now} where it has
+   * one, and a time in the distant past where it never had one.
+   */
   long lastUsedAt(long now, String proxy, String host) {
     Pair pair = new Pair(proxy, host);
     Set<String> flows = openFlows.get(pair);
--- a/src/main/java/brassbank/sim/check/SingleAcceptor.java
+++ b/src/main/java/brassbank/sim/check/SingleAcceptor.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Of the processes that hold a proxy's listening socket one at a time takes connections: none
- * before its yes, and the one before it none after that.
+ * Of the processes that share a proxy's listening socket, only one accepts connections at a time:
+ * the new process only after it has taken over, and its predecessor not after that.
  */
 final class SingleAcceptor extends Rule {
   private final Map<String, Long> acceptors = new HashMap<>();
@@ -24,7 +24,12 @@
       if (holder == null || holder != used.process()) {
         reportBreach(
             now,
-            used.proxy() + ": process " + used.process() + " accepts, and " + holder + " is to");
+            used.proxy()
+                + ": process "
+                + used.process()
+                + " accepts connections, and only "
+                + holder
+                + " may");
       }
     }
   }
--- a/src/main/java/brassbank/sim/check/SingleAttemptInFlight.java
+++ b/src/main/java/brassbank/sim/check/SingleAttemptInFlight.java
@@ -4,9 +4,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** No flow has two attempts out, or one beside a connection that stands. */
+/** No flow has two attempts in flight, nor an attempt beside its established connection. */
 final class SingleAttemptInFlight extends Rule {
-  /** Where each flow's attempt is out, or its connection stands. */
+  /** The host of each flow's attempt in flight or established connection. */
   private final Map<String, String> hostOfFlow = new HashMap<>();
 
   SingleAttemptInFlight() {
--- a/src/main/java/brassbank/sim/check/SingleDrain.java
+++ b/src/main/java/brassbank/sim/check/SingleDrain.java
@@ -3,8 +3,8 @@
 import brassbank.sim.event.Event;
 
 /**
- * By operators' calls one proxy at a time sends its clients away: while one does, which is over
- * after 4 s, no other begins. Told by who has been answered yes.
+ * On operators' calls only one proxy at a time drains: for 4 s after a proxy has begun to drain, no
+ * other begins. A drain is taken to begin when the proxy accepts the operator's call.
  */
 final class SingleDrain extends Rule {
   private static final long DRAIN_MICROS = 4 * SECOND;
--- a/src/main/java/brassbank/sim/check/SingleTimelyAnswer.java
+++ b/src/main/java/brassbank/sim/check/SingleTimelyAnswer.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Every flow that a living proxy has taken gets one final answer, before its deadline and the
- * slack. A flow is not owed an answer any longer once its client has left or its proxy was killed.
+ * Every flow that a running proxy has received gets exactly one final answer, before its deadline
+ * and the slack. The answer is no longer due once the client has left or the proxy was killed.
  */
 final class SingleTimelyAnswer extends Rule {
   private static final class PendingAnswer {
@@ -28,12 +28,12 @@
     this.figures = figures;
   }
 
-  private long dueAt(String flow, PendingAnswer owes) {
+  private long dueAt(String flow, PendingAnswer answer) {
     long from =
         Math.max(
-            owes.takenAt,
-            Math.max(groundTruth.clientCalmSince(flow), groundTruth.proxyCalmSince(owes.proxy)));
-    return from + owes.deadline * MILLI + figures.answerSlack() + groundTruth.slack();
+            answer.takenAt,
+            Math.max(groundTruth.clientCalmSince(flow), groundTruth.proxyCalmSince(answer.proxy)));
+    return from + answer.deadline * MILLI + figures.answerSlack() + groundTruth.slack();
   }
 
   @Override
@@ -41,9 +41,9 @@
     if (event instanceof Event.FlowSent sent) {
       pending.put(sent.flow(), new PendingAnswer(sent.proxy(), sent.deadline()));
     } else if (event instanceof Event.FlowTaken taken) {
-      PendingAnswer owes = pending.get(taken.flow());
-      if (owes != null) {
-        owes.takenAt = now;
+      PendingAnswer answer = pending.get(taken.flow());
+      if (answer != null) {
+        answer.takenAt = now;
       }
     } else if (event instanceof Event.FlowAnswered answered) {
       checkDeadline(now, answered.flow(), "was answered");
@@ -52,31 +52,31 @@
     } else if (event instanceof Event.AnsweredAgain again) {
       reportBreach(now, again.flow() + " was answered and then got '" + again.line() + "'");
     } else if (event instanceof Event.ClientSawEnd end && !end.served()) {
-      PendingAnswer owes = pending.remove(end.flow());
-      if (owes != null
-          && owes.takenAt >= 0
-          && groundTruth.clientCalmSince(end.flow()) < owes.takenAt) {
-        reportBreach(now, end.flow() + " was ended by " + owes.proxy + " without an answer");
+      PendingAnswer answer = pending.remove(end.flow());
+      if (answer != null
+          && answer.takenAt >= 0
+          && groundTruth.clientCalmSince(end.flow()) < answer.takenAt) {
+        reportBreach(now, end.flow() + " was ended by " + answer.proxy + " without an answer");
       }
     } else if (event instanceof Event.ProxyKilled killed) {
-      pending.values().removeIf(owes -> owes.proxy.equals(killed.proxy()));
+      pending.values().removeIf(answer -> answer.proxy.equals(killed.proxy()));
     } else if (event instanceof Event.ProxyExited exited) {
       pending.forEach(
-          (flow, owes) -> {
-            if (owes.proxy.equals(exited.proxy())
-                && owes.takenAt >= 0
-                && groundTruth.clientCalmSince(flow) < owes.takenAt) {
+          (flow, answer) -> {
+            if (answer.proxy.equals(exited.proxy())
+                && answer.takenAt >= 0
+                && groundTruth.clientCalmSince(flow) < answer.takenAt) {
               reportBreach(now, flow + " had no answer when " + exited.proxy() + " ended");
             }
           });
-      pending.values().removeIf(owes -> owes.proxy.equals(exited.proxy()));
+      pending.values().removeIf(answer -> answer.proxy.equals(exited.proxy()));
     }
   }
 
   private void checkDeadline(long now, String flow, String what) {
-    PendingAnswer owes = pending.remove(flow);
-    if (owes != null && owes.takenAt >= 0 && now > dueAt(flow, owes)) {
-      reportBreach(now, flow + " " + what + " " + (now - dueAt(flow, owes)) / MILLI + " ms late");
+    PendingAnswer answer = pending.remove(flow);
+    if (answer != null && answer.takenAt >= 0 && now > dueAt(flow, answer)) {
+      reportBreach(now, flow + " " + what + " " + (now - dueAt(flow, answer)) / MILLI + " ms late");
     }
   }
 }
--- a/src/main/java/brassbank/sim/check/SlidingWindowCounter.java
+++ b/src/main/java/brassbank/sim/check/SlidingWindowCounter.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** How many things have happened lately. */
+/** Counts occurrences within a sliding window of time. */
 final class SlidingWindowCounter {
   private static final long SECOND = 1_000_000;
 
@@ -11,22 +11,23 @@
 
   private final Deque<Long> times = new ArrayDeque<>();
 
-  /** Within the last second. */
+  /** Creates a counter over the last second. */
   SlidingWindowCounter() {
     this(SECOND);
   }
 
-  /** Within so many microseconds. */
+  /** Creates a counter over a window of {@code length} microseconds. */
   SlidingWindowCounter(long length) {
     this.lengthMicros = length;
   }
 
-  /** One more has happened; how many that makes. */
+  /** Records an occurrence and returns the number of occurrences in the window. */
   int add(long now) {
     times.add(now);
     return count(now);
   }
 
+  /** Returns the number of occurrences in the window that ends at {@code now}. */
   int count(long now) {
     while (!times.isEmpty() && times.peek() <= now - lengthMicros) {
       times.remove();
--- a/src/main/java/brassbank/sim/check/StandbyDrained.java
+++ b/src/main/java/brassbank/sim/check/StandbyDrained.java
@@ -6,11 +6,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Four seconds after the call for standby a proxy holds no client, until it is called back. */
+/**
+ * Four seconds after it was put on standby a proxy holds no client, until it is returned to
+ * service.
+ */
 final class StandbyDrained extends Rule {
   private static final long DRAIN_MICROS = 4 * SECOND;
 
-  /** Which proxy a flow was sent to. */
+  /** The proxy that each flow was sent to. */
   private final Map<String, String> proxyOfFlow = new HashMap<>();
 
   private final Set<String> served = new HashSet<>();
--- a/src/main/java/brassbank/sim/check/SubsetAvailability.java
+++ b/src/main/java/brassbank/sim/check/SubsetAvailability.java
@@ -7,18 +7,25 @@
 import java.util.Set;
 
 /**
- * With subsets no flow goes to another zone than its proxy's, and none is refused, on its first try
- * while most hosts of the proxy's zone have served for a while and have room: a subset costs nobody
- * his place. It holds where no fault is on; what faults do to a proxy is other rules' business.
+ * With subsets, the first attempt of a flow does not go to another zone than its proxy's, and no
+ * flow is rejected without an attempt, while most hosts of the proxy's zone have served for a while
+ * and have capacity: a subset must not reduce the availability of capacity. The rule applies only
+ * in fault-free periods; other rules cover the effect of faults on a proxy.
  */
 final class SubsetAvailability extends Rule {
-  /** After a fault a proxy may take so long to know its hosts again. */
+  /** Time that a proxy may need after a fault until it knows its hosts again. */
   private static final long RECOVERY_MICROS = 8 * SECOND;
 
-  /** A heavy flow does not go to a host that may still be cold. */
+  /**
+   * Time after which a host counts as warm; a flow with much load is not sent to a host that may be
+   * cold.
+   */
   private static final long WARM_UP_MICROS = 25 * SECOND;
 
-  /** What a proxy that was called away or told to stop refuses is none of a subset's. */
+  /**
+   * For this time after a call for standby or SIGTERM the rejections of a proxy are not due to its
+   * subset.
+   */
   private static final long DRAIN_MICROS = 10 * SECOND;
 
   private final Checks.RuleParameters figures;
@@ -50,13 +57,14 @@
                 + attempt.host()
                 + ", outside of "
                 + zone
-                + ", where most hosts have room");
+                + ", where most hosts have capacity");
       }
     } else if (event instanceof Event.FlowAnswered answer && answer.line().startsWith("BUSY")) {
       String proxy = proxyOfFlow.get(answer.flow());
       boolean refused = !attempted.contains(answer.flow()) && !figures.descriptorsAreScarce();
       if (refused && proxy != null && hasCapacity(now, proxy)) {
-        reportBreach(now, answer.flow() + " is refused by " + proxy + ", whose hosts have room");
+        reportBreach(
+            now, answer.flow() + " is refused by " + proxy + ", whose hosts have capacity");
       }
     } else if (event instanceof Event.ProxyOnStandby proxy) {
       drainingSince.put(proxy.proxy(), now);
--- a/src/main/java/brassbank/sim/check/SubsetFanIn.java
+++ b/src/main/java/brassbank/sim/check/SubsetFanIn.java
@@ -5,23 +5,27 @@
 import java.util.Map;
 
 /**
- * With subsets a host is asked, within two seconds, by no more proxies than are to ask it, beside
- * those that hold sessions there or have just tried to. It holds where nothing is wrong: while
- * views differ, or hosts have no room, more ask (docs/subsets.md has the bound).
+ * With subsets, a host is probed within two seconds by no more proxies than are assigned to it,
+ * apart from those that hold sessions there or have just tried to. The rule applies only in
+ * fault-free periods: while views differ, or while hosts have no capacity, more proxies probe a
+ * host (docs/subsets.md has the bound).
  */
 final class SubsetFanIn extends Rule {
-  /** Hosts that a proxy has at least, by and large: more ask where there are few. */
+  /**
+   * Approximate minimum number of hosts in a proxy's subset; where there are few hosts, more
+   * proxies use each of them.
+   */
   private static final int MIN_HOSTS_PER_PROXY = 8;
 
   private static final long WINDOW_MICROS = 2 * SECOND;
 
-  /** Whoever has had to do with a host may ask it once more. */
+  /** A proxy that has recently used a host may still probe it for this time. */
   private static final long RECENT_USE_MICROS = 4 * SECOND;
 
-  /** A proxy that missed room looks further for so long. */
+  /** A proxy that found no capacity uses a wider subset for this time. */
   private static final long WIDENED_MICROS = 12 * SECOND;
 
-  /** A host that may still be cold has no room but for its places. */
+  /** A host that may still be cold has no capacity beyond its slots. */
   private static final long WARM_UP_MICROS = 25 * SECOND;
 
   private final Checks.RuleParameters figures;
@@ -41,24 +45,26 @@
     faultFree.onEvent(now, event);
     sessions.onEvent(now, event);
     if (event instanceof Event.ProbeArrived probe && now - probe.calmSince() > SECOND) {
-      Map<String, Long> by = probers.computeIfAbsent(probe.host(), h -> new HashMap<>());
-      by.values().removeIf(at -> at <= now - WINDOW_MICROS);
+      Map<String, Long> proxies = probers.computeIfAbsent(probe.host(), h -> new HashMap<>());
+      proxies.values().removeIf(at -> at <= now - WINDOW_MICROS);
       if (now - sessions.lastUsedAt(now, probe.proxy(), probe.host()) > RECENT_USE_MICROS) {
-        by.put(probe.proxy(), now);
+        proxies.put(probe.proxy(), now);
       }
-      int enough =
+      int needed =
           (MIN_HOSTS_PER_PROXY * figures.proxies() + figures.hosts() - 1) / figures.hosts();
-      int most = Math.max(figures.minProxiesPerHost(), enough);
-      if (by.size() > most && faultFree.isActive(now) && now - lastShortageAt > WIDENED_MICROS) {
+      int maxProxies = Math.max(figures.minProxiesPerHost(), needed);
+      if (proxies.size() > maxProxies
+          && faultFree.isActive(now)
+          && now - lastShortageAt > WIDENED_MICROS) {
         reportBreach(
             now,
             probe.host()
                 + " was asked by "
-                + by.size()
+                + proxies.size()
                 + " proxies that hold nothing there within 2 s, last by "
                 + probe.proxy()
                 + ", and "
-                + most
+                + maxProxies
                 + " are allowed");
       }
     }
--- a/src/main/java/brassbank/sim/check/ViewConvergence.java
+++ b/src/main/java/brassbank/sim/check/ViewConvergence.java
@@ -3,7 +3,7 @@
 import brassbank.sim.event.Event;
 import java.util.Set;
 
-/** Once the faults are over all views are equal, and equal to the truth. */
+/** After the faults all views are equal to each other and to the members that run. */
 final class ViewConvergence extends Rule {
   private static final long INTERVAL_MICROS = SECOND;
 
@@ -23,7 +23,7 @@
     if (event instanceof Event.AllFaultsOver) {
       nextCheckAt = now + figures.recovery();
     } else if (nextCheckAt < Long.MAX_VALUE && FaultFreePeriod.isFleetChange(event)) {
-      // A rolling restart of a large fleet goes on beyond the fault's own time.
+      // A rolling restart of a large fleet continues after the fault that started it has ended.
       nextCheckAt = Math.max(nextCheckAt, now + figures.recovery());
     }
   }
--- a/src/main/java/brassbank/sim/check/ViewMonotonicity.java
+++ b/src/main/java/brassbank/sim/check/ViewMonotonicity.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * A view's versions grow, and whoever was gone in it comes back by a higher incarnation only; one
- * that it has forgotten meanwhile is another's business.
+ * The version of a proxy's view increases, and the incarnation of a member in it never decreases: a
+ * member that has failed or left returns with a higher incarnation only. Members that a view has
+ * forgotten meanwhile are not compared.
  */
 final class ViewMonotonicity extends Rule {
   private final ViewTracker views = new ViewTracker();
@@ -27,19 +28,21 @@
           now, after.proxy() + " goes from " + before.version() + " to " + after.version());
     }
     Map<String, Event.Seen> known = new HashMap<>();
-    before.members().forEach(one -> known.put(one.name(), one));
-    for (Event.Seen one : after.members()) {
-      Event.Seen old = known.get(one.name());
-      if (old == null || one.name().equals(after.proxy())) {
+    before.members().forEach(member -> known.put(member.name(), member));
+    for (Event.Seen member : after.members()) {
+      Event.Seen old = known.get(member.name());
+      if (old == null || member.name().equals(after.proxy())) {
         continue;
       }
       boolean higher =
-          one.birth() != old.birth() ? one.birth() > old.birth() : one.raised() > old.raised();
-      boolean lower = !higher && (one.birth() != old.birth() || one.raised() != old.raised());
-      boolean gone = old.state().equals("dead") || old.state().equals("left");
-      boolean live = one.state().equals("alive") || one.state().equals("suspect");
-      if (lower || (gone && live && !higher)) {
-        reportBreach(now, after.proxy() + " goes from " + old + " to " + one);
+          member.birth() != old.birth()
+              ? member.birth() > old.birth()
+              : member.raised() > old.raised();
+      boolean lower = !higher && (member.birth() != old.birth() || member.raised() != old.raised());
+      boolean wasGone = old.state().equals("dead") || old.state().equals("left");
+      boolean live = member.state().equals("alive") || member.state().equals("suspect");
+      if (lower || (wasGone && live && !higher)) {
+        reportBreach(now, after.proxy() + " goes from " + old + " to " + member);
       }
     }
   }
--- a/src/main/java/brassbank/sim/check/ViewTracker.java
+++ b/src/main/java/brassbank/sim/check/ViewTracker.java
@@ -4,11 +4,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The last view of each proxy that runs. */
+/** Keeps the latest view of each running proxy. */
 final class ViewTracker {
   private final Map<String, Event.ViewSeen> latest = new TreeMap<>();
 
-  /** Takes the event; the view that the same process had before, or null. */
+  /**
+   * Receives an event; where it is a view, returns the previous view of the same process, or null
+   * where there is none.
+   */
   Event.ViewSeen onEvent(Event event) {
     if (event instanceof Event.ViewSeen view) {
       Event.ViewSeen before = latest.put(view.proxy(), view);
@@ -19,6 +22,7 @@
     return null;
   }
 
+  /** Returns the latest views, by the proxies' names. */
   Map<String, Event.ViewSeen> latest() {
     return latest;
   }
--- a/src/main/java/brassbank/sim/check/package-info.java
+++ b/src/main/java/brassbank/sim/check/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The rules, one class each: what must hold of a run, judged by nothing but its events and by what
- * {@link brassbank.sim.check.GroundTruth} tells of whether the network was to blame. No rule does
- * any I/O, and none knows how the proxy works. Uses {@code sim.event} only.
+ * The rules that must hold in every run, one class each. A rule decides from the run's events and
+ * from what {@link brassbank.sim.check.GroundTruth} reports about disturbances that the network or
+ * an actor caused. No rule does any I/O, and none knows how the proxy works inside. Uses {@code
+ * sim.event} only.
  */
 package brassbank.sim.check;
--- a/src/main/java/brassbank/sim/event/Event.java
+++ b/src/main/java/brassbank/sim/event/Event.java
@@ -7,195 +7,227 @@
 import java.util.TreeSet;
 
 /**
- * Something that has happened, told by the one who did it or to whom it was done, at the moment
- * when it happened. A flow is one try of one client, known by the id that its line carries; an
- * attempt is a connection of a proxy's to a stream host that has carried a flow's line.
+ * An event of a simulation run, published by the component that caused or received it at the
+ * virtual time at which it happened. The simple names of the records and the names of their
+ * components are written into the trace.
+ *
+ * <p>A flow is one try of one client and is identified by the id in its {@code OPEN} line. An
+ * attempt is a connection from a proxy to a stream host that has carried a flow's {@code OPEN}
+ * line.
  */
 public sealed interface Event {
 
-  // ------------------------------------------------------------------ clients
+  // Clients
 
-  /** A client has written a flow's line; {@code deadline} is in milliseconds. */
+  /** A client has written a flow's {@code OPEN} line. {@code deadline} is in milliseconds. */
   record FlowSent(String flow, String client, String proxy, long deadline) implements Event {}
 
   /**
-   * The line's last byte has reached the proxy's machine: from here on the proxy owes an answer.
+   * The last byte of the {@code OPEN} line has reached the proxy's machine. From here on the proxy
+   * must answer.
    */
   record FlowTaken(String flow, String proxy) implements Event {}
 
-  /** A line has come while the client waited for its answer. */
+  /** The client has received a line while it waited for its answer. */
   record FlowAnswered(String flow, String line) implements Event {}
 
-  /** A line has come after the answer was final. */
+  /** The client has received another line after the final answer. */
   record AnsweredAgain(String flow, String line) implements Event {}
 
-  /** The client has left by itself; {@code waiting}: it had no answer. */
+  /** The client has closed its connection. {@code waiting}: it had not been answered yet. */
   record ClientLeft(String flow, boolean waiting) implements Event {}
 
   /**
    * The client has seen the end of its connection.
    *
-   * @param served it stood
+   * @param served the client had been answered {@code UP}
    * @param moved the last line was {@code MOVE} or {@code BYE}
-   * @param byHost the last line was {@code BYE}, after which nothing may be missing
+   * @param byHost the last line was {@code BYE}, before which no line may be missing
    */
   record ClientSawEnd(String flow, boolean served, boolean moved, boolean byHost, boolean reset)
       implements Event {}
 
   /**
-   * A client wants to be served from now on: for the first time, or again after an end.
+   * A client requests a session from now on, for the first time or again after its connection
+   * ended.
    *
    * @param kind the class of its flows
-   * @param practice whom it belongs to
+   * @param practice the tenant that it belongs to
    * @param model the project model that its sessions need
    */
   record ClientCame(String client, boolean again, String kind, String practice, String model)
       implements Event {}
 
   /**
-   * A client that came at {@code cameAt} is not served, after all its tries.
+   * A client that came at {@code cameAt} was not served in any of its tries.
    *
-   * @param lost how long it would have stayed, in microseconds
+   * @param lost for how long it would have stayed, in microseconds
    */
   record ClientGaveUp(String client, long cameAt, long lost) implements Event {}
 
-  /** A client stands, on its first try or a later one. */
+  /** A client has been served, on its first try or a later one. */
   record ClientServed(String client, String flow) implements Event {}
 
-  /** A client's connection is over, by whomever, or it does not wait for an answer any longer. */
+  /**
+   * A client's connection has ended, whichever side closed it, or the client has stopped waiting
+   * for an answer.
+   */
   record ClientOver(String client, String flow, boolean moved) implements Event {}
 
-  // ---------------------------------------------------- lines that stand
+  // Lines on established connections
 
-  /** A line was written on a standing connection by one of its ends. */
+  /** One end of an established connection has written a line. */
   record LineSent(String flow, boolean byClient, String line) implements Event {}
 
-  /** A line has been read at the other end. */
+  /** The other end of an established connection has read a line. */
   record LineArrived(String flow, boolean byClient, String line) implements Event {}
 
-  // ------------------------------------------------------------- stream hosts
+  // Stream hosts
 
-  /** A stream host has accepted a connection, for whatever. */
+  /** A stream host has accepted a connection, for a probe or for an attempt. */
   record HostConnected(String host, String proxy) implements Event {}
 
   /**
-   * A stream host has read a flow's line.
+   * A stream host has read a flow's {@code OPEN} line.
    *
-   * @param firstByteAt when the proxy wrote the line's first byte
-   * @param givenUp the proxy has given the attempt up before
+   * @param firstByteAt when the proxy wrote the first byte of the line
+   * @param givenUp the proxy had abandoned the attempt before
    */
   record AttemptArrived(String flow, String host, String proxy, long firstByteAt, boolean givenUp)
       implements Event {}
 
-  /** A stream host has answered an attempt; {@code ends}: nothing comes after it. */
+  /**
+   * A stream host has answered an attempt. {@code ends}: the host sends nothing after this answer.
+   */
   record AttemptAnswered(String flow, String host, String line, boolean ends) implements Event {}
 
-  /** The proxy has ended an attempt or a standing connection on its side, heard or not. */
+  /**
+   * The proxy has closed an attempt or an established connection on its side, whether or not the
+   * host can notice it. {@code stood}: the connection was established.
+   */
   record ProxyEnded(String flow, String host, boolean stood) implements Event {}
 
   /**
-   * The stream host has ended an attempt or a standing connection by itself; {@code silently} where
-   * its machine has lost its power, so that nothing tells of it.
+   * The stream host has closed an attempt or an established connection. {@code silently}: its
+   * machine has lost power, so that the proxy receives no sign of it.
    */
   record HostEnded(String flow, String host, boolean stood, boolean reset, boolean silently)
       implements Event {}
 
   /**
-   * A stream host has read a probe: {@code PING} or {@code STATS}.
+   * A stream host has read a probe, {@code PING} or {@code STATS}.
    *
-   * @param calmSince since when neither the network nor the host has held up its connection
+   * @param calmSince since when neither the network nor the host has delayed the connection
    */
   record ProbeArrived(String host, String proxy, String line, long calmSince) implements Event {}
 
-  /** What was sent to a stream host cannot be read as anything the protocol knows. */
+  /** A stream host has received a line that is no request of the protocol. */
   record HostCannotRead(String host, String proxy, String line) implements Event {}
 
-  /** A stream host serves, from nothing. */
+  /** A stream host's process has started. {@code cold}: it has to warm up. */
   record HostStarted(String host, boolean cold) implements Event {}
 
-  /** A stream host drains: it sends all away and takes nothing new. */
+  /** A stream host drains: it sends its clients away and takes no new sessions. */
   record HostDrains(String host) implements Event {}
 
   /** A stream host's process has ended. */
   record HostGone(String host) implements Event {}
 
   /**
-   * A cold stream host was sent more than it could bear; {@code told} is the share of the work that
-   * came from proxies that knew of its start.
+   * A cold stream host has failed under overload. {@code told} is the share of the load that came
+   * from proxies to which discovery had reported the host's start.
    */
   record HostFellOver(String host, double told) implements Event {}
 
   /**
-   * How near a cold stream host is to falling over through proxies that knew of its start: what
-   * they ask for, all together, over what it can bear. Told ten times a second.
+   * How close a cold stream host is to failing under the load of proxies to which discovery had
+   * reported its start. Published ten times a second.
    *
-   * @param placed attempts of theirs that it has read in the time that counts for its fall
-   * @param bears so many mean connections in that time, each for its usual life, fill it as often
-   *     as it bears
+   * @param share the load that those proxies ask for together, relative to what the host withstands
+   * @param placed their attempts that the host has read within the window that decides on its
+   *     failure
+   * @param bears the number of connections of mean load and mean lifetime, started within that
+   *     window, that load the host to its limit
    */
   record ColdHostAsked(String host, double share, int placed, double bears) implements Event {}
 
-  // ---------------------------------------------------------------- discovery
+  // Discovery
 
-  /** Discovery knows of a change that it has to tell from here on. */
+  /** Discovery has received a change of status, which it must report from here on. */
   record Listed(String host, String status) implements Event {}
 
-  /** A call has come whole to discovery, for the list or for a watch. */
+  /** Discovery has received a complete call, for the list or, with {@code watch}, for a watch. */
   record ListCalled(String proxy, boolean watch) implements Event {}
 
   /** Discovery has written a stream host's status to a proxy. */
   record Told(String proxy, String host, String status) implements Event {}
 
-  // ------------------------------------------------------------------ proxies
+  // Proxies
 
-  /** A proxy's process begins, from nothing. */
+  /** A proxy's process has started. */
   record ProxyStarted(String proxy) implements Event {}
 
-  /** It has answered {@code PONG}: the front sends it clients. */
+  /**
+   * The proxy has answered {@code PONG}: the load balancer in front of the proxies sends clients to
+   * it.
+   */
   record ProxyAdmitted(String proxy) implements Event {}
 
-  /** SIGHUP, with another address of discovery in the file if {@code moved}. */
+  /**
+   * The proxy has received SIGHUP. {@code moved}: its settings file names another address of
+   * discovery.
+   */
   record ProxyHungUp(String proxy, boolean moved) implements Event {}
 
-  /** SIGTERM: a planned stop begins. */
+  /** The proxy has received SIGTERM: a planned shutdown begins. */
   record ProxyTerminated(String proxy) implements Event {}
 
-  /** An operator's call: it is to send its clients away, and to live on. */
+  /** An operator has put the proxy on standby: it sends its clients away and keeps running. */
   record ProxyOnStandby(String proxy) implements Event {}
 
-  /** An operator's call to leave was answered no, since others leave or too few are left. */
+  /**
+   * The proxy has refused an operator's call for standby, because other proxies are draining or too
+   * few would remain.
+   */
   record ProxyPutOff(String proxy) implements Event {}
 
-  /** An operator's call: it takes clients again. */
+  /** An operator has ended the proxy's standby: it takes clients again. */
   record ProxyCalledBack(String proxy) implements Event {}
 
-  /** Of the processes of an inherited listening socket this one takes connections from here on. */
+  /**
+   * Of the processes that share an inherited listening socket, this one accepts connections from
+   * here on.
+   */
   record DoorHeld(String proxy, long process) implements Event {}
 
   /** A process has accepted a connection from an inherited listening socket. */
   record DoorUsed(String proxy, long process) implements Event {}
 
-  /** It has ended by itself. */
+  /** The proxy's process has exited by itself. */
   record ProxyExited(String proxy, int status) implements Event {}
 
-  /** It was killed; {@code overdue}: at the end of a planned stop. */
+  /**
+   * The proxy's process was killed. {@code overdue}: its planned shutdown had exceeded its time
+   * limit.
+   */
   record ProxyKilled(String proxy, boolean overdue) implements Event {}
 
-  /** An accept or a connect met its limit of descriptors. */
+  /** An accept or a connect has failed because the process held as many descriptors as it may. */
   record DescriptorsExhausted(String proxy, String held) implements Event {}
 
-  /** Something the proxy logged as a failure of its own. */
+  /** The proxy has logged an error of its own. */
   record ProxyFailed(String proxy, String text) implements Event {}
 
-  /** Anything else that it logged; told only where a trace is wanted. */
+  /** The proxy has logged something that is no error. Published only where a trace is requested. */
   record ProxyLogged(String proxy, String text) implements Event {}
 
-  // --------------------------------------------------------------- membership
+  // Membership
 
   /**
-   * What a proxy believes of one, by the names of the view's own states.
+   * One member in a proxy's view, with its state under the name that the view uses.
    *
-   * @param birth and {@code raised}, the incarnation
+   * @param birth the start time of the member's incarnation
+   * @param raised the counter of the member's incarnation, which it raises to refute a suspicion
    */
   record Seen(String name, String state, long birth, int raised) {
     boolean isLive() {
@@ -209,9 +241,9 @@
   }
 
   /**
-   * A proxy's view of the fleet, where it is another than the last one that was told.
+   * A proxy's view of the fleet, published when it differs from the last one published.
    *
-   * @param process tells the lives of a proxy's processes apart
+   * @param process identifies the proxy's process among successive processes of the same name
    */
   record ViewSeen(
       String proxy,
@@ -221,32 +253,37 @@
       boolean displaced,
       List<Seen> members)
       implements Event {
-    /** Names of those that it takes for there. */
+    /** Returns the names of the members that this view holds to be live. */
     public Set<String> liveMembers() {
       Set<String> names = new TreeSet<>();
-      members.stream().filter(Seen::isLive).forEach(one -> names.add(one.name()));
+      members.stream().filter(Seen::isLive).forEach(member -> names.add(member.name()));
       return names;
     }
   }
 
-  // -------------------------------------------------------------- bad clients
+  // Bad clients
 
-  /** A bad client has connected; it is owed an end within so many milliseconds. */
+  /**
+   * A bad client has connected. The proxy must answer or close within {@code within} milliseconds.
+   */
   record BadConnected(String client, String kind, String proxy, long within) implements Event {}
 
-  /** It was answered or closed, or the proxy died; {@code line} is what came first, or empty. */
+  /**
+   * A bad client was answered or closed, or its proxy's process ended. {@code line} is the first
+   * line that the client received, or empty.
+   */
   record BadSettled(String client, String line) implements Event {}
 
-  // ------------------------------------------------------------------- faults
+  // Faults
 
   record FaultBegan(String fault) implements Event {}
 
   record FaultEnded(String fault) implements Event {}
 
-  /** All faults have ended: from here on everything is to become sound again. */
+  /** All faults have ended. From here on the system must recover. */
   record AllFaultsOver() implements Event {}
 
-  /** {@code name-of-event field=value ...}, for the trace. */
+  /** Returns the event as a line of the trace: {@code name-of-event field=value ...}. */
   default String text() {
     StringBuilder text = new StringBuilder();
     for (char c : getClass().getSimpleName().toCharArray()) {
@@ -256,10 +293,10 @@
         text.append(c);
       }
     }
-    for (RecordComponent part : getClass().getRecordComponents()) {
+    for (RecordComponent component : getClass().getRecordComponents()) {
       try {
-        text.append(' ').append(part.getName()).append('=');
-        text.append(part.getAccessor().invoke(this));
+        text.append(' ').append(component.getName()).append('=');
+        text.append(component.getAccessor().invoke(this));
       } catch (IllegalAccessException | InvocationTargetException e) {
         throw new IllegalStateException(e);
       }
--- a/src/main/java/brassbank/sim/event/Trace.java
+++ b/src/main/java/brassbank/sim/event/Trace.java
@@ -4,10 +4,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Hands each event to all who listen, in the order in which they came to listen. */
+/** Passes each event to all listeners, in the order in which they were added. */
 public final class Trace {
-  /** Who hears of each event. */
+  /** Receives every event of a run. */
   public interface Listener {
+    /** Receives an event; {@code now} is the virtual time in microseconds. */
     void onEvent(long now, Event event);
   }
 
@@ -22,6 +23,7 @@
     listeners.add(listener);
   }
 
+  /** Passes an event to all listeners, at the current virtual time. */
   public void publish(Event event) {
     for (Listener listener : listeners) {
       listener.onEvent(agenda.now(), event);
--- a/src/main/java/brassbank/sim/event/package-info.java
+++ b/src/main/java/brassbank/sim/event/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is seen in a run, as values: every actor tells its part, the checks listen, and a trace
- * prints it. Uses {@code sim.time} only.
+ * The events of a simulation run, as values: simulated actors publish them, rules receive them and
+ * the trace prints them. Uses {@code sim.time} only.
  */
 package brassbank.sim.event;
--- a/src/main/java/brassbank/sim/package-info.java
+++ b/src/main/java/brassbank/sim/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Seeded fault simulation: whole proxies, unchanged, in virtual time, against faults drawn from a
- * seed, with every rule checked. docs/simulation.md says what is modelled and how to use it.
+ * Seeded fault simulation: complete, unchanged proxies in virtual time, under faults drawn from a
+ * seed, with every rule checked. docs/simulation.md describes what is modelled and how to use it.
  *
- * <p>The parts, each of which uses those above it only: {@code time} (the agenda and chance),
- * {@code net} (machines and TCP), {@code event} (what is seen), {@code actor} (those a proxy
- * meets), {@code proxy} (the real proxy on the simulated network), {@code check} (the rules),
- * {@code fault} (what goes wrong), this package (one run, shrinking), {@code cli}.
+ * <p>The packages, each of which uses only those before it: {@code time} (virtual time and
+ * randomness), {@code net} (machines, TCP and datagrams), {@code event} (the events of a run),
+ * {@code actor} (the hosts, clients and services that a proxy communicates with), {@code proxy}
+ * (the real proxy on the simulated network), {@code check} (the rules), {@code fault} (the faults),
+ * this package (one run, and the reduction of failing plans), {@code cli}.
  */
 package brassbank.sim;
--- a/src/main/java/brassbank/sim/time/Agenda.java
+++ b/src/main/java/brassbank/sim/time/Agenda.java
@@ -3,18 +3,21 @@
 import java.util.PriorityQueue;
 
 /**
- * What is still to happen, in the order of its virtual time, and among equals in the order in which
- * it was entered. Time stands still while a task runs; it moves only from one task to the next. One
- * thread runs an agenda; several agendas may run side by side, since they share nothing.
+ * The event queue of a discrete-event simulation: tasks run in the order of their virtual time and,
+ * among equal times, in the order in which they were scheduled. Virtual time does not advance while
+ * a task runs; it advances only from one task to the next.
+ *
+ * <p>Not thread-safe: one thread runs an agenda. Several agendas may run on different threads,
+ * since they share no state.
  */
 public final class Agenda {
-  /** One second of virtual time, in the agenda's unit. */
+  /** One second of virtual time, in microseconds. */
   public static final long SECOND = 1_000_000;
 
-  /** One millisecond of virtual time, in the agenda's unit. */
+  /** One millisecond of virtual time, in microseconds. */
   public static final long MILLI = 1_000;
 
-  /** Something that is still to happen, unless it is cancelled before. */
+  /** A scheduled task, which may be cancelled until it runs. */
   public static final class Entry {
     private final long due;
     private final long order;
@@ -26,12 +29,12 @@
       this.task = task;
     }
 
-    /** Takes the entry back; nothing happens where it has run already. */
+    /** Cancels the task; has no effect if the task has already run. */
     public void cancel() {
       task = null;
     }
 
-    /** Whether it is still to happen. */
+    /** Returns whether the task has neither run nor been cancelled. */
     public boolean isPending() {
       return task != null;
     }
@@ -45,24 +48,32 @@
   private long steps;
   private long fingerprint = 0xcbf29ce484222325L;
 
-  /** Microseconds since the run began. */
+  /** Returns the virtual time, in microseconds since the run began. */
   public long now() {
     return now;
   }
 
-  /** Enters a task for a time, in microseconds since the run began; a past one means now. */
+  /**
+   * Schedules a task at a virtual time, in microseconds since the run began; a time in the past is
+   * taken as now.
+   */
   public Entry at(long time, Runnable task) {
     Entry entry = new Entry(Math.max(now, time), entered++, task);
     entries.add(entry);
     return entry;
   }
 
-  /** Enters a task for so many microseconds from now. */
+  /** Schedules a task after a delay in microseconds. */
   public Entry after(long micros, Runnable task) {
     return at(now + Math.max(0, micros), task);
   }
 
-  /** Runs the next task that is due by {@code end}; false where there is none. */
+  /**
+   * Runs the next task that is due by {@code end}, and advances the virtual time to it. Where no
+   * task is due, advances the time to {@code end}.
+   *
+   * @return false where no task was due
+   */
   public boolean step(long end) {
     while (!entries.isEmpty() && entries.peek().due <= end) {
       Entry next = entries.poll();
@@ -80,26 +91,32 @@
     return false;
   }
 
-  /** When the next entry is due, one taken back among them; the greatest value where none is. */
+  /**
+   * Returns when the next entry is due, even if it was cancelled; {@link Long#MAX_VALUE} where
+   * there is none.
+   */
   public long nextDue() {
     return entries.isEmpty() ? Long.MAX_VALUE : entries.peek().due;
   }
 
-  /** Tasks run so far. */
+  /** Returns the number of tasks run so far. */
   public long steps() {
     return steps;
   }
 
   /**
-   * Adds a value to the fingerprint of the run (FNV-1a over 64-bit words). The times of all tasks
-   * are in it, and whatever else is given here.
+   * Adds a value to the run's fingerprint (FNV-1a over 64-bit words). The times of all tasks are
+   * part of the fingerprint, and so is every value added here.
    */
   public void mix(long value) {
     fingerprint = (fingerprint ^ value) * 0x100000001b3L;
     fingerprint ^= fingerprint >>> 29;
   }
 
-  /** Equal for two runs that did the same things at the same times. */
+  /**
+   * Returns the run's fingerprint, which is equal for two runs that did the same things at the same
+   * times.
+   */
   public long fingerprint() {
     return fingerprint;
   }
--- a/src/main/java/brassbank/sim/time/RandomStreams.java
+++ b/src/main/java/brassbank/sim/time/RandomStreams.java
@@ -4,8 +4,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The streams of chance of one seed. Each purpose has a stream of its own, so that leaving one
- * fault or one client out does not shift what all others draw.
+ * The random streams of one seed. Each purpose has a stream of its own, so that leaving out one
+ * fault or one client does not change the numbers that all others draw.
  */
 public final class RandomStreams {
   private final long seed;
@@ -14,7 +14,10 @@
     this.seed = seed;
   }
 
-  /** The stream of one purpose, from its beginning. */
+  /**
+   * Returns the stream of one purpose, from its beginning. The purpose's name determines the
+   * numbers, so that a change of the name changes every run of every seed.
+   */
   public Stream of(String purpose) {
     long mixed = seed * 0x9E3779B97F4A7C15L;
     for (int i = 0; i < purpose.length(); i++) {
@@ -24,7 +27,10 @@
     return new Stream(new SplittableRandom(mixed));
   }
 
-  /** One stream. Logarithms are {@link StrictMath}'s: the same on every machine. */
+  /**
+   * One random stream. Logarithms and cosines are computed by {@link StrictMath}, whose results are
+   * the same on every machine.
+   */
   public static final class Stream {
     private final SplittableRandom random;
 
@@ -32,42 +38,42 @@
       this.random = random;
     }
 
-    /** Any 64 bits. */
+    /** Returns 64 random bits. */
     public long bits() {
       return random.nextLong();
     }
 
-    /** A whole number from 0 to {@code bound} - 1. */
+    /** Returns an integer from 0 to {@code bound} - 1. */
     public int below(int bound) {
       return random.nextInt(bound);
     }
 
-    /** A whole number from {@code least} to {@code most}. */
+    /** Returns an integer from {@code least} to {@code most}, both inclusive. */
     public int between(int least, int most) {
       return least + random.nextInt(most - least + 1);
     }
 
-    /** Microseconds, evenly from {@code least} to {@code most}. */
+    /** Returns a duration in microseconds, uniform from {@code least} to {@code most}. */
     public long micros(long least, long most) {
       return most <= least ? least : least + random.nextLong(most - least + 1);
     }
 
-    /** Evenly from {@code least} to {@code most}. */
+    /** Returns a number uniform from {@code least} to {@code most}. */
     public double between(double least, double most) {
       return least + (most - least) * random.nextDouble();
     }
 
-    /** True with this probability. */
+    /** Returns true with this probability. */
     public boolean chance(double probability) {
       return random.nextDouble() < probability;
     }
 
-    /** Exponential, with this mean. */
+    /** Returns an exponentially distributed number with this mean. */
     public double exponential(double mean) {
       return -mean * StrictMath.log(1 - random.nextDouble());
     }
 
-    /** Log-normal with mean 1, by the Box-Muller transform. */
+    /** Returns a log-normally distributed number with mean 1, by the Box-Muller transform. */
     public double logNormal(double sigma) {
       double normal =
           StrictMath.sqrt(-2 * StrictMath.log(1 - random.nextDouble()))
@@ -75,21 +81,21 @@
       return StrictMath.exp(sigma * normal - sigma * sigma / 2);
     }
 
-    /** One of them, all alike. */
+    /** Returns one of the elements, each with the same probability. */
     public <T> T pick(List<T> all) {
       return all.get(random.nextInt(all.size()));
     }
 
-    /** The index of one of them, by these weights. */
+    /** Returns an index, with a probability in proportion to its weight. */
     public int pick(double[] weights) {
       double sum = 0;
       for (double weight : weights) {
         sum += weight;
       }
-      double left = random.nextDouble() * sum;
+      double remaining = random.nextDouble() * sum;
       for (int i = 0; i < weights.length - 1; i++) {
-        left -= weights[i];
-        if (left < 0) {
+        remaining -= weights[i];
+        if (remaining < 0) {
           return i;
         }
       }
--- a/src/main/java/brassbank/sim/time/package-info.java
+++ b/src/main/java/brassbank/sim/time/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Virtual time and chance: the one queue of what is still to happen, and the seeded streams that
- * everything random is drawn from. Knows nothing of networks or proxies, and no other clock.
+ * Virtual time and randomness: the event queue of the simulation and the seeded streams that all
+ * random numbers are drawn from. Does not depend on networks or proxies, and reads no other clock.
  */
 package brassbank.sim.time;
