--- a/src/main/java/brassbank/sim/MutualReachability.java
+++ b/src/main/java/brassbank/sim/MutualReachability.java
@@ -40,7 +40,7 @@
         reaches[i][j] =
             runs[i]
                 && runs[j]
-                && fabric.hear(
+                && fabric.canExchangeDatagrams(
                     all.get(i).machine(), all.get(j).machine(), MAX_LOSS, MAX_DELAY_MICROS);
         reaches[j][i] = reaches[i][j];
       }
--- a/src/main/java/brassbank/sim/ScenarioRun.java
+++ b/src/main/java/brassbank/sim/ScenarioRun.java
@@ -15,8 +15,8 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.event.Trace;
 import brassbank.sim.fault.Fault;
+import brassbank.sim.fault.FaultContext;
 import brassbank.sim.fault.Plan;
-import brassbank.sim.fault.Stage;
 import brassbank.sim.net.Fabric;
 import brassbank.sim.net.Machine;
 import brassbank.sim.net.Program;
@@ -92,7 +92,7 @@
   /** Null where the proxies keep no membership view. */
   private final MutualReachability reachability;
 
-  private final Stage stage;
+  private final FaultContext faultContext;
   private final ServiceStatistics service = new ServiceStatistics();
   private int nextExtraClient = FIRST_EXTRA_CLIENT;
 
@@ -117,16 +117,16 @@
             MAX_ATTEMPTS,
             site.proxies(),
             site.hosts(),
-            plan.askers(),
+            plan.minProxiesPerHost(),
             Plan.RECOVERY_MILLIS * MILLI,
-            plan.sockets() < Plan.USUAL_SOCKETS,
+            plan.sockets() < Plan.DEFAULT_SOCKETS,
             demandShare(site),
             repeats(site));
     List<Rule> rules = new ArrayList<>(Checks.commonRules(figures));
-    if (plan.membership()) {
-      rules.addAll(Checks.membershipRules(figures, plan.shares()));
-      rules.addAll(plan.shares() ? Checks.sharedBudgetRules(figures) : List.of());
-      rules.addAll(plan.subsets() ? Checks.subsetRules(figures) : List.of());
+    if (plan.usesMembership()) {
+      rules.addAll(Checks.membershipRules(figures, plan.sharesBudgets()));
+      rules.addAll(plan.sharesBudgets() ? Checks.sharedBudgetRules(figures) : List.of());
+      rules.addAll(plan.usesSubsets() ? Checks.subsetRules(figures) : List.of());
       reachability = new MutualReachability(fabric, proxies);
     } else {
       reachability = null;
@@ -134,7 +134,7 @@
     checks = new Checks(rules, new SimulationTruth());
     trace.addListener(checks);
     trace.addListener(service);
-    stage = new Stage(world, proxies, new ClientSource());
+    faultContext = new FaultContext(world, proxies, new ClientSource());
   }
 
   /** Returns the figures of a plan's deployment. */
@@ -206,7 +206,7 @@
     scheduleClients();
     plan.faults().forEach(this::scheduleFault);
     agenda.at(
-        Math.max(plan.faultsOverMillis() * MILLI, FIRST_CLIENT),
+        Math.max(plan.lastFaultEndMillis() * MILLI, FIRST_CLIENT),
         () -> world.publish(new Event.AllFaultsOver()));
     onTick();
   }
@@ -252,12 +252,12 @@
         fault.atMillis() * MILLI,
         () -> {
           world.publish(new Event.FaultBegan(fault.toString()));
-          fault.kind().begin().to(stage, fault);
+          fault.kind().begin().apply(faultContext, fault);
         });
     agenda.at(
         fault.untilMillis() * MILLI,
         () -> {
-          fault.kind().end().to(stage, fault);
+          fault.kind().end().apply(faultContext, fault);
           world.publish(new Event.FaultEnded(fault.toString()));
         });
   }
@@ -283,9 +283,9 @@
   }
 
   /** Clients that faults add. */
-  private final class ClientSource implements Stage.Crowd {
+  private final class ClientSource implements FaultContext.ClientGenerator {
     @Override
-    public void more(double rate, long millis) {
+    public void addClients(double rate, long millis) {
       RandomStreams.Stream stream = draws.of("burst " + agenda.now());
       double at = agenda.now();
       double until = at + millis * MILLI;
@@ -295,7 +295,7 @@
     }
 
     @Override
-    public void bad(BadClient.Kind kind, double rate, long millis) {
+    public void addBadClients(BadClient.Kind kind, double rate, long millis) {
       RandomStreams.Stream stream = draws.of("bad " + kind + agenda.now());
       double at = agenda.now();
       double until = at + millis * MILLI;
@@ -356,7 +356,7 @@
     @Override
     public long[] datagrams(String proxy) {
       Machine machine = proxies.get(proxy).machine();
-      return new long[] {machine.datagrams(), machine.datagramBytes()};
+      return new long[] {machine.sentDatagrams(), machine.sentDatagramBytes()};
     }
 
     @Override
--- a/src/main/java/brassbank/sim/Shrinker.java
+++ b/src/main/java/brassbank/sim/Shrinker.java
@@ -2,7 +2,7 @@
 
 import brassbank.sim.check.Breach;
 import brassbank.sim.fault.Fault;
-import brassbank.sim.fault.Numbers;
+import brassbank.sim.fault.IndexSet;
 import brassbank.sim.fault.Plan;
 import java.util.ArrayList;
 import java.util.List;
@@ -79,7 +79,7 @@
   private void shorten() {
     int end = (int) (breach.atMicros() / 1_000_000) + 1;
     if (end < best.seconds()) {
-      reproduces(best.until(end));
+      reproduces(best.withSeconds(end));
     }
   }
 
@@ -97,7 +97,7 @@
     new DeltaDebugger<Integer>(clientsOf(best)) {
       @Override
       boolean breaksWith(List<Integer> some) {
-        return reproduces(best.with(Numbers.of(some)));
+        return reproduces(best.with(IndexSet.of(some)));
       }
     }.reduce();
   }
--- a/src/main/java/brassbank/sim/SimulatedMembership.java
+++ b/src/main/java/brassbank/sim/SimulatedMembership.java
@@ -36,7 +36,7 @@
     }
     MembershipConfig config =
         new MembershipConfig("simulated", null, null, seeds, Settings.DEFAULTS);
-    config = plan.shares() ? config.withBaseShare(LeaseSettings.DEFAULT_BASE_SHARE) : config;
-    return plan.subsets() ? config.withMinProxiesPerHost(plan.askers()) : config;
+    config = plan.sharesBudgets() ? config.withBaseShare(LeaseSettings.DEFAULT_BASE_SHARE) : config;
+    return plan.usesSubsets() ? config.withMinProxiesPerHost(plan.minProxiesPerHost()) : config;
   }
 }
--- a/src/main/java/brassbank/sim/actor/BadClient.java
+++ b/src/main/java/brassbank/sim/actor/BadClient.java
@@ -16,7 +16,7 @@
  * A client that violates the protocol. It sends at full speed and reads all that it is sent; the
  * proxy must answer it with an error or close the connection in time, and must not serve it.
  */
-public final class BadClient implements Program.Connected, LineConnection.Listener {
+public final class BadClient implements Program.ConnectHandler, LineConnection.Listener {
   private static final int CHUNK_BYTES = 64 * 1024;
 
   /** The way in which a bad client violates the protocol. */
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public void up(Endpoint endpoint) {
+  public void connected(Endpoint endpoint) {
     settled = false;
     lines = new LineConnection(endpoint, this);
     String flow = name + "." + remainingRounds;
@@ -172,7 +172,7 @@
       lines.sendBytes(chunk);
     }
     if (remainingBytes > 0 && !lines.isClosed()) {
-      program.later(Agenda.MILLI, this::sendChunk);
+      program.schedule(Agenda.MILLI, this::sendChunk);
     } else if (kind == Kind.HUGE) {
       lines.sendBytes(bytes("\r\n"));
     }
--- a/src/main/java/brassbank/sim/actor/Client.java
+++ b/src/main/java/brassbank/sim/actor/Client.java
@@ -150,7 +150,7 @@
         retryHint > 0 && honoursRetryHint
             ? Math.min(retryHint, MAX_RETRY_DELAY_MILLIS) * MILLI
             : backoff;
-    program.later(wait, this::attempt);
+    program.schedule(wait, this::attempt);
   }
 
   private void reconnect() {
@@ -159,15 +159,15 @@
     }
     isReconnecting = true;
     world.publish(cameEvent(true));
-    program.later(stream.micros(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY), this::requestSession);
+    program.schedule(stream.micros(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY), this::requestSession);
   }
 
   /** One try of the client, and the connection that results from it. */
-  private final class Flow implements Program.Connected, LineConnection.Listener {
+  private final class Flow implements Program.ConnectHandler, LineConnection.Listener {
     private final InetSocketAddress address;
     private final String id = name + "." + flows++;
     private final long deadlineAt = giveUpAt;
-    private Program.Connecting connecting;
+    private Program.PendingConnect connecting;
     private LineConnection lines;
     private boolean answered;
     private boolean served;
@@ -185,7 +185,7 @@
 
     void start() {
       connecting = program.connect(address, this);
-      program.later(deadlineAt - world.now(), this::onConnectTimeout);
+      program.schedule(deadlineAt - world.now(), this::onConnectTimeout);
     }
 
     private void onConnectTimeout() {
@@ -205,7 +205,7 @@
     }
 
     @Override
-    public void up(Endpoint endpoint) {
+    public void connected(Endpoint endpoint) {
       if (closed) {
         endpoint.close();
         return;
@@ -234,10 +234,10 @@
               + load
               + ",life="
               + remainingLifetime / MILLI);
-      endpoint.whenArrived(() -> world.publish(new Event.FlowTaken(id, proxy)));
-      program.later(millis * MILLI + DEADLINE_GRACE, this::onDeadline);
+      endpoint.onDelivered(() -> world.publish(new Event.FlowTaken(id, proxy)));
+      program.schedule(millis * MILLI + DEADLINE_GRACE, this::onDeadline);
       if (impatient) {
-        program.later(stream.micros(0, MAX_IMPATIENT_WAIT), this::leaveUnanswered);
+        program.schedule(stream.micros(0, MAX_IMPATIENT_WAIT), this::leaveUnanswered);
       }
     }
 
@@ -284,10 +284,10 @@
       world.flows().opened(id, world.loadBalancer().name(address));
       world.publish(new Event.ClientServed(name, id));
       if (disconnectMode != DisconnectMode.STAYS) {
-        program.later(stream.micros(SECOND, 20 * SECOND), this::disconnect);
+        program.schedule(stream.micros(SECOND, 20 * SECOND), this::disconnect);
       }
       if (slowReader) {
-        program.later(stream.micros(SECOND, 10 * SECOND), this::pauseReading);
+        program.schedule(stream.micros(SECOND, 10 * SECOND), this::pauseReading);
       }
       sendNextLine();
     }
@@ -314,7 +314,7 @@
       }
       world.publish(new Event.LineSent(id, true, line.toString()));
       lines.send(line.toString());
-      program.later(LINE_INTERVAL, this::sendNextLine);
+      program.schedule(LINE_INTERVAL, this::sendNextLine);
     }
 
     private void pauseReading() {
@@ -322,7 +322,7 @@
         long micros = stream.micros(SECOND, 8 * SECOND);
         lines.reading(false);
         world.flows().markClientBusy(id, world.now() + micros);
-        program.later(
+        program.schedule(
             micros,
             () -> {
               if (!closed) {
@@ -359,7 +359,7 @@
         case FINISHES -> {
           closed = true;
           lines.finish();
-          program.later(5 * SECOND, lines::close);
+          program.schedule(5 * SECOND, lines::close);
         }
         case RESETS -> {
           closed = true;
--- a/src/main/java/brassbank/sim/actor/StreamHost.java
+++ b/src/main/java/brassbank/sim/actor/StreamHost.java
@@ -2,8 +2,8 @@
 
 import brassbank.sim.event.Event;
 import brassbank.sim.net.Endpoint;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
 import brassbank.sim.time.RandomStreams;
@@ -261,7 +261,7 @@
   }
 
   private final class Acceptor implements Runnable {
-    private Port port;
+    private ListeningSocket port;
 
     @Override
     public void run() {
@@ -297,7 +297,7 @@
       if (connection.flow != null && !connection.closed) {
         connection.publish(
             new Event.HostEnded(
-                connection.flow, name, connection.established, true, machine.dark()));
+                connection.flow, name, connection.established, true, machine.hasNoPower()));
       }
       connection.closed = true;
     }
@@ -308,7 +308,7 @@
 
   /** Cuts the power of the host's machine: its peers receive no sign of that. */
   public void losePower() {
-    machine.darken();
+    machine.losePower();
     kill();
   }
 
@@ -389,7 +389,7 @@
         new Report(visible, utilization() * noise, backlog, served / seconds, errors / seconds));
     served = 0;
     errors = 0;
-    program.later(reportPeriod, this::sampleLoad);
+    program.schedule(reportPeriod, this::sampleLoad);
   }
 
   private String stats() {
@@ -470,7 +470,7 @@
       kill();
       return;
     }
-    program.later(OVERLOAD_CHECK_INTERVAL, this::checkOverload);
+    program.schedule(OVERLOAD_CHECK_INTERVAL, this::checkOverload);
   }
 
   /**
@@ -521,12 +521,12 @@
     Connection(Endpoint endpoint) {
       proxy = endpoint.peerMachine().name();
       lines = new LineConnection(endpoint, this);
-      endpoint.whenPeerEnds(this::proxyEnded);
+      endpoint.onPeerOutputEnd(this::proxyEnded);
       waitForProbe();
     }
 
     private void waitForProbe() {
-      idle = program.later(IDLE_TIMEOUT, () -> end(false));
+      idle = program.schedule(IDLE_TIMEOUT, () -> end(false));
     }
 
     private void proxyEnded() {
@@ -572,9 +572,9 @@
     }
 
     private void probe(String line) {
-      long calm = Math.max(pausedUntil, lines.endpoint().calmSince());
+      long calm = Math.max(pausedUntil, lines.endpoint().undisturbedSince());
       world.publish(new Event.ProbeArrived(name, proxy, line, calm));
-      program.later(
+      program.schedule(
           enqueueWork(stream.micros(MIN_PROBE_WORK, MAX_PROBE_WORK)),
           () -> {
             if (!closed) {
@@ -612,8 +612,8 @@
               name,
               proxy,
               lines.endpoint().peerFirstWriteAt(),
-              lines.endpoint().peerHasEnded()));
-      leftByProxy = lines.endpoint().peerHasEnded();
+              lines.endpoint().hasPeerEndedOutput()));
+      leftByProxy = lines.endpoint().hasPeerEndedOutput();
       if (!leftByProxy) {
         world.flows().setHost(flow, lines.endpoint(), StreamHost.this);
       }
@@ -630,7 +630,7 @@
         long micros =
             stream.micros(MIN_HANDSHAKE_WORK, MAX_HANDSHAKE_WORK)
                 + stream.micros(MIN_SETUP_WORK, MAX_SETUP_WORK);
-        program.later(enqueueWork(micros), () -> serve(deadline, life));
+        program.schedule(enqueueWork(micros), () -> serve(deadline, life));
       }
     }
 
@@ -702,7 +702,7 @@
       for (int i = 0; i < answer.length(); i++) {
         byte[] one = {(byte) answer.charAt(i)};
         boolean last = i == answer.length() - 1;
-        program.later(
+        program.schedule(
             (i + 1) * DRIP_INTERVAL,
             () -> {
               if (!closed) {
@@ -717,10 +717,10 @@
     }
 
     private void scheduleSession(long life) {
-      program.later(life, this::bye);
-      program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
+      program.schedule(life, this::bye);
+      program.schedule(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
       if (stream.chance(PUSH_SHARE)) {
-        program.later(stream.micros(SECOND, 20 * SECOND), this::push);
+        program.schedule(stream.micros(SECOND, 20 * SECOND), this::push);
       }
     }
 
@@ -745,7 +745,7 @@
       if (!closed) {
         load = Math.round(load * stream.logNormal(0.4) * 1000) / 1000.0;
         sendLine("LOAD " + load);
-        program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
+        program.schedule(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
       }
     }
 
@@ -754,7 +754,7 @@
       double asked = utilization();
       long delay = (long) (ECHO_DELAY * slowdown * Math.max(1, asked > 1 ? 20 * asked : 1));
       echoFreeAt = Math.max(echoFreeAt, world.now() + delay);
-      program.later(
+      program.schedule(
           echoFreeAt - world.now(),
           () -> {
             if (!closed) {
--- a/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
+++ b/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
@@ -150,7 +150,7 @@
     }
   }
 
-  private final class Probe implements Program.Connected, LineConnection.Listener {
+  private final class Probe implements Program.ConnectHandler, LineConnection.Listener {
     private final Upstream upstream;
     private final int incarnation;
     private final Program program;
@@ -164,8 +164,8 @@
     }
 
     void start() {
-      Program.Connecting connecting = program.connect(upstream.address, this);
-      program.later(
+      Program.PendingConnect connecting = program.connect(upstream.address, this);
+      program.schedule(
           PROBE_TIMEOUT,
           () -> {
             connecting.cancel();
@@ -174,7 +174,7 @@
     }
 
     @Override
-    public void up(Endpoint endpoint) {
+    public void connected(Endpoint endpoint) {
       lines = new LineConnection(endpoint, this);
       lines.send("PING");
     }
@@ -205,7 +205,7 @@
         if (lines != null) {
           lines.close();
         }
-        program.later(PROBE_INTERVAL, () -> probe(upstream, incarnation));
+        program.schedule(PROBE_INTERVAL, () -> probe(upstream, incarnation));
       }
     }
   }
