--- a/src/test/java/brassbank/sim/MembershipTest.java
+++ b/src/test/java/brassbank/sim/MembershipTest.java
@@ -24,11 +24,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Whole proxies that keep a view of the fleet, in virtual time, under all rules. */
+/** Complete proxies with a membership view, in virtual time, under all rules. */
 class MembershipTest {
   private static final Path SCRIPTS = Path.of("src/test/resources/lab-members");
 
-  /** What breaks in any of them; each plays by itself, on a core of its own. */
+  /** Returns the breaches of all plans. Each plan runs by itself; the plans run in parallel. */
   private static List<String> broken(List<Plan> plans) {
     return plans.parallelStream()
         .flatMap(
@@ -66,15 +66,18 @@
     assertThat(broken(plans)).isEmpty();
   }
 
-  /** In an upgrade two processes of one name live for seconds: for the others nobody was away. */
+  /**
+   * During an upgrade two processes of one name run for seconds; for all other members the name
+   * must stay live throughout.
+   */
   @Test
-  void anUpgradeIsOneMemberAndNoFlap() throws Exception {
+  void anUpgradedProxyStaysLiveForAllOthers() throws Exception {
     SimulationRun run =
         new SimulationRun(
             Script.read(SCRIPTS.resolve("restarts-faster-than-noticed.toml")),
             UnaryOperator.identity());
     Set<String> states = new HashSet<>();
-    Set<Long> births = new HashSet<>();
+    Set<Long> startTimes = new HashSet<>();
     run.trace()
         .addListener(
             (now, event) -> {
@@ -86,16 +89,16 @@
                     .forEach(
                         one -> {
                           states.add(one.state());
-                          births.add(one.birth());
+                          startTimes.add(one.birth());
                         });
               }
             });
     assertThat(run.execute().breaches()).isEmpty();
-    assertThat(births).as("two processes").hasSize(2);
+    assertThat(startTimes).as("two processes").hasSize(2);
     assertThat(states).isSubsetOf("alive", "suspect");
   }
 
-  // ------------------------------------------------------------ planted bugs
+  // Planted bugs
 
   private static Map<String, Integer> broken(UnaryOperator<Network> bug) throws Exception {
     Plan plan = Script.read(Path.of("src/test/resources/lab-planted/members-away.toml"));
@@ -107,9 +110,9 @@
     return counts;
   }
 
-  /** Whoever asks another believes that it has answered. */
+  /** Every probe of another member is answered on the spot, whether or not that member runs. */
   @Test
-  void catchesTheDeadWhoAnswer() throws Exception {
+  void catchesFailedMembersThatSeemToAnswer() throws Exception {
     assertThat(broken(UnaryOperator.identity())).isEmpty();
     Map<String, Integer> broken =
         broken(
@@ -132,9 +135,9 @@
     assertThat(broken).containsKey("whoever is dead is dead in each view");
   }
 
-  /** Nobody reads what n3 says. */
+  /** All members ignore what n3 sends. */
   @Test
-  void catchesOneWhoIsNotListenedTo() throws Exception {
+  void catchesAMemberThatAllOthersIgnore() throws Exception {
     Map<String, Integer> broken =
         broken(
             real ->
@@ -150,11 +153,12 @@
   }
 
   /**
-   * Of each name only the first process is believed: the second is dead for all, and can be heard.
+   * All members accept only the first process of each name: the second is failed for all others,
+   * although it can be reached.
    */
   @Test
-  void catchesARestartThatIsNotBelieved() throws Exception {
-    Map<String, Long> births = new HashMap<>();
+  void catchesARestartThatIsNotAccepted() throws Exception {
+    Map<String, Long> startTimes = new HashMap<>();
     Map<String, Integer> broken =
         broken(
             real ->
@@ -167,7 +171,7 @@
                   }
 
                   private boolean first(String name, Incarnation incarnation) {
-                    return births.computeIfAbsent(name, n -> incarnation.startTime())
+                    return startTimes.computeIfAbsent(name, n -> incarnation.startTime())
                         == incarnation.startTime();
                   }
                 });
--- a/src/test/java/brassbank/sim/PlantedBug.java
+++ b/src/test/java/brassbank/sim/PlantedBug.java
@@ -17,91 +17,97 @@
 import java.util.regex.Pattern;
 
 /**
- * Proxies that break a rule on purpose, to show that its check can fail. Each bug is put in by
- * wrapping the network that the unchanged proxy stands on.
+ * Proxies that break a rule on purpose, to show that its check can fail. Each bug is planted by a
+ * wrapper around the network of the unchanged proxy.
  *
- * <p>{@code rule} is the beginning of the name of the rule that must catch it.
+ * <p>{@code rule} is the beginning of the name of the rule that must catch the bug. The names of
+ * the constants are printed.
  */
 enum PlantedBug {
-  /** The line goes to a second stream host while it is out at the first. */
+  /**
+   * The {@code OPEN} line is sent to a second stream host while the attempt at the first is in
+   * flight.
+   */
   SECOND_ATTEMPT("never two attempts out", SecondAttempt::new),
 
-  /** A refusal is lost on its way, and the client waits until its time is up. */
+  /** A rejection is lost, and the client waits until its deadline. */
   ANSWER_LOST("one final answer", real -> toClients(real, "BUSY", Spoil.DROPPED_FOR_GOOD)),
 
-  /** A refusal is kept back so that the client does not ask again. */
+  /** A rejection is delayed so that the client does not retry. */
   ANSWER_KEPT_BACK("what is given up", AnswerKeptBack::new),
 
-  /** A client is told twice. */
+  /** A client is answered twice. */
   ANSWERED_TWICE("one final answer", real -> toClients(real, "BUSY", Spoil.DOUBLED)),
 
-  /** The proxy says itself that a stream host serves. */
+  /** The proxy answers {@code UP} without a stream host. */
   INVENTED_UP("nothing that no stream host produced", real -> toClients(real, "UP ", Spoil.UP)),
 
-  /** A bad client is served as if it had sent what can be read. */
+  /** A bad client is served as if its request were valid. */
   BAD_CLIENT_SERVED("a bad client", real -> toClients(real, "ERR", Spoil.UP)),
 
-  /** A moved client is not told so. */
+  /** A moved client does not receive {@code MOVE}. */
   MOVE_LOST("no connection cut off", real -> toClients(real, "MOVE", Spoil.DROPPED)),
 
-  /** A line is put together wrongly. */
+  /** Two bytes of a line are swapped. */
   BYTES_SWAPPED("lines neither lost", real -> toClients(real, "r ", Spoil.SWAPPED)),
 
-  /** What does not fit into the kernel's buffer is forgotten. */
+  /** Bytes that do not fit into the kernel's buffer are dropped. */
   SHORT_WRITE_LOST("lines neither lost", ShortWriteLost::new),
 
-  /** A line waits for its successor. */
+  /** Lines are delayed. */
   LINE_HELD("lines neither lost", real -> toClients(real, "LOAD", Spoil.LATE)),
 
-  /** The client's side stays open when the stream host has ended the other. */
+  /** The client's connection stays open after the stream host has closed its own. */
   END_KEPT("an end is passed on", EndKept::new),
 
   /** The client of a silent stream host is not moved. */
   SILENCE_KEPT("a silent connection", real -> toClients(real, "MOVE", Spoil.DEAF)),
 
-  /** A bad client is left hanging. */
+  /** A bad client is neither answered nor closed. */
   BAD_CLIENT_KEPT("a bad client", real -> toClients(real, "ERR", Spoil.DROPPED_FOR_GOOD)),
 
-  /** A first line is passed on with figures that no stream host can read. */
+  /** An {@code OPEN} line is relayed with figures that no stream host can parse. */
   UNREADABLE("nothing that no stream host produced", Unreadable::new),
 
-  /** News of discovery is heard two seconds late. */
+  /** Updates from discovery are received two seconds late. */
   DRAIN_HEARD_LATE("nothing to a draining", HeardLate::new),
 
-  /** The stream host that has started last gets everything. */
+  /** All sessions are sent to the stream host that started last. */
   NEWEST_FLOODED("no cold host pushed over", NewestFlooded::new),
 
-  /** The same: before it falls, it has had more calls than all proxies may send it. */
+  /**
+   * The same bug: before the host fails, it has received more calls than all proxies may send it.
+   */
   NEWEST_CALLED("a cold host's calls", NewestFlooded::new),
 
-  /** A stream host that has once not answered is never connected to again. */
+  /** A stream host to which one connect has failed is never connected to again. */
   HOST_FORGOTTEN("all sound again", HostForgotten::new),
 
-  /** Every tenth connection is not given back. */
+  /** One of five connections is not closed. */
   DESCRIPTOR_LEAKED("descriptors within", DescriptorLeaked::new),
 
   /** The descriptors that the runtime holds are not counted. */
   DESCRIPTORS_MISCOUNTED("descriptors within", Miscounted::new),
 
-  /** A stream host is asked the same thirty times over. */
+  /** Each probe of a stream host is sent thirty times. */
   PROBE_STORM("probes a second", ProbeStorm::new),
 
-  /** For each connection thirty more are made, and closed. */
+  /** For each connection thirty more are opened and closed. */
   CONNECT_STORM("connects a second", ConnectStorm::new),
 
-  /** Each call to discovery is made as if nobody had to wait for it. */
+  /** Each call to discovery is made thirty times. */
   CALL_STORM("calls a second", CallStorm::new),
 
-  /** A drain moves no one. */
+  /** A drain moves no client. */
   DRAIN_FORGOTTEN("a proxy on standby", StopForgotten::new),
 
-  /** A client that is to be moved is forgotten: it hears nothing, and stays. */
+  /** A client that is to be moved receives nothing, and stays. */
   CLIENT_FORGOTTEN("a proxy on standby", real -> toClients(real, "MOVE", Spoil.DROPPED_FOR_GOOD)),
 
-  /** The old process goes on accepting after its successor's yes. */
+  /** The old process continues to accept connections after its successor has taken over. */
   DOOR_KEPT("one process takes", DoorKept::new),
 
-  /** A planned stop moves no one. */
+  /** A planned shutdown moves no client. */
   STOP_FORGOTTEN("no connection cut off", StopForgotten::new);
 
   final String rule;
@@ -112,14 +118,20 @@
     this.plant = plant;
   }
 
-  /** A cold host that is pushed over was called too often before, which is a bug's of its own. */
+  /**
+   * Returns whether the breach ends the run. A cold host that fails under overload has received too
+   * many calls before, which is planted as a bug of its own.
+   */
   private boolean ends(Breach breach) {
     return this != NEWEST_FLOODED || !breach.rule().startsWith(NEWEST_CALLED.rule);
   }
 
-  /** The first seed up to {@code most} that catches it, or 0; what others broke is told. */
-  long caughtBy(long most, BiConsumer<Long, Breach> others) {
-    for (long seed = 1; seed <= most; seed++) {
+  /**
+   * Returns the first seed up to {@code maxSeed} that catches the bug, or 0. Breaches of other
+   * rules are passed to {@code others}.
+   */
+  long caughtBy(long maxSeed, BiConsumer<Long, Breach> others) {
+    for (long seed = 1; seed <= maxSeed; seed++) {
       Plan plan =
           Plan.drawn(
               seed,
@@ -150,8 +162,8 @@
     DEAF
   }
 
-  /** Whatever has failed is told as if it had never run. */
-  static Network failedToldAsBusy(Network real) {
+  /** Every failure is answered as if the flow had never run. */
+  static Network failuresAnsweredAsBusy(Network real) {
     return toClients(real, "ERR", Spoil.BUSY);
   }
 
@@ -168,8 +180,8 @@
     private final Wrapped network;
     private final String begins;
     private final Spoil spoil;
-    private boolean mute;
-    private boolean late;
+    private boolean muted;
+    private boolean delaying;
 
     Spoiled(Wrapped network, Channel real, String begins, Spoil spoil) {
       super(real);
@@ -181,10 +193,10 @@
     @Override
     public int write(ByteBuffer from) throws IOException {
       String text = text(from);
-      if (mute) {
+      if (muted) {
         return instead(from, "");
       }
-      if (late) {
+      if (delaying) {
         network.loop.schedule(1_500_000, () -> later(text));
         return instead(from, "");
       }
@@ -207,11 +219,11 @@
                   + text.charAt(middle)
                   + text.substring(middle + 2));
         case LATE:
-          late = true;
+          delaying = true;
           network.loop.schedule(1_500_000, () -> later(text));
           return instead(from, "");
         case DROPPED_FOR_GOOD, DEAF:
-          mute = true;
+          muted = true;
           return instead(from, "");
         default:
           return instead(from, "");
@@ -222,20 +234,20 @@
       try {
         real.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
       } catch (IOException e) {
-        mute = true;
+        muted = true;
       }
     }
 
     @Override
     public void shutdownOutput() throws IOException {
-      if (!mute) {
+      if (!muted) {
         super.shutdownOutput();
       }
     }
 
     @Override
     public void close() {
-      if (!mute) {
+      if (!muted) {
         super.close();
       }
     }
@@ -257,7 +269,7 @@
           String line = text(from);
           if (line.startsWith("OPEN ")) {
             if (last != null && !last.equals(address) && ++lines % 20 == 0) {
-              again(last, line);
+              sendSecondAttempt(last, line);
             }
             last = address;
           }
@@ -266,13 +278,13 @@
       };
     }
 
-    private void again(InetSocketAddress address, String line) {
+    private void sendSecondAttempt(InetSocketAddress address, String line) {
       real.connect(
           address,
           new ConnectHandler() {
             @Override
             public void connected(Channel channel) {
-              channel.handler(nobody());
+              channel.handler(ignoreAll());
               try {
                 channel.write(ByteBuffer.wrap(line.getBytes(StandardCharsets.ISO_8859_1)));
               } catch (IOException e) {
@@ -286,7 +298,7 @@
     }
   }
 
-  private static Channel.Handler nobody() {
+  private static Channel.Handler ignoreAll() {
     return new Channel.Handler() {
       @Override
       public void readable() {}
@@ -299,7 +311,7 @@
     };
   }
 
-  /** Refusals go out half a second late, and so does the end after them. */
+  /** Rejections are sent half a second late, and so is the close after them. */
   private static final class AnswerKeptBack extends Wrapped {
     AnswerKeptBack(Network real) {
       super(real);
@@ -308,7 +320,7 @@
     @Override
     Channel fromClient(Channel channel) {
       return new Wire(channel) {
-        private boolean kept;
+        private boolean delayed;
 
         @Override
         public int write(ByteBuffer from) throws IOException {
@@ -316,7 +328,7 @@
           if (!text.startsWith("BUSY")) {
             return super.write(from);
           }
-          kept = true;
+          delayed = true;
           loop.schedule(
               500_000,
               () -> {
@@ -332,14 +344,14 @@
 
         @Override
         public void shutdownOutput() throws IOException {
-          if (!kept) {
+          if (!delayed) {
             super.shutdownOutput();
           }
         }
 
         @Override
         public void close() {
-          if (!kept) {
+          if (!delayed) {
             super.close();
           }
         }
@@ -374,24 +386,24 @@
     @Override
     Channel fromClient(Channel channel) {
       return new Wire(channel) {
-        private boolean stands;
+        private boolean established;
 
         @Override
         public int write(ByteBuffer from) throws IOException {
-          stands |= text(from).startsWith("UP ");
+          established |= text(from).startsWith("UP ");
           return super.write(from);
         }
 
         @Override
         public void shutdownOutput() throws IOException {
-          if (!stands) {
+          if (!established) {
             super.shutdownOutput();
           }
         }
 
         @Override
         public void close() {
-          if (!stands) {
+          if (!established) {
             super.close();
           }
         }
@@ -491,7 +503,7 @@
 
             @Override
             public void contentReceived(int status, ByteBuffer bytes, boolean last) {
-              look(StandardCharsets.ISO_8859_1.decode(bytes.duplicate()).toString());
+              findNewest(StandardCharsets.ISO_8859_1.decode(bytes.duplicate()).toString());
               answer.contentReceived(status, bytes, last);
             }
 
@@ -502,7 +514,7 @@
           });
     }
 
-    private void look(String text) {
+    private void findNewest(String text) {
       Matcher entry = ENTRY.matcher(text);
       while (entry.find()) {
         long since = Long.parseLong(entry.group(3));
@@ -520,7 +532,7 @@
   }
 
   private static final class HostForgotten extends Wrapped {
-    private final Map<InetSocketAddress, Boolean> given = new HashMap<>();
+    private final Map<InetSocketAddress, Boolean> failed = new HashMap<>();
 
     HostForgotten(Network real) {
       super(real);
@@ -528,8 +540,9 @@
 
     @Override
     public Attempt connect(InetSocketAddress address, ConnectHandler then) {
-      if (given.containsKey(address)) {
-        real.execute(() -> then.failed(new IOException("given up long ago")));
+      if (failed.containsKey(address)) {
+        real.execute(
+            () -> then.failed(new IOException("a connect to this host has failed before")));
         return () -> {};
       }
       Attempt attempt =
@@ -543,7 +556,7 @@
 
                 @Override
                 public void failed(IOException cause) {
-                  given.put(address, true);
+                  failed.put(address, true);
                   then.failed(cause);
                 }
               });
@@ -584,7 +597,7 @@
     }
   }
 
-  /** The proxy's start is its first task; a planned stop is a later one. */
+  /** The proxy's start is its first task; a planned shutdown is a later one. */
   private static final class StopForgotten extends Wrapped {
     private boolean started;
 
@@ -672,8 +685,9 @@
   }
 
   /**
-   * Every flow goes to the stream hosts under the first one's id. Other rules break as well, so
-   * that it is no bug of the list: a run would end with the first breach.
+   * Every flow is sent to the stream hosts under the id of the first one. Not a constant of this
+   * enum, because the bug breaks other rules earlier, and a run of the list ends with the first
+   * breach.
    */
   static final class FifthAttempt extends Wrapped {
     private static final Pattern ID = Pattern.compile("OPEN (\\S+) ");
--- a/src/test/java/brassbank/sim/PlantedBugTable.java
+++ b/src/test/java/brassbank/sim/PlantedBugTable.java
@@ -2,9 +2,12 @@
 
 import java.util.Locale;
 
-/** Prints the table of docs/simulation.md: each planted bug, its rule, the seeds that it took. */
+/**
+ * Prints the table of docs/simulation.md: each planted bug, its rule, and the first seed that
+ * catches it.
+ */
 final class PlantedBugTable {
-  private static final long MOST = 1_000;
+  private static final long MAX_SEED = 1_000;
 
   private PlantedBugTable() {}
 
@@ -12,7 +15,8 @@
     for (PlantedBug bug : PlantedBug.values()) {
       long seed =
           bug.caughtBy(
-              MOST, (other, breach) -> System.err.println(bug + ", seed " + other + ": " + breach));
+              MAX_SEED,
+              (other, breach) -> System.err.println(bug + ", seed " + other + ": " + breach));
       String name = bug.name().toLowerCase(Locale.ROOT).replace('_', ' ');
       System.out.println("| " + name + " | " + bug.rule + " | " + seed + " |");
     }
--- a/src/test/java/brassbank/sim/SharesTest.java
+++ b/src/test/java/brassbank/sim/SharesTest.java
@@ -20,7 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whole proxies that share the fleet's budgets by who is there, in virtual time, under all rules.
+ * Complete proxies that divide the fleet's budgets among the live members, in virtual time, under
+ * all rules.
  */
 class SharesTest {
   private static final Path SCRIPTS = Path.of("src/test/resources/lab-shares");
@@ -29,8 +30,12 @@
     return new SimulationRun(plan, wrapping).execute().breaches();
   }
 
-  /** As above, past the rule on a cold host's calls, which the same bug breaks before. */
-  private static List<Breach> pastCalls(Plan plan, UnaryOperator<Network> wrapping) {
+  /**
+   * Returns the breaches of a run that continues past the rule on a cold host's calls, which the
+   * same bug breaks earlier.
+   */
+  private static List<Breach> breachesPastColdHostCalls(
+      Plan plan, UnaryOperator<Network> wrapping) {
     return new SimulationRun(plan, wrapping)
         .execute(breach -> !breach.rule().startsWith("a cold host's calls"))
         .breaches();
@@ -75,9 +80,12 @@
         .isEmpty();
   }
 
-  /** A fleet that is whole spends as one that goes by the file: the same places, to the byte. */
+  /**
+   * A complete fleet has the same budgets as one that takes them from its settings files: the
+   * statistics of both runs are identical.
+   */
   @Test
-  void changesNothingWhileAllAreThere() {
+  void changesNothingWhileAllMembersAreLive() {
     Plan plan =
         Plan.drawn(1, Plan.DEFAULT_SECONDS, 5, Plan.DEFAULT_HOSTS, Plan.DEFAULT_CLIENTS_PER_SECOND)
             .with(List.of());
@@ -89,13 +97,13 @@
         .isEqualTo(members.execute().service().summary());
   }
 
-  /** Answers of nobody: each proxy takes itself for the only one with a seat. */
+  /** Forged lease answers let each proxy take itself for the only one with a rank lease. */
   @Test
-  void catchesSeatsThatNobodyKeeps() throws Exception {
+  void catchesLeasesThatNoGrantorKeeps() throws Exception {
     Plan plan = Script.read(Path.of("src/test/resources/lab-planted/shares.toml"));
     assertThat(breaches(plan, UnaryOperator.identity())).isEmpty();
     assertThat(
-            pastCalls(
+            breachesPastColdHostCalls(
                 plan,
                 real ->
                     new TamperedLeaseNetwork(real, "simulated") {
@@ -125,7 +133,7 @@
         .contains("a cold host's places, of all proxies together");
   }
 
-  private static List<String> away(List<String> events, UnaryOperator<Network> wrapping)
+  private static List<String> drainBreaches(List<String> events, UnaryOperator<Network> wrapping)
       throws Exception {
     SimulationRun run =
         new SimulationRun(Script.read(SCRIPTS.resolve("two-are-sent-away-at-once.toml")), wrapping);
@@ -140,19 +148,19 @@
   }
 
   @Test
-  void oneProxyAtATimeLeavesByOperatorsCalls() throws Exception {
+  void oneProxyAtATimeDrainsOnOperatorsCalls() throws Exception {
     List<String> events = new ArrayList<>();
-    assertThat(away(events, UnaryOperator.identity())).isEmpty();
+    assertThat(drainBreaches(events, UnaryOperator.identity())).isEmpty();
     assertThat(events)
         .containsExactly(
             "proxy-on-standby proxy=n1", "proxy-put-off proxy=n3", "proxy-put-off proxy=n4");
   }
 
-  /** Keepers that let everybody go. */
+  /** Grantors give a drain permit to every proxy. */
   @Test
-  void catchesTwoOwnersOfOneTurn() throws Exception {
+  void catchesTwoHoldersOfOneDrainPermit() throws Exception {
     assertThat(
-            away(
+            drainBreaches(
                 new ArrayList<>(),
                 real ->
                     new TamperedLeaseNetwork(real, "simulated") {
--- a/src/test/java/brassbank/sim/SimulationTest.java
+++ b/src/test/java/brassbank/sim/SimulationTest.java
@@ -28,10 +28,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Whole runs: that they hold, that they replay, and that they find what they are there to find. */
+/** Whole runs hold all rules, are reproducible, and find planted bugs. */
 @Execution(ExecutionMode.CONCURRENT)
 class SimulationTest {
-  /** Runs on every build; a thousand and more are for the command line. */
+  /** Seeds of every build; the command line is for a thousand and more. */
   private static final long SEEDS = 16;
 
   private static Plan drawn(long seed) {
@@ -58,9 +58,9 @@
     assertThat(breaches).isEmpty();
   }
 
-  private static SimulationRun.Result night(FleetScenario night, long seed) {
+  private static SimulationRun.Result scenarioRun(FleetScenario scenario, long seed) {
     Plan plan =
-        night.plan(
+        scenario.plan(
             seed,
             Plan.DEFAULT_SECONDS,
             FleetScenario.PROXIES,
@@ -69,18 +69,22 @@
     return new SimulationRun(plan, UnaryOperator.identity()).execute();
   }
 
-  /** Join nights broke the cold hosts' rule while sizes were taken for cores. */
+  /**
+   * Scenarios with joining hosts broke the rule on cold hosts while the reported size of a host was
+   * taken for its cores.
+   */
   @ParameterizedTest
   @EnumSource(FleetScenario.class)
-  void holdsAllRulesOnTheNightsOfALargeFleet(FleetScenario night) {
+  void holdsAllRulesInTheScenariosOfALargeFleet(FleetScenario scenario) {
     for (long seed : new long[] {1, 22}) {
-      assertThat(night(night, seed).breaches()).as("seed %s", seed).isEmpty();
+      assertThat(scenarioRun(scenario, seed).breaches()).as("seed %s", seed).isEmpty();
     }
   }
 
   /**
-   * A budget that nothing bounds, as while sizes were taken for cores. Fourteen times the budget,
-   * one that is not shared, is no breach: what a host is taken to hold keeps the proxies off.
+   * Removes the bound on a cold host's budget, as when the reported size of a host was taken for
+   * its cores. Fourteen times the budget, as when each proxy uses the whole budget, is no breach:
+   * the estimate of the host's capacity keeps the proxies below the limit.
    */
   @Test
   void catchesAColdHostsBudgetWithoutABound() {
@@ -107,7 +111,10 @@
     assertThat(breaches).anyMatch(breach -> breach.rule().startsWith("no cold host pushed over"));
   }
 
-  /** Fifty times what a cold host bears, told to all: its calls are counted where they arrive. */
+  /**
+   * Proxies take a cold host's budget for fifty times its size. Its calls are counted where they
+   * arrive.
+   */
   @Test
   void catchesMoreCallsThanAColdHostsBudgetAllows() {
     List<Breach> breaches =
@@ -128,7 +135,10 @@
     assertThat(breaches).anyMatch(breach -> breach.rule().startsWith("a cold host's calls"));
   }
 
-  /** One class that may never be repeated, and one in a short window; both may fail at any time. */
+  /**
+   * One class that may never be repeated, and one that may in a short window; sessions of both may
+   * fail at any time.
+   */
   private static SimulationRun guarded(long seed, UnaryOperator<Network> wrapping) {
     Plan plan = drawn(seed);
     Site site =
@@ -140,11 +150,12 @@
   }
 
   /**
-   * Those behind the first few broke it: 147 by a repeat whose connect outlasted its window, the
-   * others by a stop that told flows to try again whose line was out.
+   * The seeds after the first sixteen broke the rule: 147 by a repeat whose connect outlasted its
+   * window, the others by a shutdown that answered {@code BUSY} to flows whose {@code OPEN} line
+   * had been sent.
    */
   @Test
-  void doublesNoEffectOfClassesThatMayNotSimplyBeRepeated() {
+  void doublesNoEffectOfClassesWithRestrictedRepeats() {
     List<Breach> breaches =
         LongStream.concat(
                 LongStream.rangeClosed(1, SEEDS), LongStream.of(147, 181, 184, 216, 290, 352))
@@ -155,13 +166,13 @@
     assertThat(breaches).isEmpty();
   }
 
-  /** What has failed and may have run is told to be harmless. */
+  /** A flow that failed and may have run is answered as harmless to repeat. */
   @Test
   void catchesAnEffectThatMayBeDoubled() {
     List<Breach> breaches =
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
-            .mapToObj(seed -> guarded(seed, PlantedBug::failedToldAsBusy))
+            .mapToObj(seed -> guarded(seed, PlantedBug::failuresAnsweredAsBusy))
             .flatMap(run -> run.execute().breaches().stream())
             .toList();
     assertThat(breaches).anyMatch(breach -> breach.rule().equals("no effect doubled"));
@@ -173,7 +184,7 @@
     }
   }
 
-  /** Each broke a rule once, for a cause that its first lines tell. */
+  /** Each script broke a rule once, for the cause stated in its first lines. */
   @ParameterizedTest
   @MethodSource("pinned")
   void holdsAllRulesWhereItOnceBrokeOne(Path script) throws Exception {
@@ -188,20 +199,26 @@
     assertThat(seed).as("what else was broken: %s", others).isPositive();
   }
 
-  /** How often each rule was broken by the proxies of this cast, whatever was broken before. */
+  /**
+   * Returns how often each rule was broken by the proxies of this factory. The run does not end
+   * with a breach.
+   */
   private static Map<String, Integer> counts(ScenarioRun.ProxyFactory cast) throws Exception {
     Plan plan = Script.read(Path.of("src/test/resources/lab/one-is-killed.toml"));
     ScenarioRun scene = new ScenarioRun(plan, ScenarioRun.Environment.VIRTUAL, cast);
     scene.begin();
     while (scene.agenda().step(scene.end())) {
-      // All that is due.
+      // Runs all tasks that are due.
     }
     return scene.checks().breachCounts();
   }
 
-  /** A kill that does not kill: its clients stand at a proxy that nobody has any longer. */
+  /**
+   * A kill that does not end the process: its clients stay connected to a proxy that counts as
+   * ended.
+   */
   @Test
-  void catchesAClientThatIsLeftWhereNoProxyIs() throws Exception {
+  void catchesAClientLeftWithoutAProxy() throws Exception {
     Map<String, Integer> counts =
         counts(
             (world, name, rank, machine) ->
@@ -261,14 +278,14 @@
                 "5")
             .redirectError(ProcessBuilder.Redirect.DISCARD)
             .start();
-    String said = new String(other.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    String output = new String(other.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertThat(other.waitFor()).isZero();
-    assertThat(said).contains("fingerprint " + first.get(first.size() - 1));
+    assertThat(output).contains("fingerprint " + first.get(first.size() - 1));
   }
 
-  /** Or else shrinking would look for another run than the one that failed. */
+  /** Otherwise the shrinker would search another run than the one that failed. */
   @Test
-  void doesTheSameUntilTheFaultThatIsLeftOut() {
+  void doesTheSameUntilTheFaultThatIsLeftOutBegins() {
     Plan plan = drawn(3);
     List<Fault> faults = plan.faults();
     Fault last = faults.get(faults.size() - 1);
--- a/src/test/java/brassbank/sim/SubsetsTest.java
+++ b/src/test/java/brassbank/sim/SubsetsTest.java
@@ -16,12 +16,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Whole proxies each of which asks a part of the hosts, in virtual time, under all rules. */
+/** Complete proxies that use a subset of the hosts each, in virtual time, under all rules. */
 class SubsetsTest {
-  private static final UnaryOperator<Network> AS_IT_IS = UnaryOperator.identity();
+  private static final UnaryOperator<Network> UNCHANGED = UnaryOperator.identity();
 
-  /** A calm fleet in which each host is asked by eight of sixteen, and has room. */
-  private static final Plan CALM =
+  /**
+   * A fleet without faults in which each host is used by eight of sixteen proxies and has capacity.
+   */
+  private static final Plan FAULT_FREE =
       Plan.drawn(3, Plan.MIN_SECONDS, 16, 32, 8).with(List.of()).with(Plan.FleetMode.SUBSETS);
 
   private static List<String> broken(SimulationRun run) {
@@ -38,7 +40,7 @@
     return plans;
   }
 
-  /** The hard cases of shares among them, on as many hosts as make a subset. */
+  /** Includes the scripts of shared budgets, with enough hosts to form a subset. */
   @Test
   void holdsAllRulesInTheLabsScripts() throws Exception {
     List<Plan> plans = scripts("lab-subsets");
@@ -48,7 +50,7 @@
     assertThat(plans).hasSizeGreaterThan(10);
     assertThat(
             plans.parallelStream()
-                .flatMap(plan -> new SimulationRun(plan, AS_IT_IS).execute().breaches().stream())
+                .flatMap(plan -> new SimulationRun(plan, UNCHANGED).execute().breaches().stream())
                 .toList())
         .isEmpty();
   }
@@ -65,29 +67,35 @@
                 .parallelStream()
                 .flatMap(
                     plan ->
-                        new SimulationRun(plan.with(Plan.FleetMode.SUBSETS), AS_IT_IS)
+                        new SimulationRun(plan.with(Plan.FleetMode.SUBSETS), UNCHANGED)
                             .execute().breaches().stream())
                 .toList())
         .isEmpty();
   }
 
-  /** A file with another number than the others have: all ask all. */
+  /**
+   * A settings file with another number of proxies per host than the others have: every proxy uses
+   * every host.
+   */
   @Test
-  void catchesHostsThatAllAsk() {
-    assertThat(broken(new SimulationRun(CALM, AS_IT_IS))).isEmpty();
+  void catchesHostsThatAllProxiesUse() {
+    assertThat(broken(new SimulationRun(FAULT_FREE, UNCHANGED))).isEmpty();
     assertThat(
             broken(
                 new SimulationRun(
-                    CALM, AS_IT_IS, told -> told, joining -> joining.withMinProxiesPerHost(1_000))))
+                    FAULT_FREE,
+                    UNCHANGED,
+                    told -> told,
+                    joining -> joining.withMinProxiesPerHost(1_000))))
         .containsOnly("a host is asked by few, with subsets");
   }
 
-  /** Proxies that take the other zone for theirs. */
+  /** Proxies are configured with each other's zone. */
   @Test
   void catchesSubsetsOfAnotherZone() {
-    UnaryOperator<Site> turned =
+    UnaryOperator<Site> swapped =
         site -> site.withZones(List.of(site.zones().get(1), site.zones().get(0)));
-    assertThat(broken(new SimulationRun(CALM, AS_IT_IS, turned)))
+    assertThat(broken(new SimulationRun(FAULT_FREE, UNCHANGED, swapped)))
         .contains("a subset costs nobody his place");
   }
 }
--- a/src/test/java/brassbank/sim/Wrapped.java
+++ b/src/test/java/brassbank/sim/Wrapped.java
@@ -9,7 +9,7 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 
-/** A network that does what another one does; a planted bug overrides what it spoils. */
+/** Delegates to another network. A planted bug overrides the methods that it corrupts. */
 class Wrapped implements Network {
   final Network real;
   EventLoop loop;
@@ -18,12 +18,12 @@
     this.real = real;
   }
 
-  /** A channel that came from a client. */
+  /** Returns the channel to use for a connection that was accepted from a client. */
   Channel fromClient(Channel channel) {
     return channel;
   }
 
-  /** A channel that was opened to this address. */
+  /** Returns the channel to use for a connection that was opened to this address. */
   Channel opened(InetSocketAddress address, Channel channel) {
     return channel;
   }
@@ -87,7 +87,7 @@
     return real.clock();
   }
 
-  /** A channel that does what another one does. */
+  /** Delegates to another channel. */
   static class Wire implements Channel {
     final Channel real;
 
@@ -110,7 +110,7 @@
       return real.write(from);
     }
 
-    /** Writes other bytes than those that were given, and says that those were written. */
+    /** Writes other bytes in place of those given, and reports the given ones as written. */
     final int instead(ByteBuffer from, String text) throws IOException {
       int count = from.remaining();
       from.position(from.limit());
@@ -118,7 +118,7 @@
       return count;
     }
 
-    /** What is about to be written, left where it is. */
+    /** Returns the text that is about to be written, without consuming it. */
     static String text(ByteBuffer from) {
       return java.nio.charset.StandardCharsets.ISO_8859_1.decode(from.duplicate()).toString();
     }
--- a/src/test/java/brassbank/sim/check/HostRequestRateTest.java
+++ b/src/test/java/brassbank/sim/check/HostRequestRateTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 
 class HostRequestRateTest {
-  /** Three proxies; nobody asks for the truth. */
+  /** Three proxies. The rule must not ask for ground truth, so that every call of it fails. */
   private static Checks checks() {
     Checks.RuleParameters figures =
         new Checks.RuleParameters(50_000, 400_000, 4, 3, 12, 2, 0, false, 0.5, Map.of());
-    GroundTruth unasked =
+    GroundTruth unavailableTruth =
         (GroundTruth)
             Proxy.newProxyInstance(
                 GroundTruth.class.getClassLoader(),
@@ -22,10 +22,10 @@
                   throw new IllegalStateException(method.getName());
                 });
     return new Checks(
-        List.of(new HostRequestRate(HostRequestRate.Operation.SETUPS, figures)), unasked);
+        List.of(new HostRequestRate(HostRequestRate.Operation.SETUPS, figures)), unavailableTruth);
   }
 
-  private static int broken(int setups, int flows) {
+  private static int breachesAfter(int setups, int flows) {
     Checks checks = checks();
     for (int i = 0; i < flows; i++) {
       checks.onEvent(1_000_000, new Event.FlowSent("c" + i + ".0", "c" + i, "n0", 1_000));
@@ -39,9 +39,9 @@
 
   @Test
   void setUpsAtOneHostAreBoundedByProxiesAndFlows() {
-    assertThat(broken(12, 0)).isZero();
-    assertThat(broken(13, 0)).isPositive();
-    assertThat(broken(17, 5)).isZero();
-    assertThat(broken(18, 5)).isPositive();
+    assertThat(breachesAfter(12, 0)).isZero();
+    assertThat(breachesAfter(13, 0)).isPositive();
+    assertThat(breachesAfter(17, 5)).isZero();
+    assertThat(breachesAfter(18, 5)).isPositive();
   }
 }
--- a/src/test/java/brassbank/sim/check/ViewMonotonicityTest.java
+++ b/src/test/java/brassbank/sim/check/ViewMonotonicityTest.java
@@ -6,9 +6,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** No process of the program makes such a view, and none can be made to: these are told by hand. */
+/**
+ * No process of the program produces such a view, and none can be made to, so the views are
+ * constructed here.
+ */
 class ViewMonotonicityTest {
-  private static final GroundTruth NOBODY =
+  private static final GroundTruth NO_TRUTH =
       new GroundTruth() {
         @Override
         public long clientCalmSince(String flow) {
@@ -57,14 +60,14 @@
   }
 
   private static int breaches(Event first, Event second) {
-    Checks checks = new Checks(List.of(new ViewMonotonicity()), NOBODY);
+    Checks checks = new Checks(List.of(new ViewMonotonicity()), NO_TRUTH);
     checks.onEvent(1, first);
     checks.onEvent(2, second);
     return checks.breaches().size();
   }
 
   @Test
-  void catchesAViewThatGoesBack() {
+  void catchesAViewWhoseVersionOrIncarnationDecreases() {
     assertThat(breaches(view(4, "alive", 7, 1), view(5, "alive", 7, 2))).isZero();
     assertThat(breaches(view(4, "dead", 7, 1), view(5, "alive", 8, 0))).isZero();
     assertThat(breaches(view(4, "alive", 7, 1), view(4, "alive", 7, 2))).isOne();
