--- a/src/main/java/brassbank/lab/BackgroundTasks.java
+++ b/src/main/java/brassbank/lab/BackgroundTasks.java
@@ -7,20 +7,20 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 
-/** Threads for what would wait: each task runs apart and hands its result to the turner. */
+/** Runs blocking tasks on daemon threads and posts their results to the driver's thread. */
 final class BackgroundTasks implements AutoCloseable {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** What may wait, and fail. */
+  /** A task that may block and throw. */
   interface Task<T> {
     T run() throws Exception;
   }
 
-  private final RealTimeDriver turner;
+  private final RealTimeDriver driver;
   private final ExecutorService threads;
 
-  BackgroundTasks(RealTimeDriver turner) {
-    this.turner = turner;
+  BackgroundTasks(RealTimeDriver driver) {
+    this.driver = driver;
     AtomicInteger number = new AtomicInteger();
     threads =
         Executors.newCachedThreadPool(
@@ -31,24 +31,27 @@
             });
   }
 
-  /** Runs a task apart; exactly one of the two is told of its end, on the turner's thread. */
+  /**
+   * Runs a task on a background thread, then exactly one of the two callbacks on the driver's
+   * thread; neither once this object is closed.
+   */
   <T> void submit(Task<T> task, Consumer<T> then, Consumer<Exception> failed) {
     try {
       threads.execute(
           () -> {
             try {
               T result = task.run();
-              turner.post(() -> then.accept(result));
+              driver.post(() -> then.accept(result));
             } catch (Exception e) {
-              turner.post(() -> failed.accept(e));
+              driver.post(() -> failed.accept(e));
             }
           });
     } catch (RejectedExecutionException e) {
-      // The lab ends, and nobody waits for this any longer.
+      // The lab is closing: the result is no longer needed.
     }
   }
 
-  /** Waits on a helper's thread. */
+  /** Blocks the calling thread, which must not be the driver's. */
   static void sleep(long millis) {
     LockSupport.parkNanos(millis * NANOS_PER_MILLI);
   }
--- a/src/main/java/brassbank/lab/BreachLog.java
+++ b/src/main/java/brassbank/lab/BreachLog.java
@@ -10,7 +10,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The lines of the proxies' logs that belong to a breach: of whom it names, about its time. */
+/**
+ * Selects the lines of the proxies' logs that may explain a breach: those of the proxies that the
+ * breach names, or whose flows it names, around its time.
+ */
 final class BreachLog {
   private static final Pattern PROXY = Pattern.compile("\\bn\\d+\\b");
   private static final Pattern FLOW = Pattern.compile("\\bc\\d+\\.\\d+\\b");
@@ -20,7 +23,12 @@
 
   private BreachLog() {}
 
-  static List<String> lines(Breach breach, Collection<Lab.LogLine> all, ClientStatistics tally) {
+  /**
+   * Returns the last lines, formatted, of the proxies and the time window of a breach; of all
+   * proxies where the breach names none.
+   */
+  static List<String> lines(
+      Breach breach, Collection<Lab.LogLine> all, ClientStatistics statistics) {
     Set<String> proxies = new TreeSet<>();
     Matcher named = PROXY.matcher(breach.description());
     while (named.find()) {
@@ -28,7 +36,7 @@
     }
     Matcher flow = FLOW.matcher(breach.description());
     while (flow.find()) {
-      String proxy = tally.proxyOf(flow.group());
+      String proxy = statistics.proxyOf(flow.group());
       if (proxy != null) {
         proxies.add(proxy);
       }
--- a/src/main/java/brassbank/lab/ClientStatistics.java
+++ b/src/main/java/brassbank/lab/ClientStatistics.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What the clients had of each proxy, counted at the clients. */
+/** Counts the outcomes of the flows that each proxy was sent, as the clients saw them. */
 final class ClientStatistics implements Trace.Listener {
-  /** Of one proxy: flows sent, served, refused, without an answer, and clients moved by it. */
+  /** Of one proxy: flows sent, served, refused and unanswered, and clients moved away by it. */
   static final class ProxyCounts {
     int sent;
     int served;
@@ -47,17 +47,17 @@
     return counts.computeIfAbsent(proxy, p -> new ProxyCounts());
   }
 
-  /** By the proxies' names. */
+  /** Returns the counts by the proxies' names. */
   Map<String, ProxyCounts> counts() {
     return counts;
   }
 
-  /** Times a client was served. */
+  /** Returns how often a client was served. */
   int served() {
     return timesServed;
   }
 
-  /** The proxy that a flow was sent to, or null. */
+  /** Returns the proxy to which a flow was sent, or null. */
   String proxyOf(String flow) {
     return proxiesByFlow.get(flow);
   }
--- a/src/main/java/brassbank/lab/InheritedListener.java
+++ b/src/main/java/brassbank/lab/InheritedListener.java
@@ -9,10 +9,10 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * A listening socket that the lab holds, as the platform does on days with upgrades, and that the
- * processes it starts inherit as descriptor 0. Java hands on pipes and files only: the socket is
- * put in the place of a pipe, for which the runtime's insides must be open ({@code bin/brassbank}
- * opens them for this command).
+ * A listening socket that the lab holds and its processes inherit as descriptor 0, as the platform
+ * does where it upgrades the program in place. {@link ProcessBuilder} passes on pipes and files
+ * only, so the socket takes the place of a pipe by reflection; the JDK's internal packages must be
+ * opened for that ({@code bin/brassbank} does so for this command).
  */
 final class InheritedListener implements AutoCloseable {
   private static final int BACKLOG = 1_024;
@@ -32,7 +32,11 @@
     socket.bind(address, BACKLOG);
   }
 
-  /** The process that is built next inherits the socket. */
+  /**
+   * Returns an input redirect with which a started process inherits the socket.
+   *
+   * @throws LabException if the JDK's internal packages are not open
+   */
   ProcessBuilder.Redirect redirect() {
     try {
       Constructor<?> pipe =
@@ -52,7 +56,8 @@
 
   private static LabException unsupported(Exception cause) {
     return new LabException(
-        "this runtime hands no socket on, which upgrades need: start the lab by bin/brassbank ("
+        "upgrades need a socket that processes inherit, and this runtime does not allow it;"
+            + " start the lab with bin/brassbank ("
             + cause.getMessage()
             + ")",
         cause);
--- a/src/main/java/brassbank/lab/Lab.java
+++ b/src/main/java/brassbank/lab/Lab.java
@@ -29,46 +29,50 @@
 import java.util.Map;
 import java.util.function.UnaryOperator;
 
-/** One play of a plan on real processes, from their start to the last trace of them. */
+/** One run of a plan on real processes, from their start to the removal of all their resources. */
 public final class Lab implements AutoCloseable {
-  /**
-   * Time limits of the rules are extended by this, in microseconds: the protocol's 50 ms and 100.
-   */
+  /** Added to the time limits of the rules: the 50 ms of the protocol and 100 ms for the lab. */
   static final long RULE_SLACK_MICROS = 150_000;
 
-  /** A play in which the lab was later than this tells nothing, in microseconds. */
+  /** A run in which the lab was later than this is void. */
   static final long MAX_LATENESS_MICROS = 50_000;
 
-  /** Doors follow the simulated network this often, in microseconds, and so many at a time. */
+  /** How often the proxied ports follow the state of the simulated network. */
   private static final long PORT_SYNC_INTERVAL_MICROS = 5_000;
 
   private static final int MAX_PORT_CHANGES_PER_SYNC = 64;
 
-  /** Seconds of the plan that are played in virtual time first, and seeds for that. */
+  /** Seconds of the plan that are simulated in virtual time first. */
   private static final int WARM_UP_SECONDS = 20;
 
   private static final int WARM_UP_RUNS = 2;
   private static final long START_TIMEOUT_NANOS = 60_000_000_000L;
   private static final int MAX_LOG_LINES = 4_000;
 
-  /** Kinds of fault that a machine of many processes cannot show. */
+  /** Kinds of fault that cannot be played where all processes share one machine. */
   private static final List<String> UNSUPPORTED_FAULTS = List.of("clock-step");
 
-  /** Somebody who looks on. */
+  /** Observes the progress of a run. */
   public interface ProgressListener {
-    /** Now and then, with the play's time in microseconds. */
+    /** Called after each iteration, with the time of the run in microseconds. */
     void onProgress(Lab lab, long now);
   }
 
-  /** A line that a proxy has logged, and when that was seen. */
+  /** A line that a proxy has logged, and when the lab read it. */
   record LogLine(long atMicros, String proxy, String text) {}
 
   /**
-   * What came of a play.
+   * The outcome of a run.
    *
    * @param counts how often each rule was broken
-   * @param maxLatenessMicros the lab's worst lateness, and {@code lateAt} when that was, in
-   *     microseconds
+   * @param servedShare the share of the service that the clients had
+   * @param serviceSummary the service that the clients had, as text
+   * @param clientCounts the outcomes of the flows, by proxy
+   * @param resourceUsage the resources that the processes used, by proxy
+   * @param breachLog the log lines around the first breach
+   * @param maxLatenessMicros the lab's largest lateness, at {@code maxLatenessAtMicros} of the run
+   * @param lateness999Micros the 99.9th percentile of the lab's lateness
+   * @param isVoid whether the lab was too late for a verdict
    */
   public record Outcome(
       Plan plan,
@@ -101,7 +105,7 @@
   private final Map<String, RealProxy> proxies = new LinkedHashMap<>();
   private final List<ProxiedPort> ports = new ArrayList<>();
   private final Deque<LogLine> lines = new ArrayDeque<>();
-  private final ScenarioRun scene;
+  private final ScenarioRun scenarioRun;
   private final ProcessMonitor monitor;
   private RealTimeDriver driver;
   private BackgroundTasks backgroundTasks;
@@ -110,17 +114,18 @@
   private long lastSyncMicros;
 
   /**
-   * Builds the site; nothing is started yet.
+   * Builds the site without starting any proxy process.
    *
-   * @param root the project's folder, in which the proxies are started
-   * @param logs where the proxies' logs go, or null for the lab's own folder, which goes with it
-   * @throws LabException where the plan cannot be played here, or the machine has no place for it
+   * @param root the project's folder, the working directory of the proxies
+   * @param logs the folder for the proxies' logs, or null for the lab's own, which {@link #close}
+   *     removes
+   * @throws LabException if the plan cannot be played here, or the machine lacks the resources
    */
   public Lab(Plan plan, Path root, Path logs) throws IOException {
     this(plan, root, logs, LinkTampering.NONE);
   }
 
-  Lab(Plan plan, Path root, Path logs, LinkTampering tamper) throws IOException {
+  Lab(Plan plan, Path root, Path logs, LinkTampering tampering) throws IOException {
     for (Fault fault : plan.faults()) {
       if (UNSUPPORTED_FAULTS.contains(fault.kind().name())) {
         throw new LabException(fault.kind() + " cannot be played on real processes");
@@ -131,56 +136,56 @@
     watchdog = new Watchdog(folder);
     this.logs = Files.createDirectories(logs == null ? folder.resolve("logs") : logs);
     loopback = new LoopbackAddresses();
-    boolean inherits =
+    boolean inheritsListener =
         plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
     ByteBuffer scratch = ByteBuffer.allocate(SocketBridge.scratchSize());
-    scene =
+    scenarioRun =
         new ScenarioRun(
             plan,
             new ScenarioRun.Environment(loopback, clock.unixMillis(), RULE_SLACK_MICROS),
             (world, name, rank, machine) -> {
               RealProxy proxy =
                   new RealProxy(
-                      sharedContext(world, root, tamper),
+                      sharedContext(world, root, tampering),
                       world,
                       ScenarioRun.site(plan),
                       name,
                       rank,
                       machine,
-                      inherits,
+                      inheritsListener,
                       scratch);
               proxies.put(name, proxy);
               return proxy;
             });
-    scene.trace().addListener(clientStatistics);
+    scenarioRun.trace().addListener(clientStatistics);
     monitor = new ProcessMonitor(proxies, driver, this::onLogLine);
   }
 
-  private RealProxy.SharedContext sharedContext(World world, Path root, LinkTampering tamper) {
+  private RealProxy.SharedContext sharedContext(World world, Path root, LinkTampering tampering) {
     try {
       if (driver == null) {
         driver = new RealTimeDriver(world.agenda(), lateness);
         backgroundTasks = new BackgroundTasks(driver);
       }
       return new RealProxy.SharedContext(
-          driver, backgroundTasks, watchdog, loopback, tamper, root, folder, logs);
+          driver, backgroundTasks, watchdog, loopback, tampering, root, folder, logs);
     } catch (IOException e) {
-      throw new LabException("no selector: " + e.getMessage(), e);
+      throw new LabException("the lab cannot open a selector: " + e.getMessage(), e);
     }
   }
 
-  /** To be listened to before {@link #play}. */
+  /** Returns the trace; listeners are added before {@link #play}. */
   public Trace trace() {
-    return scene.trace();
+    return scenarioRun.trace();
   }
 
-  /** Puts what the proxies log into the trace. */
+  /** Adds the proxies' log lines to the trace. */
   public void includeLogsInTrace() {
     logsInTrace = true;
   }
 
-  ScenarioRun scene() {
-    return scene;
+  ScenarioRun scenarioRun() {
+    return scenarioRun;
   }
 
   ClientStatistics clientStatistics() {
@@ -199,28 +204,26 @@
     return lateness.maxMicros();
   }
 
-  // -------------------------------------------------------------------- play
-
-  /** Starts everybody and plays the plan to its end. */
-  public Outcome play(ProgressListener watcher) throws IOException {
+  /** Starts all proxies and runs the plan to its end. */
+  public Outcome play(ProgressListener listener) throws IOException {
     warmUp();
     connectProxies();
-    scene.begin();
+    scenarioRun.begin();
     syncAllPorts();
     awaitStart();
     monitor.start();
-    scene.world().setEpochMillis(clock.unixMillis());
+    scenarioRun.world().setEpochMillis(clock.unixMillis());
     driver.startClock();
-    while (driver.nowMicros() < scene.end()) {
+    while (driver.nowMicros() < scenarioRun.end()) {
       runOnce();
-      watcher.onProgress(this, driver.nowMicros());
+      listener.onProgress(this, driver.nowMicros());
     }
-    scene.checks().onEnd(scene.agenda().now());
-    scene.service().finish(scene.agenda().now());
+    scenarioRun.checks().onEnd(scenarioRun.agenda().now());
+    scenarioRun.service().finish(scenarioRun.agenda().now());
     return outcome();
   }
 
-  /** Goes on after its end, for whoever wants to look at the site, until interrupted. */
+  /** Keeps the site running after the end of the plan, for inspection, until interrupted. */
   public void keepRunning() throws IOException {
     while (!Thread.currentThread().isInterrupted()) {
       runOnce();
@@ -228,8 +231,8 @@
   }
 
   /**
-   * A runtime that has just begun compiles what it meets, and is late meanwhile: what the lab is
-   * made of has been met before the clock runs.
+   * Simulates the start of the plan in virtual time. A JVM that has just started is late while it
+   * compiles; this makes it compile the lab's code before the clock runs.
    */
   private void warmUp() {
     for (int i = 0; i < WARM_UP_RUNS; i++) {
@@ -248,8 +251,11 @@
     }
   }
 
+  /**
+   * Opens the proxied ports of each proxy, and lets the proxies join a fleet if the plan says so.
+   */
   private void connectProxies() throws IOException {
-    World world = scene.world();
+    World world = scenarioRun.world();
     Map<SocketAddress, RealProxy> byAddress = new HashMap<>();
     proxies.values().forEach(proxy -> byAddress.put(proxy.address(), proxy));
     for (RealProxy proxy : proxies.values()) {
@@ -271,18 +277,20 @@
       List<RealProxy> seeds = List.copyOf(proxies.values()).subList(0, Math.min(2, proxies.size()));
       for (RealProxy proxy : proxies.values()) {
         proxy.joinFleet(seeds, plan);
-        scene.agenda().after(0, proxy::watchView);
+        scenarioRun.agenda().after(0, proxy::watchView);
       }
     }
   }
 
   private void syncAllPorts() throws IOException {
-    for (ProxiedPort door : ports) {
-      door.syncWithNetwork();
+    for (ProxiedPort port : ports) {
+      port.syncWithNetwork();
     }
   }
 
-  /** All doors, but no more changes at a time than keep the sockets waiting for long. */
+  /**
+   * Updates all ports over several calls; a call makes few changes, so that sockets do not wait.
+   */
   private void syncSomePorts() throws IOException {
     int changed = 0;
     while (nextPort < ports.size() && changed < MAX_PORT_CHANGES_PER_SYNC) {
@@ -293,57 +301,66 @@
     }
   }
 
-  /** Time stands still until all proxies listen. */
+  /** Waits, with the clock stopped, until all proxies listen. */
   private void awaitStart() throws IOException {
     long until = clock.nanos() + START_TIMEOUT_NANOS;
     while (!proxies.values().stream().allMatch(RealProxy::isListening)) {
       driver.pollWithoutClock();
-      if (clock.nanos() > until || !scene.checks().breaches().isEmpty()) {
-        throw new LabException("the proxies do not start: " + describeStartFailure());
+      if (clock.nanos() > until || !scenarioRun.checks().breaches().isEmpty()) {
+        throw new LabException(
+            "not all proxies listened within 60 s of their start, or one failed: "
+                + describeStartFailure());
       }
     }
   }
 
+  /** Returns the breaches so far and the last log line of each process. */
   private String describeStartFailure() {
-    StringBuilder words = new StringBuilder();
-    scene.checks().breaches().forEach(breach -> words.append(breach.description()).append("; "));
+    StringBuilder text = new StringBuilder();
+    scenarioRun
+        .checks()
+        .breaches()
+        .forEach(breach -> text.append(breach.description()).append("; "));
     for (RealProxy proxy : proxies.values()) {
       for (Path log : proxy.logs()) {
         try {
-          List<String> said = Files.readAllLines(log);
-          if (!said.isEmpty()) {
-            words.append(proxy.name()).append(": ").append(said.get(said.size() - 1)).append("; ");
+          List<String> logLines = Files.readAllLines(log);
+          if (!logLines.isEmpty()) {
+            text.append(proxy.name())
+                .append(": ")
+                .append(logLines.get(logLines.size() - 1))
+                .append("; ");
           }
         } catch (IOException e) {
-          words.append(proxy.name()).append(": no log; ");
+          text.append(proxy.name()).append(": no log; ");
         }
       }
     }
-    return words.toString();
+    return text.toString();
   }
 
   private void onLogLine(String proxy, String text) {
-    long now = scene.agenda().now();
+    long now = scenarioRun.agenda().now();
     lines.add(new LogLine(now, proxy, text));
     if (lines.size() > MAX_LOG_LINES) {
       lines.remove();
     }
     String[] parts = text.split(" ", 3);
     if (parts.length == 3 && parts[1].equals("error")) {
-      scene.world().publish(new Event.ProxyFailed(proxy, parts[2]));
+      scenarioRun.world().publish(new Event.ProxyFailed(proxy, parts[2]));
     } else if (logsInTrace) {
-      scene.world().publish(new Event.ProxyLogged(proxy, text));
+      scenarioRun.world().publish(new Event.ProxyLogged(proxy, text));
     }
   }
 
   private Outcome outcome() {
-    List<Breach> breaches = List.copyOf(scene.checks().breaches());
+    List<Breach> breaches = List.copyOf(scenarioRun.checks().breaches());
     return new Outcome(
         plan,
         breaches,
-        new LinkedHashMap<>(scene.checks().breachCounts()),
-        scene.service().servedShare(),
-        scene.service().summary(),
+        new LinkedHashMap<>(scenarioRun.checks().breachCounts()),
+        scenarioRun.service().servedShare(),
+        scenarioRun.service().summary(),
         clientStatistics.counts(),
         monitor.usage(),
         ProcessHandle.current().info().totalCpuDuration().map(d -> d.toNanos() / 1e9).orElse(0.0),
@@ -354,7 +371,7 @@
         lateness.exceedsLimit());
   }
 
-  /** Ends all processes, and gives back sockets and files. */
+  /** Ends all processes and releases all sockets and files. */
   @Override
   public void close() throws IOException {
     backgroundTasks.close();
@@ -365,7 +382,7 @@
     loopback.close();
   }
 
-  /** Seconds of a play's time, for people. */
+  /** Converts microseconds of a run to seconds. */
   static double seconds(long micros) {
     return micros / (double) Agenda.SECOND;
   }
--- a/src/main/java/brassbank/lab/LabCommand.java
+++ b/src/main/java/brassbank/lab/LabCommand.java
@@ -17,10 +17,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** A whole site on loopback: real proxies, and everything else of the site in this process. */
+/** Runs a whole site on loopback: real proxy processes, and all other actors in this process. */
 @Command(
     name = "lab",
-    description = "Play a script or a night on real processes on loopback, under all rules.",
+    description = "Run a script or a night on real processes on loopback, checked by all rules.",
     footer = {
       "",
       "Examples:",
@@ -28,7 +28,7 @@
       "  brassbank lab --night ZONE --seed 7 --logs logs",
       "  brassbank lab --seed 77 --proxies 5 --trace | less",
       "",
-      "Exit status 3: the lab itself was late, twice, and nothing is said of the rules."
+      "Exit status 3: the lab itself was late, twice, so there is no verdict on the rules."
     })
 public final class LabCommand implements Callable<Integer> {
   private static final int MAX_PROXIES = 64;
@@ -36,14 +36,14 @@
   @Parameters(
       arity = "0..1",
       paramLabel = "SCRIPT",
-      description = "A script as simulate has it; else the faults are drawn from the seed.")
+      description = "A script as for simulate; without one, the faults are drawn from the seed.")
   private Path script;
 
   @Option(
       names = "--seed",
       paramLabel = "SEED",
       defaultValue = "1",
-      description = "What all is drawn from (default: ${DEFAULT-VALUE}).")
+      description = "Seed of all random draws (default: ${DEFAULT-VALUE}).")
   private long seed;
 
   @Mixin private SiteOptions site;
@@ -51,7 +51,7 @@
   @Option(
       names = "--logs",
       paramLabel = "DIR",
-      description = "Where the proxies' logs are kept; else they go with the lab.")
+      description = "Where to keep the proxies' logs; without it, they are removed with the lab.")
   private Path logs;
 
   @Option(names = "--trace", description = "Print every event, and what the proxies log.")
@@ -62,7 +62,7 @@
 
   @Option(
       names = "--keep",
-      description = "Leave a site that broke a rule standing until Ctrl-C, to look at it.")
+      description = "Keep a site that broke a rule running until Ctrl-C, for inspection.")
   private boolean keep;
 
   private final PrintStream output = System.out;
@@ -71,7 +71,7 @@
   @Override
   public Integer call() throws IOException {
     Plan plan = plan();
-    for (int play = 1; ; play++) {
+    for (int attempt = 1; ; attempt++) {
       try (Lab lab = new Lab(plan, root(), logs)) {
         if (trace) {
           lab.includeLogsInTrace();
@@ -79,9 +79,9 @@
               .addListener((now, event) -> output.printf("%11.6f %s%n", now / 1e6, event.text()));
         }
         Lab.Outcome outcome = lab.play(new ProgressLine(notes));
-        if (outcome.isVoid() && play == 1) {
+        if (outcome.isVoid() && attempt == 1) {
           notes.printf(
-              "void: the lab was %.0f ms late at %.1f s, %.0f are allowed; it is played again%n",
+              "void: the lab was %.0f ms late at %.1f s, the limit is %.0f ms; running again%n",
               outcome.maxLatenessMicros() / 1e3,
               Lab.seconds(outcome.maxLatenessAtMicros()),
               Lab.MAX_LATENESS_MICROS / 1e3);
@@ -109,12 +109,12 @@
           !site.sized() && !site.together(),
           "a script says itself how many proxies, hosts and clients there are, and what they do");
       try {
-        Plan read = Script.read(script);
-        require(read.proxies() <= MAX_PROXIES, "a lab has at most " + MAX_PROXIES + " proxies");
+        Plan parsed = Script.read(script);
+        require(parsed.proxies() <= MAX_PROXIES, "a lab has at most " + MAX_PROXIES + " proxies");
         require(
-            read.faults().equals(read.playable().faults()),
+            parsed.faults().equals(parsed.playable().faults()),
             script + ": clock-step cannot be played on real processes");
-        return read;
+        return parsed;
       } catch (ScriptException e) {
         throw new UsageException(e.getMessage());
       }
@@ -123,13 +123,13 @@
     return site.plan(seed).playable();
   }
 
-  private static void require(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new UsageException(otherwise);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new UsageException(message);
     }
   }
 
-  /** The folder that this program was built in: {@code deploy/serve.sh} starts from there. */
+  /** Returns the folder in which this program was built, which holds {@code deploy/serve.sh}. */
   static Path root() {
     for (String entry : System.getProperty("java.class.path").split(File.pathSeparator)) {
       for (Path folder = Path.of(entry).toAbsolutePath();
@@ -140,6 +140,8 @@
         }
       }
     }
-    throw new LabException("deploy/serve.sh is not there: the lab runs where it was built");
+    throw new LabException(
+        "deploy/serve.sh not found in any folder above the class path:"
+            + " run the lab where it was built");
   }
 }
--- a/src/main/java/brassbank/lab/LabException.java
+++ b/src/main/java/brassbank/lab/LabException.java
@@ -1,6 +1,6 @@
 package brassbank.lab;
 
-/** The lab itself cannot go on; nothing is told of any proxy. */
+/** Thrown when the lab itself cannot continue; it says nothing about any proxy. */
 public final class LabException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brassbank/lab/Lateness.java
+++ b/src/main/java/brassbank/lab/Lateness.java
@@ -3,8 +3,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How late the lab itself was. What it sees late it would blame on a proxy: past the limit a play
- * tells nothing.
+ * Records by how much the lab itself ran its tasks late. A late lab would blame its own delay on a
+ * proxy, so a run in which the lateness exceeds the limit is void.
  */
 final class Lateness {
   private static final long LARGEST_MICROS = 600_000_000;
@@ -12,8 +12,8 @@
   private static final double REPORTED_PERCENTILE = 99.9;
 
   /**
-   * Before this nothing is judged: all proxies' first calls come at once, to a lab that has just
-   * begun, and the first client comes after 1 s. In microseconds.
+   * Lateness before this time is ignored: the first calls of all proxies reach the lab at once when
+   * it has just started, and the first client comes after 1 s.
    */
   private static final long IGNORE_BEFORE_MICROS = 800_000;
 
@@ -23,13 +23,13 @@
   private long maxAtMicros;
 
   /**
-   * @param limitMicros more than this makes a play void
+   * @param limitMicros a larger lateness makes a run void
    */
   Lateness(long limitMicros) {
     this.limitMicros = limitMicros;
   }
 
-  /** A task of the lab's ran so many microseconds late. */
+  /** Records that a task of the lab ran this many microseconds late. */
   void record(long now, long micros) {
     if (now < IGNORE_BEFORE_MICROS) {
       return;
@@ -41,22 +41,22 @@
     }
   }
 
-  /** Whether the limit was passed. */
+  /** Returns whether any lateness exceeded the limit. */
   boolean exceedsLimit() {
     return maxMicros > limitMicros;
   }
 
-  /** The worst lateness, in microseconds. */
+  /** Returns the largest lateness, in microseconds. */
   long maxMicros() {
     return maxMicros;
   }
 
-  /** When that was, in microseconds of the play. */
+  /** Returns the time of the largest lateness, in microseconds since the start of the run. */
   long maxAtMicros() {
     return maxAtMicros;
   }
 
-  /** 99.9% of the lab's own tasks ran no later than this, in microseconds. */
+  /** Returns the 99.9th percentile of the lateness, in microseconds. */
   long percentile999Micros() {
     return histogram.getValueAtPercentile(REPORTED_PERCENTILE);
   }
--- a/src/main/java/brassbank/lab/LinkTampering.java
+++ b/src/main/java/brassbank/lab/LinkTampering.java
@@ -2,27 +2,27 @@
 
 import brassbank.sim.net.Machine;
 
-/** Links that misbehave on purpose: the tests plant them, to show that a rule can be broken. */
+/** Hooks by which tests make links misbehave, to show that each rule detects its breach. */
 interface LinkTampering {
-  /** Nothing misbehaves. */
+  /** Changes nothing. */
   LinkTampering NONE = new LinkTampering() {};
 
-  /** What goes on in place of what a process has written to one whom it has connected to. */
+  /** Returns what is forwarded instead of bytes that a process wrote on a connection it opened. */
   default byte[] alter(byte[] bytes) {
     return bytes;
   }
 
-  /** Where a connect ends that is meant for this machine. */
+  /** Returns the machine that a connect to the given machine reaches. */
   default Machine redirect(Machine to) {
     return to;
   }
 
-  /** How often a datagram of this proxy's goes on, once as it is. */
+  /** Returns how many copies of a datagram of this proxy are forwarded; 1 is the normal case. */
   default int datagramCopies(String proxy) {
     return 1;
   }
 
-  /** When this proxy is killed, it lives on, and its clients' connections are left as they are. */
+  /** Returns whether a kill spares this proxy's process and its clients' connections. */
   default boolean survivesKill(String proxy) {
     return false;
   }
--- a/src/main/java/brassbank/lab/LoopbackAddresses.java
+++ b/src/main/java/brassbank/lab/LoopbackAddresses.java
@@ -10,28 +10,32 @@
 import java.util.Map;
 
 /**
- * Where everybody is met on loopback: proxy number i sees a machine 10.group.0.number of the
- * simulated network under 127.(1+i).group.number, so that each pair has an address of its own and
- * it is known who connects. Labs that run at once differ by their port.
+ * Assigns the loopback addresses of a lab. Proxy number i reaches the machine 10.group.0.number of
+ * the simulated network at 127.(1+i).group.number: each pair has an address of its own, so the lab
+ * knows which proxy connects to which machine. Concurrent labs differ by their port.
  */
 final class LoopbackAddresses implements AddressMapping, AutoCloseable {
-  /** The first of the ports at which labs tell each other which of them is whose. */
+  /** The first of the ports that labs bind to claim a lab number. */
   private static final int FIRST_CLAIM_PORT = 17_070;
 
   private static final int FIRST_PORT = 7_070;
   private static final int MAX_LABS = 64;
 
-  /** No machine of the simulated network has this group: an instance's management is here. */
+  /** Third octet of the management addresses; no simulated machine has this group. */
   private static final int MANAGEMENT_GROUP = 9;
 
-  /** No proxy has this number: here each is met by all the others for datagrams. */
+  /** Second octet of the datagram addresses; no proxy has this number. */
   private static final int DATAGRAM_OCTET = 200;
 
   private final ServerSocket claimSocket;
   private final int port;
   private final Map<String, Integer> ranks = new HashMap<>();
 
-  /** Claims a port that no other lab on this machine uses; it is given back by {@link #close}. */
+  /**
+   * Claims a port that no other lab on this machine uses; {@link #close} releases it.
+   *
+   * @throws IOException if all lab numbers are in use
+   */
   LoopbackAddresses() throws IOException {
     ServerSocket free = null;
     int lab = 0;
@@ -40,17 +44,18 @@
         free =
             new ServerSocket(FIRST_CLAIM_PORT + lab, 1, InetAddress.getByAddress(bytes(0, 0, 1)));
       } catch (IOException e) {
-        // Another lab has it.
+        // Another lab has claimed this number.
       }
     }
     if (free == null) {
-      throw new IOException("no port from " + FIRST_CLAIM_PORT + " on is free: too many labs run");
+      throw new IOException(
+          "no port from " + FIRST_CLAIM_PORT + " on is free: " + MAX_LABS + " labs run already");
     }
     claimSocket = free;
     port = FIRST_PORT + lab - 1;
   }
 
-  /** Which number a proxy has. */
+  /** Sets the number of a proxy, from which its addresses follow. */
   void rank(String proxy, int rank) {
     ranks.put(proxy, rank);
   }
@@ -61,18 +66,20 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** Where this proxy meets that machine; where it listens itself, for its own. */
+  /**
+   * Returns the address at which a proxy reaches a machine; for its own machine, where it listens.
+   */
   InetSocketAddress address(String proxy, Machine machine) {
     byte[] simulated = machine.address().getAddress();
     return socketAddress(bytes(1 + ranks.get(proxy), simulated[1], simulated[3] & 0xff));
   }
 
-  /** Where all the others meet this proxy for datagrams. */
+  /** Returns the address to which all other proxies send this proxy's datagrams. */
   InetSocketAddress datagramAddress(String proxy) {
     return socketAddress(bytes(DATAGRAM_OCTET, 0, 1 + ranks.get(proxy)));
   }
 
-  /** Where operators call an instance of this proxy; {@code number} tells its processes apart. */
+  /** Returns the management address of a proxy's process with this number. */
   InetSocketAddress management(String proxy, int number) {
     return socketAddress(bytes(1 + ranks.get(proxy), MANAGEMENT_GROUP, 1 + number % 250));
   }
@@ -81,7 +88,7 @@
     try {
       return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
     } catch (IOException e) {
-      throw new IllegalStateException("four bytes are an address", e);
+      throw new IllegalStateException("four bytes are always a valid IPv4 address", e);
     }
   }
 
--- a/src/main/java/brassbank/lab/ManagementCall.java
+++ b/src/main/java/brassbank/lab/ManagementCall.java
@@ -5,36 +5,48 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** One operator's call, by HTTP/1.1, one to a connection; it waits, and belongs to a helper. */
+/**
+ * Calls the management interface of a proxy by HTTP/1.1, one request per connection. Every call
+ * blocks, for at most the time-out per read, so it belongs on a background thread.
+ */
 final class ManagementCall {
   private static final int TIMEOUT_MILLIS = 2_000;
   private static final int MIN_ERROR_STATUS = 400;
 
   private ManagementCall() {}
 
-  /** Whether the answer is yes; throws where none comes in time. */
+  /**
+   * Returns whether the response has a status below 400.
+   *
+   * @throws IOException if no complete response arrives in time
+   */
   static boolean isAccepted(InetSocketAddress address, String method, String path)
       throws IOException {
     return status(exchange(address, method, path)) < MIN_ERROR_STATUS;
   }
 
-  /** The text of a good answer; throws where none comes in time. */
+  /**
+   * Returns the body of a successful response.
+   *
+   * @throws IOException if no response arrives in time, or its status is an error
+   */
   static String fetchText(InetSocketAddress address, String path) throws IOException {
-    String said = exchange(address, "GET", path);
-    int end = said.indexOf("\r\n\r\n");
-    if (status(said) >= MIN_ERROR_STATUS || end < 0) {
-      throw new IOException("no good answer to " + path);
+    String response = exchange(address, "GET", path);
+    int end = response.indexOf("\r\n\r\n");
+    if (status(response) >= MIN_ERROR_STATUS || end < 0) {
+      throw new IOException("the response to GET " + path + " is an error or incomplete");
     }
-    return said.substring(end).strip();
+    return response.substring(end).strip();
   }
 
-  private static int status(String said) throws IOException {
-    if (!said.matches("(?s)HTTP/1\\.1 \\d{3}.*")) {
-      throw new IOException("no answer: " + said);
+  private static int status(String response) throws IOException {
+    if (!response.matches("(?s)HTTP/1\\.1 \\d{3}.*")) {
+      throw new IOException("expected an HTTP/1.1 status line, found: " + response);
     }
-    return Integer.parseInt(said.substring(9, 12));
+    return Integer.parseInt(response.substring(9, 12));
   }
 
+  /** Sends one request and returns the whole response, headers included. */
   private static String exchange(InetSocketAddress address, String method, String path)
       throws IOException {
     try (Socket socket = new Socket()) {
@@ -50,7 +62,7 @@
     }
   }
 
-  /** Whether anybody listens there. */
+  /** Returns whether a connection to the address can be opened. */
   static boolean isListening(InetSocketAddress address) {
     try (Socket socket = new Socket()) {
       socket.connect(address, TIMEOUT_MILLIS);
--- a/src/main/java/brassbank/lab/MemberViewParser.java
+++ b/src/main/java/brassbank/lab/MemberViewParser.java
@@ -7,19 +7,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A view as a process tells it at its management door. */
+/** Parses the membership view that a process returns at its management address. */
 final class MemberViewParser {
   private MemberViewParser() {}
 
-  /** Null where the process is no member now; throws where the text is no such thing. */
+  /**
+   * Parses the response to {@code GET /members}.
+   *
+   * @return the view, or null if the process is no member at present
+   * @throws RuntimeException if the text is not a membership view
+   */
   static Event.ViewSeen parse(String proxy, int process, String text) {
     JsonObject json = JsonParser.parseString(text).getAsJsonObject();
     if (!json.get("member").getAsBoolean()) {
       return null;
     }
     List<Event.Seen> members = new ArrayList<>();
-    for (JsonElement one : json.getAsJsonArray("members")) {
-      JsonObject member = one.getAsJsonObject();
+    for (JsonElement element : json.getAsJsonArray("members")) {
+      JsonObject member = element.getAsJsonObject();
       members.add(
           new Event.Seen(
               member.get("name").getAsString(),
--- a/src/main/java/brassbank/lab/ProcessMonitor.java
+++ b/src/main/java/brassbank/lab/ProcessMonitor.java
@@ -11,14 +11,14 @@
 import java.util.TreeMap;
 
 /**
- * Reads from the system what each process holds and uses, and the logs as they grow, on a thread of
- * its own; what it finds it hands to the turner.
+ * Samples the resource usage of each proxy process and reads the log files as they grow, on a
+ * thread of its own. Log lines are posted to the driver's thread.
  */
 final class ProcessMonitor implements AutoCloseable {
   private static final long INTERVAL_MILLIS = 250;
   private static final int MAX_LOG_BYTES_PER_READ = 256 * 1024;
 
-  /** Of one proxy, over all its processes so far. */
+  /** Resource usage of one proxy, over all its processes so far. */
   static final class ResourceUsage {
     double processorSeconds;
     long peakResidentKib;
@@ -26,12 +26,12 @@
     long coreWaitMicros;
   }
 
-  /** Who hears of a line that a process has logged; on the turner's thread. */
+  /** Receives each line that a process has logged, on the driver's thread. */
   interface LogListener {
     void onLogLine(String proxy, String line);
   }
 
-  /** What a process had used when it was last looked at. */
+  /** The totals of a process when it was last sampled. */
   private record Sample(double processorSeconds, long coreWaitMicros) {}
 
   private final Map<String, RealProxy> proxies;
@@ -43,10 +43,10 @@
   private final Thread thread = new Thread(this::run, "lab-meter");
   private volatile boolean closed;
 
-  ProcessMonitor(Map<String, RealProxy> proxies, RealTimeDriver turner, LogListener logged) {
+  ProcessMonitor(Map<String, RealProxy> proxies, RealTimeDriver driver, LogListener logListener) {
     this.proxies = proxies;
-    this.driver = turner;
-    this.logListener = logged;
+    this.driver = driver;
+    this.logListener = logListener;
     proxies.keySet().forEach(name -> usage.put(name, new ResourceUsage()));
     thread.setDaemon(true);
   }
@@ -64,21 +64,21 @@
 
   private synchronized void sample() {
     for (RealProxy proxy : proxies.values()) {
-      ResourceUsage use = usage.get(proxy.name());
+      ResourceUsage total = usage.get(proxy.name());
       int descriptors = 0;
       for (ProxyProcess process : proxy.processes()) {
-        int held = process.openDescriptors();
-        descriptors += held;
-        use.peakDescriptors = Math.max(use.peakDescriptors, held);
-        use.peakResidentKib = Math.max(use.peakResidentKib, process.peakResidentKib());
-        Sample last = lastSamples.getOrDefault(process.pid(), new Sample(0, 0));
-        Sample now =
+        int open = process.openDescriptors();
+        descriptors += open;
+        total.peakDescriptors = Math.max(total.peakDescriptors, open);
+        total.peakResidentKib = Math.max(total.peakResidentKib, process.peakResidentKib());
+        Sample previous = lastSamples.getOrDefault(process.pid(), new Sample(0, 0));
+        Sample current =
             new Sample(
-                Math.max(last.processorSeconds(), process.processorSeconds()),
-                Math.max(last.coreWaitMicros(), process.coreWaitMicros()));
-        use.processorSeconds += now.processorSeconds() - last.processorSeconds();
-        use.coreWaitMicros += now.coreWaitMicros() - last.coreWaitMicros();
-        lastSamples.put(process.pid(), now);
+                Math.max(previous.processorSeconds(), process.processorSeconds()),
+                Math.max(previous.coreWaitMicros(), process.coreWaitMicros()));
+        total.processorSeconds += current.processorSeconds() - previous.processorSeconds();
+        total.coreWaitMicros += current.coreWaitMicros() - previous.coreWaitMicros();
+        lastSamples.put(process.pid(), current);
       }
       proxy.descriptors(descriptors);
       for (Path log : proxy.logs()) {
@@ -88,24 +88,24 @@
   }
 
   private void readNewLines(String proxy, Path log) {
-    long from = readOffsets.getOrDefault(log, 0L);
+    long offset = readOffsets.getOrDefault(log, 0L);
     try (RandomAccessFile file = new RandomAccessFile(log.toFile(), "r")) {
-      byte[] bytes = new byte[(int) Math.min(MAX_LOG_BYTES_PER_READ, file.length() - from)];
-      file.seek(from);
+      byte[] bytes = new byte[(int) Math.min(MAX_LOG_BYTES_PER_READ, file.length() - offset)];
+      file.seek(offset);
       file.readFully(bytes);
       String text = new String(bytes, StandardCharsets.UTF_8);
       int end = text.lastIndexOf('\n') + 1;
       List<String> lines = new ArrayList<>(text.substring(0, end).lines().toList());
-      readOffsets.put(log, from + text.substring(0, end).getBytes(StandardCharsets.UTF_8).length);
+      readOffsets.put(log, offset + text.substring(0, end).getBytes(StandardCharsets.UTF_8).length);
       if (!lines.isEmpty()) {
         driver.post(() -> lines.forEach(line -> logListener.onLogLine(proxy, line)));
       }
     } catch (IOException e) {
-      // It has not been made yet.
+      // The process has not created its log file yet.
     }
   }
 
-  /** What each proxy has used so far, by name; looks once more. */
+  /** Takes one more sample and returns the usage of each proxy so far, by name. */
   Map<String, ResourceUsage> usage() {
     sample();
     return usage;
--- a/src/main/java/brassbank/lab/ProxiedDatagramPort.java
+++ b/src/main/java/brassbank/lab/ProxiedDatagramPort.java
@@ -8,15 +8,15 @@
 import java.nio.channels.SelectionKey;
 
 /**
- * Where all others meet one proxy for datagrams, at one address for all, since members of a fleet
- * tell each other where a third one is met: what their processes send here goes into the simulated
- * network, and what this proxy's process sends comes to them from here.
+ * The datagram socket that stands for one proxy towards all other proxies. All of them use the same
+ * address, because fleet members exchange the addresses of third members. What other processes send
+ * to it goes into the simulated network; what this proxy's process sends reaches them from it.
  */
 final class ProxiedDatagramPort implements RealTimeDriver.ReadyHandler {
-  /** One turn takes so many, and the rest waits in the kernel. */
+  /** Datagrams read per event; the rest waits in the kernel's buffer. */
   private static final int MAX_DATAGRAMS_PER_READ = 64;
 
-  /** Who is handed what has come, by the address that it came from. */
+  /** Receives each datagram with the address of its sender. */
   interface DatagramHandler {
     void onDatagram(SocketAddress from, byte[] bytes);
   }
@@ -25,13 +25,13 @@
   private final DatagramHandler handler;
   private final ByteBuffer scratch = ByteBuffer.allocate(64 * 1024);
 
-  ProxiedDatagramPort(RealTimeDriver turner, InetSocketAddress address, DatagramHandler sent)
+  ProxiedDatagramPort(RealTimeDriver driver, InetSocketAddress address, DatagramHandler handler)
       throws IOException {
-    this.handler = sent;
+    this.handler = handler;
     channel = DatagramChannel.open();
     channel.bind(address);
     channel.configureBlocking(false);
-    turner.register(channel, SelectionKey.OP_READ, this);
+    driver.register(channel, SelectionKey.OP_READ, this);
   }
 
   @Override
@@ -48,16 +48,16 @@
         handler.onDatagram(from, bytes);
       }
     } catch (IOException e) {
-      // A process that has gone is told by an error of this kind; there is nothing to be read.
+      // The kernel reports a stopped peer process this way; there is nothing to read.
     }
   }
 
-  /** The proxy has sent this to a process. A kernel without room for it loses it, as it may. */
+  /** Sends a datagram of this proxy to another process; the kernel may drop it. */
   void deliver(InetSocketAddress process, byte[] bytes) {
     try {
       channel.send(ByteBuffer.wrap(bytes), process);
     } catch (IOException e) {
-      // Lost, as a datagram may be: nobody listens there.
+      // The datagram is lost: no process listens at the address.
     }
   }
 
--- a/src/main/java/brassbank/lab/ProxiedPort.java
+++ b/src/main/java/brassbank/lab/ProxiedPort.java
@@ -16,14 +16,15 @@
 import java.util.function.Consumer;
 
 /**
- * Where one proxy meets one machine of the site: a listening socket that does to a connect what the
- * simulated network would do to it at this moment. It owns the socket and whatever fills its queue.
+ * The listening socket that stands for one machine of the simulated network towards one proxy. A
+ * connect to it is accepted, refused or left without an answer, as the simulated network would do
+ * at this moment. Owns the socket and the connections that fill its accept queue.
  */
 final class ProxiedPort implements RealTimeDriver.ReadyHandler {
-  /** Linux holds one connection more than this in the queue of a listening socket. */
+  /** Linux queues one connection more than this on a listening socket. */
   private static final int BACKLOG = 2;
 
-  private final RealTimeDriver turner;
+  private final RealTimeDriver driver;
   private final Fabric fabric;
   private final Machine from;
   private final Machine to;
@@ -37,25 +38,25 @@
   private SelectionKey key;
 
   /**
-   * @param address where the process connects to
-   * @param port what it means by that in the simulated network
-   * @param accepted is handed each connection, and owns it
+   * @param address the address to which the process connects
+   * @param port the port in the simulated network that the address stands for
+   * @param acceptHandler receives each accepted connection, and owns it
    */
   ProxiedPort(
-      RealTimeDriver turner,
+      RealTimeDriver driver,
       Fabric fabric,
       Machine from,
       Machine to,
       int port,
       InetSocketAddress address,
-      Consumer<SocketChannel> accepted) {
-    this.turner = turner;
+      Consumer<SocketChannel> acceptHandler) {
+    this.driver = driver;
     this.fabric = fabric;
     this.from = from;
     this.to = to;
     this.port = port;
     this.address = address;
-    this.acceptHandler = accepted;
+    this.acceptHandler = acceptHandler;
   }
 
   Machine to() {
@@ -66,7 +67,11 @@
     return port;
   }
 
-  /** Does as the network does now; whether anything had to change for it. */
+  /**
+   * Brings the socket into the state that the simulated network has now.
+   *
+   * @return whether the state had changed
+   */
   boolean syncWithNetwork() throws IOException {
     Fabric.Reach now = fabric.reach(from, to, port);
     if (now == reach) {
@@ -77,7 +82,7 @@
       case OPEN -> {
         listen();
         key.interestOps(SelectionKey.OP_ACCEPT);
-        // Those who fill the queue make room, and who came beside them is let in.
+        // Drains the queue: fillers are closed, real connections that queued are accepted.
         onReady(key);
         clearAcceptQueue();
       }
@@ -97,11 +102,14 @@
       listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
       listener.bind(address, BACKLOG);
       listener.configureBlocking(false);
-      key = turner.register(listener, 0, this);
+      key = driver.register(listener, 0, this);
     }
   }
 
-  /** A SYN that meets a full queue is dropped, and its kernel sends it again after 1, 3, 7 s. */
+  /**
+   * Fills the accept queue, so that connects get no answer: the kernel drops a SYN that meets a
+   * full queue, and the sender's kernel repeats it after 1, 3 and 7 s.
+   */
   private void fillAcceptQueue() throws IOException {
     for (int i = 0; i <= BACKLOG; i++) {
       SocketChannel filler = SocketChannel.open();
@@ -132,11 +140,12 @@
         }
       }
     } catch (IOException e) {
-      throw new LabException("the lab cannot accept at " + address + ": " + e.getMessage(), e);
+      throw new LabException(
+          "the lab cannot accept connections at " + address + ": " + e.getMessage(), e);
     }
   }
 
-  /** Nobody is met here: connects are refused. */
+  /** Closes the socket, so that connects are refused. */
   void close() throws IOException {
     clearAcceptQueue();
     if (listener != null) {
--- a/src/main/java/brassbank/lab/ProxyProcess.java
+++ b/src/main/java/brassbank/lab/ProxyProcess.java
@@ -8,15 +8,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** One process of a proxy, started by {@code deploy/serve.sh} as the platform does. */
+/** One process of a proxy, started with {@code deploy/serve.sh} as the platform does. */
 final class ProxyProcess {
   private static final String RESIDENT_FIELD = "VmRSS:";
   private static final String PEAK_RESIDENT_FIELD = "VmHWM:";
 
-  /** The shell becomes the program once the guard knows its id; without a word it ends. */
+  /**
+   * The shell waits for a line, which the lab writes once the watchdog tracks the process, and then
+   * becomes the program; it ends if the lab ends before that.
+   */
   private static final String GATED_SCRIPT =
       "read -r go && exec sh deploy/serve.sh \"$@\" </dev/null";
 
+  /** Starts at once: standard input is the inherited socket. */
   private static final String INHERITING_SCRIPT = "exec sh deploy/serve.sh \"$@\"";
 
   private final int number;
@@ -31,11 +35,15 @@
   }
 
   /**
-   * Starts one; may wait for the operating system.
+   * Starts a process; may block.
    *
-   * @param number how many of the proxy's were started before, and one
-   * @param arguments for {@code brassbank serve}
+   * @param number the number of this process among those of its proxy, from 1
+   * @param root the project's folder, the working directory of the process
+   * @param log the file to which the process logs
+   * @param variables additions to its environment
+   * @param arguments the arguments of {@code brassbank serve}
    * @param listener the socket to inherit, or null
+   * @param watchdog tracks the process from its start
    */
   static ProxyProcess start(
       int number,
@@ -44,7 +52,7 @@
       Map<String, String> variables,
       List<String> arguments,
       InheritedListener listener,
-      Watchdog guard)
+      Watchdog watchdog)
       throws IOException {
     List<String> command = new ArrayList<>();
     command.addAll(List.of("sh", "-c", listener == null ? GATED_SCRIPT : INHERITING_SCRIPT, "sh"));
@@ -62,7 +70,7 @@
       builder.redirectInput(listener.redirect());
     }
     Process process = builder.start();
-    guard.track(process.pid());
+    watchdog.track(process.pid());
     if (listener == null) {
       process.getOutputStream().write('\n');
       process.getOutputStream().close();
@@ -86,7 +94,7 @@
     return process.isAlive();
   }
 
-  /** Runs the task on some thread once the process has ended. */
+  /** Runs the task on an arbitrary thread once the process has ended. */
   void onExit(Runnable task) {
     process.onExit().thenRun(task);
   }
@@ -95,12 +103,12 @@
     return process.exitValue();
   }
 
-  /** Waits for its end. */
+  /** Blocks until the process has ended. */
   void awaitExit() throws InterruptedException {
     process.waitFor();
   }
 
-  /** It was told to end, in one way or another: that it ends is no surprise. */
+  /** Marks the process as one that the lab ends, so that its exit is no failure. */
   void expectExit() {
     exitExpected = true;
   }
@@ -109,9 +117,7 @@
     return exitExpected;
   }
 
-  // ------------------------------------------------- as the system counts it
-
-  /** Descriptors that it holds; 0 once it has ended. */
+  /** Returns the number of open file descriptors; 0 once the process has ended. */
   int openDescriptors() {
     try (DirectoryStream<Path> all = Files.newDirectoryStream(procPath("fd"))) {
       int count = 0;
@@ -124,7 +130,7 @@
     }
   }
 
-  /** Most memory that was resident so far, in KiB; 0 once it has ended. */
+  /** Returns the largest resident set so far, in KiB; 0 once the process has ended. */
   long peakResidentKib() {
     return Math.max(statusField(PEAK_RESIDENT_FIELD), statusField(RESIDENT_FIELD));
   }
@@ -137,31 +143,31 @@
         }
       }
     } catch (IOException e) {
-      // It has ended.
+      // The process has ended.
     }
     return 0;
   }
 
-  /** Processor time so far, in seconds; 0 once it has ended. */
+  /** Returns the processor time so far, in seconds; 0 once the process has ended. */
   double processorSeconds() {
     return process.info().totalCpuDuration().map(d -> d.toNanos() / 1e9).orElse(0.0);
   }
 
   /**
-   * How long its threads have waited for a core, the one that waited most, in microseconds; 0 where
-   * the system does not tell.
+   * Returns the run-queue wait of the thread that has waited longest for a core, in microseconds; 0
+   * where the system does not report it.
    */
   long coreWaitMicros() {
-    long most = 0;
+    long longest = 0;
     try (DirectoryStream<Path> threads = Files.newDirectoryStream(procPath("task"))) {
       for (Path thread : threads) {
         String[] parts = Files.readString(thread.resolve("schedstat")).trim().split(" ");
-        most = Math.max(most, Long.parseLong(parts[1]) / 1_000);
+        longest = Math.max(longest, Long.parseLong(parts[1]) / 1_000);
       }
     } catch (IOException | java.io.UncheckedIOException e) {
-      return most;
+      return longest;
     }
-    return most;
+    return longest;
   }
 
   private Path procPath(String name) {
--- a/src/main/java/brassbank/lab/RealProxy.java
+++ b/src/main/java/brassbank/lab/RealProxy.java
@@ -35,9 +35,10 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A proxy whose process the operating system runs. Its machine in the simulated network holds a
- * stand-in that passes on, connection by connection, what comes for the process and what comes from
- * it. The lives of the process follow the same times as in virtual time.
+ * A proxy that runs as a process of the operating system. Its machine in the simulated network
+ * holds a stand-in program that forwards the connections and datagrams to and from the process. The
+ * process starts, stops and restarts after the same delays as in the simulation. All methods belong
+ * to the driver's thread, unless they say otherwise.
  */
 final class RealProxy implements ProxyInstance {
   private static final int PORT = 7_070;
@@ -45,32 +46,32 @@
   private static final long MILLI = Agenda.MILLI;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** SIGKILL comes no earlier than this after SIGTERM, and may come later. */
+  /** The earliest time of SIGKILL after SIGTERM; the delay is drawn up to the maximum. */
   private static final long MIN_KILL_DELAY_MICROS = 3_700 * MILLI;
 
   private static final long MAX_KILL_DELAY_MICROS = 4_200 * MILLI;
   private static final long MIN_RESTART_DELAY_MICROS = 200 * MILLI;
   private static final long MAX_RESTART_DELAY_MICROS = 1_500 * MILLI;
 
-  /** DAYS, Upgrades: the new process has so long to say yes. */
+  /** In an upgrade, the time that the new process has to report itself ready. */
   private static final long UPGRADE_TIMEOUT_MILLIS = 6_000;
 
   private static final long POLL_INTERVAL_MILLIS = 20;
   private static final long START_TIMEOUT_MILLIS = 30_000;
 
-  /** What a process wrote before its end has passed the lab by then. */
+  /** By then the lab has forwarded all that a process wrote before its end. */
   private static final long FINAL_OUTPUT_DELAY_MICROS = 50 * MILLI;
 
-  /** A signal takes this long at most, and the process to run again. */
+  /** The longest time from sending a signal until the process is stopped or runs again. */
   private static final long SIGNAL_DELAY_MICROS = 10 * MILLI;
 
-  /** Its view of the fleet is asked for this often. */
+  /** How often the process is asked for its view of the fleet. */
   private static final long VIEW_INTERVAL_MICROS = 100 * MILLI;
 
-  /** The file of what the platform's configuration does not know. */
+  /** The file with the settings that the platform's configuration does not have. */
   private static final String SUPPLEMENT_FILE = "own.toml";
 
-  /** What all proxies of a lab share. */
+  /** The objects that all proxies of a lab share. */
   record SharedContext(
       RealTimeDriver driver,
       BackgroundTasks backgroundTasks,
@@ -95,7 +96,7 @@
   private final Map<Machine, RealProxy> peers = new LinkedHashMap<>();
   private final Set<SocketBridge> bridges = new LinkedHashSet<>();
 
-  /** Both are read by the meter's thread as well, and change seldom. */
+  /** Read by the monitor's thread as well, as are the logs; both change seldom. */
   private final List<ProxyProcess> processes = new CopyOnWriteArrayList<>();
 
   private final List<Path> logs = new CopyOnWriteArrayList<>();
@@ -106,11 +107,11 @@
   private Datagrams datagrams;
   private String lastKnownList;
   private boolean stopping;
-  private boolean isListening;
+  private boolean listening;
   private int startedProcesses;
   private long incarnation;
 
-  /** Where it looks for its fleet; null where it is in none. */
+  /** The proxies at which it looks for its fleet; null if it is in none. */
   private List<RealProxy> seeds;
 
   private long viewProcess;
@@ -120,29 +121,30 @@
   private volatile int descriptors;
 
   RealProxy(
-      SharedContext lab,
+      SharedContext shared,
       World world,
-      Site told,
+      Site site,
       String name,
       int rank,
       Machine machine,
-      boolean inherits,
+      boolean inheritsListener,
       ByteBuffer scratch) {
-    this.shared = lab;
+    this.shared = shared;
     this.world = world;
-    this.site = told;
+    this.site = site;
     this.name = name;
     this.rank = rank;
     this.machine = machine;
     this.scratch = scratch;
-    lab.loopback().rank(name, rank);
-    address = lab.loopback().address(name, machine);
+    shared.loopback().rank(name, rank);
+    address = shared.loopback().address(name, machine);
     stream = world.draws().of("proxy " + name);
     try {
       Files.createDirectories(folder().resolve("tmp"));
-      listener = inherits ? new InheritedListener(address) : null;
+      listener = inheritsListener ? new InheritedListener(address) : null;
     } catch (IOException e) {
-      throw new LabException("no place for " + name + ": " + e.getMessage(), e);
+      throw new LabException(
+          "cannot create the folder or the listening socket of " + name + ": " + e.getMessage(), e);
     }
   }
 
@@ -156,46 +158,44 @@
     return machine;
   }
 
-  /** Where its process listens. */
+  /** Returns the address at which the process listens. */
   InetSocketAddress address() {
     return address;
   }
 
-  /** Where its process meets another proxy's streams. */
+  /** Returns the address at which the process opens connections to another proxy. */
   InetSocketAddress peerAddress(RealProxy other) {
     return shared.loopback().address(name, other.machine);
   }
 
-  /** Where all others meet it for datagrams. */
+  /** Returns the address to which all other processes send datagrams for this one. */
   InetSocketAddress datagramAddress() {
     return shared.loopback().datagramAddress(name);
   }
 
-  /** The files its processes have logged to, the oldest first. */
+  /** Returns the log files of its processes, the oldest first; from any thread. */
   List<Path> logs() {
     return logs;
   }
 
-  /** Its processes that live. */
+  /** Returns its live processes; from any thread. */
   List<ProxyProcess> processes() {
     return List.copyOf(processes);
   }
 
-  /** Whether its process takes connections. */
+  /** Returns whether its process accepts connections. */
   boolean isListening() {
-    return isListening;
+    return listening;
   }
 
   private Path folder() {
     return shared.folder().resolve(name);
   }
 
-  // ------------------------------------------------------------------- doors
-
-  /** It meets this machine at this port; to be said before its first start. */
+  /** Adds the proxied port for a port of another machine; called before the first start. */
   void addPort(Machine other, int port) {
-    ProxiedPort[] door = new ProxiedPort[1];
-    door[0] =
+    ProxiedPort[] proxied = new ProxiedPort[1];
+    proxied[0] =
         new ProxiedPort(
             shared.driver(),
             world.fabric(),
@@ -203,11 +203,11 @@
             other,
             port,
             shared.loopback().address(name, other),
-            channel -> onProcessConnect(channel, door[0]));
-    ports.add(door[0]);
+            channel -> onProcessConnect(channel, proxied[0]));
+    ports.add(proxied[0]);
   }
 
-  /** It is met for datagrams by all of these; to be said before its first start. */
+  /** Opens the proxied datagram port for all proxies, by address; called before the first start. */
   void openDatagramPort(Map<SocketAddress, RealProxy> all) throws IOException {
     datagramPort =
         new ProxiedDatagramPort(
@@ -242,7 +242,7 @@
                 }
               });
     } catch (IOException e) {
-      throw new LabException("the stand-in of " + name + " takes no datagrams", e);
+      throw new LabException("the stand-in of " + name + " cannot bind its datagram port", e);
     }
   }
 
@@ -250,14 +250,14 @@
     return ports;
   }
 
-  /** The process has opened a connection. */
-  private void onProcessConnect(SocketChannel channel, ProxiedPort door) {
+  /** Bridges a connection that the process has opened to its target in the simulated network. */
+  private void onProcessConnect(SocketChannel channel, ProxiedPort port) {
     if (program == null || !program.alive()) {
       SocketBridge.reset(channel);
       return;
     }
     program.connect(
-        new InetSocketAddress(shared.tampering().redirect(door.to()).address(), door.port()),
+        new InetSocketAddress(shared.tampering().redirect(port.to()).address(), port.port()),
         new Program.Connected() {
           @Override
           public void up(Endpoint endpoint) {
@@ -272,12 +272,12 @@
   }
 
   private void bridge(SocketChannel channel, Endpoint endpoint, UnaryOperator<byte[]> tampering) {
-    SocketBridge splice = new SocketBridge(channel, endpoint, scratch, tampering, bridges::remove);
-    bridges.add(splice);
-    splice.start(shared.driver());
+    SocketBridge bridge = new SocketBridge(channel, endpoint, scratch, tampering, bridges::remove);
+    bridges.add(bridge);
+    bridge.start(shared.driver());
   }
 
-  /** Somebody of the site has connected to the proxy. */
+  /** Bridges a connection from the simulated network to the process. */
   private void acceptFromNetwork(Port port) {
     Endpoint endpoint = port.accept();
     if (endpoint == null) {
@@ -310,10 +310,10 @@
   }
 
   private void startListening() {
-    if (isListening || program == null || !program.alive()) {
+    if (listening || program == null || !program.alive()) {
       return;
     }
-    isListening = true;
+    listening = true;
     Port[] port = new Port[1];
     try {
       port[0] = program.listen(PORT, BACKLOG, () -> acceptFromNetwork(port[0]));
@@ -322,8 +322,6 @@
     }
   }
 
-  // ------------------------------------------------------------------- lives
-
   @Override
   public void start(boolean atOnce) {
     if (program != null && program.alive()) {
@@ -334,7 +332,7 @@
     }
     world.discovery().resetReported(name, true);
     stopping = false;
-    isListening = false;
+    listening = false;
     program = new Program(machine, name, 0, Integer.MAX_VALUE).passingOn();
     if (datagrams == null || !shared.tampering().survivesKill(name)) {
       openStandInDatagrams();
@@ -343,12 +341,12 @@
     world
         .loadBalancer()
         .processStarted(name, machine, new InetSocketAddress(machine.address(), PORT));
-    long now = ++incarnation;
-    List<ProxyProcess> before = List.copyOf(processes);
+    long current = ++incarnation;
+    List<ProxyProcess> earlier = List.copyOf(processes);
     spawn(
-        before,
+        earlier,
         next -> {
-          if (incarnation != now) {
+          if (incarnation != current) {
             killProcess(next);
             return;
           }
@@ -358,7 +356,7 @@
               .submit(
                   () -> awaitListening(next),
                   up -> {
-                    if (incarnation == now && up) {
+                    if (incarnation == current && up) {
                       startListening();
                     }
                   },
@@ -366,8 +364,8 @@
         });
   }
 
-  /** Writes the file and starts a process, once those before it have given their place free. */
-  private void spawn(List<ProxyProcess> before, Consumer<ProxyProcess> then) {
+  /** Writes the configuration and starts a process, once the given earlier processes have ended. */
+  private void spawn(List<ProxyProcess> earlier, Consumer<ProxyProcess> then) {
     String text = config(0);
     int number = ++startedProcesses;
     Path log = shared.logs().resolve(name + "-" + number + ".log");
@@ -386,8 +384,8 @@
         .backgroundTasks()
         .submit(
             () -> {
-              for (ProxyProcess one : before) {
-                one.awaitExit();
+              for (ProxyProcess proxyProcess : earlier) {
+                proxyProcess.awaitExit();
               }
               writeConfig(text);
               return ProxyProcess.start(
@@ -401,6 +399,7 @@
             this::reportFailure);
   }
 
+  /** Waits until the process listens; false if it ended before. On a background thread. */
   private boolean awaitListening(ProxyProcess next) throws IOException {
     InetSocketAddress management = shared.loopback().management(name, next.number());
     if (!poll(
@@ -408,18 +407,19 @@
         START_TIMEOUT_MILLIS,
         () -> listener == null ? ManagementCall.isListening(address) : isReady(management))) {
       if (next.isAlive()) {
-        throw new IOException("it does not listen");
+        throw new IOException(
+            "process " + next.number() + " does not listen within " + START_TIMEOUT_MILLIS + " ms");
       }
       return false;
     }
     return true;
   }
 
-  /** Asks again and again, for so long and while the process lives; on a helper's thread. */
-  private boolean poll(ProxyProcess next, long millis, BooleanSupplier asked) {
-    long until = shared.driver().nanos() + millis * NANOS_PER_MILLI;
+  /** Polls a condition while the process lives, up to a time limit; on a background thread. */
+  private boolean poll(ProxyProcess next, long limitMillis, BooleanSupplier condition) {
+    long until = shared.driver().nanos() + limitMillis * NANOS_PER_MILLI;
     while (next.isAlive() && shared.driver().nanos() < until) {
-      if (asked.getAsBoolean()) {
+      if (condition.getAsBoolean()) {
         return true;
       }
       BackgroundTasks.sleep(POLL_INTERVAL_MILLIS);
@@ -452,7 +452,7 @@
         lastKnownList);
   }
 
-  /** At once for whoever reads: the file is never seen half written. */
+  /** Replaces the file atomically, so that a reader never sees a part of it; background thread. */
   private void writeConfig(String text) throws IOException {
     Path file = folder().resolve("config.json");
     Path next = folder().resolve("config.json.next");
@@ -460,27 +460,31 @@
     Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  private void killProcess(ProxyProcess one) {
-    one.expectExit();
-    if (one.isAlive()) {
-      shared.watchdog().signal("KILL", one.pid());
+  private void killProcess(ProxyProcess proxyProcess) {
+    proxyProcess.expectExit();
+    if (proxyProcess.isAlive()) {
+      shared.watchdog().signal("KILL", proxyProcess.pid());
     }
   }
 
-  /** A process has ended, by itself or not. */
-  private void onProcessExit(ProxyProcess one) {
-    processes.remove(one);
-    shared.watchdog().untrack(one.pid());
-    if (one == process && isListening && processes.isEmpty()) {
+  /** Handles the exit of a process, whether the lab ended it or not. */
+  private void onProcessExit(ProxyProcess proxyProcess) {
+    processes.remove(proxyProcess);
+    shared.watchdog().untrack(proxyProcess.pid());
+    if (proxyProcess == process && listening && processes.isEmpty()) {
       List.copyOf(bridges).forEach(SocketBridge::readFromProcess);
     }
-    if (!one.isExitExpected()) {
+    if (!proxyProcess.isExitExpected()) {
       world.publish(
           new Event.ProxyFailed(
-              name, "process " + one.number() + " ended by itself, status " + one.exitStatus()));
-    }
-    if (one == process && stopping && killTimer != null && program.alive()) {
-      int status = one.exitStatus();
+              name,
+              "process "
+                  + proxyProcess.number()
+                  + " ended by itself, status "
+                  + proxyProcess.exitStatus()));
+    }
+    if (proxyProcess == process && stopping && killTimer != null && program.alive()) {
+      int status = proxyProcess.exitStatus();
       killTimer.cancel();
       program.stopListening();
       world.agenda().after(FINAL_OUTPUT_DELAY_MICROS, () -> onPlannedExit(status));
@@ -499,12 +503,10 @@
             stream.micros(MIN_RESTART_DELAY_MICROS, MAX_RESTART_DELAY_MICROS), () -> start(false));
   }
 
-  // -------------------------------------------------------------- membership
-
-  /** Its processes share the fleet's budgets, and leave in turn. */
+  /** Whether its processes share the fleet's budgets and need a drain permit to leave. */
   private boolean sharesBudgets;
 
-  /** Its processes join a fleet, which they look for at these proxies' places. */
+  /** Makes its processes join a fleet, with the given proxies as seeds. */
   void joinFleet(List<RealProxy> others, Plan plan) throws IOException {
     seeds = List.copyOf(others);
     sharesBudgets = plan.shares();
@@ -525,23 +527,25 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** Asks its process whom it sees, again and again, from the start on. */
+  /** Asks its process for its membership view periodically, and reports each change. */
   void watchView() {
-    ProxyProcess asked = process;
-    if (asked == null || !isListening || !asked.isAlive()) {
+    ProxyProcess currentProcess = process;
+    if (currentProcess == null || !listening || !currentProcess.isAlive()) {
       world.agenda().after(VIEW_INTERVAL_MICROS, this::watchView);
       return;
     }
-    InetSocketAddress management = shared.loopback().management(name, asked.number());
+    InetSocketAddress management = shared.loopback().management(name, currentProcess.number());
     shared
         .backgroundTasks()
         .submit(
             () ->
                 MemberViewParser.parse(
-                    name, asked.number(), ManagementCall.fetchText(management, "/members")),
+                    name,
+                    currentProcess.number(),
+                    ManagementCall.fetchText(management, "/members")),
             view -> {
               if (view != null
-                  && asked == process
+                  && currentProcess == process
                   && (view.process() != viewProcess || view.version() != viewVersion)) {
                 viewProcess = view.process();
                 viewVersion = view.version();
@@ -549,7 +553,7 @@
               }
               world.agenda().after(VIEW_INTERVAL_MICROS, this::watchView);
             },
-            gone -> world.agenda().after(VIEW_INTERVAL_MICROS, this::watchView));
+            failure -> world.agenda().after(VIEW_INTERVAL_MICROS, this::watchView));
   }
 
   @Override
@@ -558,17 +562,15 @@
   }
 
   private boolean isServing() {
-    return isListening && !stopping && process != null && process.isAlive();
+    return listening && !stopping && process != null && process.isAlive();
   }
 
-  // ------------------------------------------------------------------ faults
-
   @Override
   public void crash(long downFor) {
     if (program != null && program.alive()) {
       lastKnownList = world.discovery().list(name);
       stopping = true;
-      isListening = false;
+      listening = false;
       incarnation++;
       if (shared.tampering().survivesKill(name)) {
         program.stopListening();
@@ -576,7 +578,7 @@
       } else {
         processes.forEach(this::killProcess);
         program.kill();
-        List.copyOf(bridges).forEach(splice -> splice.abandon(shared.driver()));
+        List.copyOf(bridges).forEach(bridge -> bridge.abandon(shared.driver()));
       }
       world.loadBalancer().processFailed(name);
       world.publish(new Event.ProxyKilled(name, false));
@@ -632,16 +634,16 @@
     if (!isServing()) {
       return;
     }
-    ProxyProcess called = process;
-    InetSocketAddress management = shared.loopback().management(name, called.number());
+    ProxyProcess currentProcess = process;
+    InetSocketAddress management = shared.loopback().management(name, currentProcess.number());
     if (sharesBudgets) {
       shared
           .backgroundTasks()
           .submit(
               () -> ManagementCall.isAccepted(management, "PUT", "/standby"),
-              yes -> {
-                if (yes) {
-                  onStandby(called, management, awayFor);
+              accepted -> {
+                if (accepted) {
+                  onStandby(currentProcess, management, awayFor);
                 } else {
                   world.publish(new Event.ProxyPutOff(name));
                 }
@@ -649,12 +651,12 @@
               this::reportFailure);
       return;
     }
-    onStandby(called, management, awayFor);
+    onStandby(currentProcess, management, awayFor);
     call(management, "/standby", () -> {});
   }
 
-  /** Its clients are sent away from here on. */
-  private void onStandby(ProxyProcess called, InetSocketAddress management, long awayFor) {
+  /** Records that the process sends its clients away, and ends the standby after a time. */
+  private void onStandby(ProxyProcess currentProcess, InetSocketAddress management, long awayFor) {
     world.publish(new Event.ProxyOnStandby(name));
     world.loadBalancer().shutdownStarted(name);
     world
@@ -662,7 +664,7 @@
         .after(
             awayFor,
             () -> {
-              if (isServing() && process == called) {
+              if (isServing() && process == currentProcess) {
                 call(
                     management,
                     "/active",
@@ -679,8 +681,8 @@
         .backgroundTasks()
         .submit(
             () -> ManagementCall.isAccepted(management, "PUT", path),
-            yes -> {
-              if (yes) {
+            accepted -> {
+              if (accepted) {
                 then.run();
               } else {
                 world.publish(new Event.ProxyFailed(name, "PUT " + path + " was answered no"));
@@ -695,7 +697,7 @@
       return;
     }
     ProxyProcess old = process;
-    long now = incarnation;
+    long current = incarnation;
     spawn(
         List.of(),
         next ->
@@ -703,10 +705,10 @@
                 .backgroundTasks()
                 .submit(
                     () -> awaitReady(next),
-                    yes -> {
-                      if (incarnation != now) {
+                    ready -> {
+                      if (incarnation != current) {
                         killProcess(next);
-                      } else if (yes && old.isAlive()) {
+                      } else if (ready && old.isAlive()) {
                         process = next;
                         terminate(old);
                       } else {
@@ -716,6 +718,7 @@
                     this::reportFailure));
   }
 
+  /** Waits until the new process of an upgrade reports itself ready; on a background thread. */
   private boolean awaitReady(ProxyProcess next) {
     InetSocketAddress management = shared.loopback().management(name, next.number());
     return poll(next, UPGRADE_TIMEOUT_MILLIS, () -> isReady(management));
@@ -751,7 +754,7 @@
   }
 
   private void hangUp(String text, Runnable sent) {
-    ProxyProcess asked = process;
+    ProxyProcess currentProcess = process;
     shared
         .backgroundTasks()
         .submit(
@@ -760,9 +763,10 @@
               return true;
             },
             done -> {
-              if (asked.isAlive()) {
+              if (currentProcess.isAlive()) {
                 sent.run();
-                processes.forEach(one -> shared.watchdog().signal("HUP", one.pid()));
+                processes.forEach(
+                    proxyProcess -> shared.watchdog().signal("HUP", proxyProcess.pid()));
               }
             },
             this::reportFailure);
@@ -781,7 +785,7 @@
     }
     long until = world.now() + micros;
     pausedUntil = Math.max(pausedUntil, until + SIGNAL_DELAY_MICROS);
-    stopped.forEach(one -> shared.watchdog().signal("STOP", one.pid()));
+    stopped.forEach(proxyProcess -> shared.watchdog().signal("STOP", proxyProcess.pid()));
     world
         .agenda()
         .at(
@@ -790,7 +794,7 @@
               if (world.now() + SIGNAL_DELAY_MICROS >= pausedUntil) {
                 stopped.stream()
                     .filter(ProxyProcess::isAlive)
-                    .forEach(one -> shared.watchdog().signal("CONT", one.pid()));
+                    .forEach(proxyProcess -> shared.watchdog().signal("CONT", proxyProcess.pid()));
               }
             });
   }
@@ -805,18 +809,18 @@
     return descriptors;
   }
 
-  /** What the system has counted; from any thread. */
+  /** Sets the number of open descriptors of all its processes; from any thread. */
   void descriptors(int counted) {
     descriptors = counted;
   }
 
-  /** Ends what lives of it. */
+  /** Kills its processes and closes its connections and sockets. */
   void close() {
     processes.forEach(this::killProcess);
     List.copyOf(bridges).forEach(SocketBridge::resetBoth);
     try {
-      for (ProxiedPort door : ports) {
-        door.close();
+      for (ProxiedPort port : ports) {
+        port.close();
       }
       if (datagramPort != null) {
         datagramPort.close();
--- a/src/main/java/brassbank/lab/RealTimeDriver.java
+++ b/src/main/java/brassbank/lab/RealTimeDriver.java
@@ -14,24 +14,24 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Turns an agenda by the monotonic clock, and real sockets beside it, on the calling thread. How
- * late each task of the agenda ran is measured. Only {@link #post} and {@link #nanos} may be called
- * from other threads.
+ * Runs the tasks of an agenda when they are due by the monotonic clock, and polls real sockets in
+ * between, on the calling thread. Records by how much each task ran late. Only {@link #post} and
+ * {@link #nanos} may be called from other threads.
  */
 final class RealTimeDriver implements AutoCloseable {
   private static final long NANOS_PER_MICRO = 1_000;
 
-  /** Sockets are looked at this often at least, in microseconds, however much is due. */
+  /** Sockets are polled at least this often, even while tasks of the agenda are due. */
   private static final long MAX_POLL_INTERVAL_MICROS = 1_000;
 
-  /** The selector waits in whole milliseconds: shorter waits are slept in parts. */
+  /** The selector waits in whole milliseconds, so shorter waits are spent in short parks. */
   private static final long MIN_SELECT_MICROS = 2_000;
 
   private static final long MAX_SELECT_MILLIS = 20;
   private static final int MAX_IDLE_TASKS_PER_ITERATION = 16;
   private static final long MAX_PARK_NANOS = 60_000;
 
-  /** Who is told what a socket is ready for. */
+  /** Receives the readiness events of a channel. */
   interface ReadyHandler {
     void onReady(SelectionKey key);
   }
@@ -52,40 +52,40 @@
     selector = Selector.open();
   }
 
-  /** From here on time goes by; it was 0 until now. */
+  /** Starts the clock; the time was 0 until now. */
   void startClock() {
     clockStarted = true;
     originNanos = clock.nanos();
   }
 
-  /** Microseconds since {@link #startClock}. */
+  /** Returns the microseconds since {@link #startClock}. */
   long nowMicros() {
     return (clock.nanos() - originNanos) / NANOS_PER_MICRO;
   }
 
-  /** The monotonic clock; from any thread. */
+  /** Returns the monotonic clock, in nanoseconds; from any thread. */
   long nanos() {
     return clock.nanos();
   }
 
-  /** Runs a task on the turner's thread, soon; from any thread. */
+  /** Queues a task for the driver's thread; from any thread. */
   void post(Runnable task) {
     posted.add(task);
     selector.wakeup();
   }
 
-  /** Runs a task of the turner's thread when there is time, a few in a turn. */
+  /** Queues a low-priority task; each iteration runs a limited number. Driver's thread only. */
   void whenIdle(Runnable task) {
     idleTasks.add(task);
   }
 
-  /** The channel must not block; whoever registers it closes it. */
-  SelectionKey register(SelectableChannel channel, int interest, ReadyHandler ready)
+  /** Registers a non-blocking channel; the caller closes it. */
+  SelectionKey register(SelectableChannel channel, int interest, ReadyHandler handler)
       throws IOException {
-    return channel.register(selector, interest, ready);
+    return channel.register(selector, interest, handler);
   }
 
-  /** Tells of sockets and posted tasks while time has not begun; one look. */
+  /** Polls sockets and posted tasks once while the clock has not started. */
   void pollWithoutClock() throws IOException {
     selector.select(this::dispatch, MAX_SELECT_MILLIS);
     for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
@@ -93,7 +93,7 @@
     }
   }
 
-  /** One turn: all that is due, then the sockets, with a wait where nothing is to be done. */
+  /** Runs one iteration: all due tasks, then the sockets, with a wait where none is due. */
   void runOnce() throws IOException {
     for (long now = nowMicros(); agenda.nextDue() <= now; now = nowMicros()) {
       long due = agenda.nextDue();
@@ -111,6 +111,7 @@
     poll(idleTasks.isEmpty() ? agenda.nextDue() - nowMicros() : 0);
   }
 
+  /** Polls sockets and posted tasks, waiting for at most the given time if none is ready. */
   private void poll(long waitMicros) throws IOException {
     if (waitMicros >= MIN_SELECT_MICROS && posted.isEmpty()) {
       selector.select(this::dispatch, Math.min(waitMicros / 1_000 - 1, MAX_SELECT_MILLIS));
@@ -124,7 +125,7 @@
   }
 
   private void dispatch(SelectionKey key) {
-    // What is told first may have ended what is told now.
+    // A handler that ran earlier in this pass may have closed this channel.
     if (key.isValid()) {
       if (clockStarted) {
         agenda.step(Math.min(nowMicros(), agenda.nextDue() - 1));
--- a/src/main/java/brassbank/lab/Report.java
+++ b/src/main/java/brassbank/lab/Report.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What a play has shown, for people and for programs. */
+/** Formats the outcome of a run as text and as JSON. */
 final class Report {
   private Report() {}
 
@@ -72,7 +72,7 @@
 
   private static String verdict(Lab.Outcome outcome) {
     if (outcome.isVoid()) {
-      return "void, twice: nothing is said of the rules";
+      return "void, twice: no verdict on the rules";
     }
     return outcome.holdsAllRules() ? "all rules hold" : "a rule is broken";
   }
@@ -92,11 +92,11 @@
     json.add("rules", rules);
     JsonArray breaches = new JsonArray();
     for (Breach breach : outcome.breaches()) {
-      JsonObject one = new JsonObject();
-      one.addProperty("rule", breach.rule());
-      one.addProperty("at_s", breach.atMicros() / 1e6);
-      one.addProperty("what", breach.description());
-      breaches.add(one);
+      JsonObject item = new JsonObject();
+      item.addProperty("rule", breach.rule());
+      item.addProperty("at_s", breach.atMicros() / 1e6);
+      item.addProperty("what", breach.description());
+      breaches.add(item);
     }
     json.add("breaches", breaches);
     JsonArray log = new JsonArray();
@@ -107,25 +107,25 @@
         outcome.resourceUsage().entrySet()) {
       ClientStatistics.ProxyCounts count =
           outcome.clientCounts().getOrDefault(entry.getKey(), new ClientStatistics.ProxyCounts());
-      JsonObject one = new JsonObject();
-      one.addProperty("flows", count.sent);
-      one.addProperty("served", count.served);
-      one.addProperty("refused", count.refused);
-      one.addProperty("unanswered", count.unanswered());
-      one.addProperty("moved", count.moved);
-      one.addProperty("processor_s", Math.round(entry.getValue().processorSeconds * 100) / 100.0);
-      one.addProperty("resident_kib", entry.getValue().peakResidentKib);
-      one.addProperty("descriptors", entry.getValue().peakDescriptors);
-      one.addProperty("waited_for_core_ms", entry.getValue().coreWaitMicros / 1e3);
-      proxies.add(entry.getKey(), one);
+      JsonObject item = new JsonObject();
+      item.addProperty("flows", count.sent);
+      item.addProperty("served", count.served);
+      item.addProperty("refused", count.refused);
+      item.addProperty("unanswered", count.unanswered());
+      item.addProperty("moved", count.moved);
+      item.addProperty("processor_s", Math.round(entry.getValue().processorSeconds * 100) / 100.0);
+      item.addProperty("resident_kib", entry.getValue().peakResidentKib);
+      item.addProperty("descriptors", entry.getValue().peakDescriptors);
+      item.addProperty("waited_for_core_ms", entry.getValue().coreWaitMicros / 1e3);
+      proxies.add(entry.getKey(), item);
     }
     json.add("proxies", proxies);
     return new GsonBuilder().setPrettyPrinting().create().toJson(json);
   }
 
-  /** Where to look at a site that is left standing. */
+  /** Describes the folder, processes and logs of a site that is kept running. */
   static String describeKeptSite(Lab lab) {
-    StringBuilder text = new StringBuilder("the site stands until Ctrl-C; its files: ");
+    StringBuilder text = new StringBuilder("the site keeps running until Ctrl-C; its files: ");
     text.append(lab.folder()).append('\n');
     lab.proxies()
         .values()
--- a/src/main/java/brassbank/lab/SocketBridge.java
+++ b/src/main/java/brassbank/lab/SocketBridge.java
@@ -12,14 +12,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One connection of a real process, joined to its other half in the simulated network: bytes, ends
- * and resets pass both ways, as far as the windows of both sides allow. It owns both halves and
- * gives them back together.
+ * Joins one connection of a real process to its other half in the simulated network: bytes, ends of
+ * stream and resets pass both ways, as far as the flow-control windows of both sides allow. Owns
+ * both halves and closes them together.
  */
 final class SocketBridge implements Endpoint.Handler, RealTimeDriver.ReadyHandler {
   private static final int READ_SIZE = 16 * 1024;
 
-  /** One connection may not keep the others waiting. */
+  /** Limits the reads per event, so that one connection does not delay the others. */
   private static final int MAX_READS_PER_EVENT = 8;
 
   private static final byte[] EMPTY = {};
@@ -31,7 +31,7 @@
   private final UnaryOperator<byte[]> tampering;
   private SelectionKey key;
 
-  /** What one side has given and the other has not taken yet. */
+  /** Bytes that were read from one side and not yet accepted by the other. */
   private byte[] pendingToNetwork = EMPTY;
 
   private byte[] pendingToProcess = EMPTY;
@@ -40,33 +40,33 @@
   private boolean closed;
 
   /**
-   * Joins two halves that both stand.
+   * Joins two halves that are both established.
    *
-   * @param scratch room for one read, which all splices of a thread may share
-   * @param tampering what goes on of what the process has written
-   * @param over is told once, when both halves have been given back
+   * @param scratch a buffer of {@link #scratchSize} bytes, which all bridges of a thread may share
+   * @param tampering applied to the bytes that the process has written
+   * @param closeListener notified once, when both halves are closed
    */
   SocketBridge(
       SocketChannel channel,
       Endpoint endpoint,
       ByteBuffer scratch,
       UnaryOperator<byte[]> tampering,
-      Consumer<SocketBridge> over) {
+      Consumer<SocketBridge> closeListener) {
     this.channel = channel;
     this.endpoint = endpoint;
     this.scratch = scratch;
     this.tampering = tampering;
-    this.closeListener = over;
+    this.closeListener = closeListener;
   }
 
   static int scratchSize() {
     return READ_SIZE;
   }
 
-  void start(RealTimeDriver turner) {
+  void start(RealTimeDriver driver) {
     try {
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      key = turner.register(channel, SelectionKey.OP_READ, this);
+      key = driver.register(channel, SelectionKey.OP_READ, this);
     } catch (IOException e) {
       resetBoth();
       return;
@@ -74,8 +74,6 @@
     endpoint.handler(this);
   }
 
-  // ----------------------------------------------------- from the real process
-
   @Override
   public void onReady(SelectionKey ready) {
     if (ready.isWritable()) {
@@ -86,7 +84,7 @@
     }
   }
 
-  /** Takes what the process has written, and its end. */
+  /** Forwards what the process has written, and its end of stream. */
   void readFromProcess() {
     try {
       for (int i = 0;
@@ -101,10 +99,10 @@
           processEnded = true;
           key.interestOpsAnd(~SelectionKey.OP_READ);
         } else {
-          byte[] said = tampering.apply(Arrays.copyOf(scratch.array(), count));
-          int taken = endpoint.write(said, 0, said.length);
-          if (taken < said.length) {
-            pendingToNetwork = Arrays.copyOfRange(said, taken, said.length);
+          byte[] bytes = tampering.apply(Arrays.copyOf(scratch.array(), count));
+          int accepted = endpoint.write(bytes, 0, bytes.length);
+          if (accepted < bytes.length) {
+            pendingToNetwork = Arrays.copyOfRange(bytes, accepted, bytes.length);
             key.interestOpsAnd(~SelectionKey.OP_READ);
             endpoint.writing(true);
           }
@@ -116,7 +114,7 @@
     } catch (ResetException e) {
       resetBoth();
     } catch (IOException e) {
-      // The process, or its kernel for it, has reset the connection.
+      // The process, or the kernel on its behalf, has reset the connection.
       resetBoth();
     }
   }
@@ -129,8 +127,8 @@
   @Override
   public void writable() {
     try {
-      int taken = endpoint.write(pendingToNetwork, 0, pendingToNetwork.length);
-      pendingToNetwork = Arrays.copyOfRange(pendingToNetwork, taken, pendingToNetwork.length);
+      int accepted = endpoint.write(pendingToNetwork, 0, pendingToNetwork.length);
+      pendingToNetwork = Arrays.copyOfRange(pendingToNetwork, accepted, pendingToNetwork.length);
       if (pendingToNetwork.length == 0) {
         endpoint.writing(false);
         if (processEnded) {
@@ -144,8 +142,6 @@
     }
   }
 
-  // ----------------------------------------------------- to the real process
-
   @Override
   public void readable() {
     if (pendingToProcess.length > 0) {
@@ -190,8 +186,6 @@
     }
   }
 
-  // -------------------------------------------------------------------- ends
-
   private void closeIfBothEnded() {
     if (processEnded && networkEnded && !closed) {
       closed = true;
@@ -201,7 +195,7 @@
     }
   }
 
-  /** A reset on one side is one on the other. */
+  /** Resets both halves: a reset on one side is passed to the other. */
   void resetBoth() {
     if (closed) {
       return;
@@ -213,24 +207,24 @@
   }
 
   /**
-   * The process is being killed: the other half is reset at once, and this one given back when
-   * there is time. Ten proxies with a thousand connections are killed at one moment.
+   * Resets the simulated half at once, and the real one when the driver is idle. Used when the
+   * process is killed: ten proxies with a thousand connections may be killed at the same moment.
    */
-  void abandon(RealTimeDriver turner) {
+  void abandon(RealTimeDriver driver) {
     if (!closed) {
       closed = true;
       endpoint.reset();
-      turner.whenIdle(() -> reset(channel));
+      driver.whenIdle(() -> reset(channel));
       closeListener.accept(this);
     }
   }
 
-  /** Closes it so that its peer sees a reset. */
+  /** Closes a channel so that its peer sees a reset. */
   static void reset(SocketChannel channel) {
     try {
       channel.setOption(StandardSocketOptions.SO_LINGER, 0);
     } catch (IOException e) {
-      // It is broken already, and a close is all that is left.
+      // The connection is broken already; closing it is enough.
     }
     close(channel);
   }
@@ -239,7 +233,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      // Nothing is left to be given back.
+      // The channel holds no resource any more.
     }
   }
 }
--- a/src/main/java/brassbank/lab/Watchdog.java
+++ b/src/main/java/brassbank/lab/Watchdog.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process beside the lab that sends its signals and outlives it: when the lab ends, even by a
- * kill, the guard kills the processes it was told of and removes the lab's folder. May be used from
- * any thread; no call waits for the signal to have been sent.
+ * A shell process beside the lab that sends signals for it, which Java cannot do itself, and
+ * outlives it: when the lab ends, even by SIGKILL, the watchdog kills all tracked processes and
+ * removes the lab's folder. Thread-safe; no method waits until a signal has been sent.
  */
 final class Watchdog implements AutoCloseable {
   private static final long EXIT_TIMEOUT_SECONDS = 10;
@@ -20,7 +20,7 @@
   private final OutputStream pipe;
 
   /**
-   * @param folder removed when the lab is over
+   * @param folder the lab's folder, removed when the lab ends
    */
   Watchdog(Path folder) throws IOException {
     Path script = folder.resolve("guard.sh");
@@ -35,17 +35,21 @@
     pipe = process.getOutputStream();
   }
 
-  /** This process is the lab's from here on. */
+  /** Adds a process to those that are killed when the lab ends. */
   void track(long pid) {
     writeCommand("add " + pid);
   }
 
-  /** This process has ended, and its id may be somebody else's. */
+  /** Removes a process that has ended, since the system may reuse its id. */
   void untrack(long pid) {
     writeCommand("drop " + pid);
   }
 
-  /** Sends a signal, by its name without SIG. */
+  /**
+   * Sends a signal.
+   *
+   * @param name the signal's name without SIG
+   */
   void signal(String name, long pid) {
     writeCommand(name + " " + pid);
   }
@@ -55,11 +59,11 @@
       pipe.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
       pipe.flush();
     } catch (IOException e) {
-      throw new LabException("the lab's guard has ended: " + e.getMessage(), e);
+      throw new LabException("the lab's watchdog process has ended: " + e.getMessage(), e);
     }
   }
 
-  /** Has it kill whatever is left, and waits for its end. */
+  /** Makes the watchdog kill the remaining processes, and waits until it has ended. */
   @Override
   public void close() {
     try {
--- a/src/main/java/brassbank/lab/package-info.java
+++ b/src/main/java/brassbank/lab/package-info.java
@@ -1,12 +1,12 @@
 /**
- * The fleet lab: real processes of the program on loopback, among the actors, faults and rules of
- * {@code brassbank.sim}, which are turned by the clock here. It touches sockets, processes and
- * files; what it judges by stands in {@code sim.check}, and what it plays in {@code sim.fault}.
- * Nothing of the program itself is used: the proxies are met as processes only. docs/lab.md says
- * how to use it and what it leaves out.
+ * The fleet lab: runs real proxy processes on loopback among the simulated actors, faults and rules
+ * of {@code brassbank.sim}, which are driven by the real clock here. This package does the I/O on
+ * sockets, processes and files; the rules stand in {@code sim.check}, the faults in {@code
+ * sim.fault}. It uses no class of the proxy itself and meets the proxies as processes only.
+ * docs/lab.md describes how to use the lab and what it leaves out.
  *
- * <p>One thread ({@link brassbank.lab.RealTimeDriver}) does everything but what would wait:
- * starting processes, operators' calls and reading {@code /proc} are done by helpers, which hand
- * back what they found as tasks.
+ * <p>One thread ({@link brassbank.lab.RealTimeDriver}) runs everything that does not block.
+ * Starting processes, management calls and reading {@code /proc} run on background threads, which
+ * post their results to it as tasks.
  */
 package brassbank.lab;
--- a/src/main/java/brassbank/rehearsal/Rehearsal.java
+++ b/src/main/java/brassbank/rehearsal/Rehearsal.java
@@ -17,17 +17,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Starts the program on loopback and leads it through what every run meets: a front's PING, flows
- * and their lines, probes, the list and the watch, a bad client, SIGHUP, and SIGTERM with a client
- * that still stands. {@code deploy/archive.sh} runs it.
+ * Starts the proxy on loopback and exercises what every run meets: the front's PING, flows and
+ * their lines, probes, the target list and its watch, a malformed request, SIGHUP, and SIGTERM
+ * while clients are connected. {@code deploy/archive.sh} runs it.
  *
- * <p>Each wait is bounded; a run that goes wrong throws, and the program is ended in any case.
+ * <p>Each wait is bounded. A failed run exits with status 1, and the proxy's process is killed in
+ * any case.
  */
 public final class Rehearsal {
   private static final int TIMEOUT_MILLIS = 10_000;
   private static final int POLL_INTERVAL_MILLIS = 10;
 
-  /** The classes' longest deadline, in microseconds: the planned stop takes this long and 0.7 s. */
+  /** Deadline of all classes; a planned stop takes 0.7 s longer than the longest one. */
   private static final long CLASS_DEADLINE_MICROS = 600_000;
 
   private final List<StubHost> hosts = new ArrayList<>();
@@ -38,7 +39,7 @@
 
   private Rehearsal(JsonObject config) throws IOException {
     this.config = config;
-    // Not 127.0.0.1: a connect to a free port there can meet itself, and then holds the port.
+    // Not 127.0.0.1: a connect to a free port there can connect to itself and occupy the port.
     InetAddress own = InetAddress.getByName("127.0.0.2");
     try (ServerSocket free = new ServerSocket(0, 1, own)) {
       address = new InetSocketAddress(own, free.getLocalPort());
@@ -58,7 +59,7 @@
     }
   }
 
-  /** Arguments: a configuration to take the settings from, and the command that serves. */
+  /** Arguments: a configuration file to take the settings from, and the command of the proxy. */
   public static void main(String[] args) throws InterruptedException {
     if (args.length < 2) {
       System.err.println("usage: Rehearsal CONFIG COMMAND...");
@@ -69,9 +70,9 @@
       rehearse(Path.of(args[0]), Arrays.asList(args).subList(1, args.length));
       status = 0;
     } catch (IOException | RuntimeException e) {
-      System.err.println("the rehearsal went wrong: " + e);
+      System.err.println("the rehearsal failed: " + e);
     }
-    // Discovery and the hosts still have threads, which would keep this program for good.
+    // The threads of the stub discovery and hosts would keep this JVM alive.
     System.exit(status);
   }
 
@@ -83,7 +84,7 @@
     try {
       Files.writeString(file, config.toString());
       rehearsal.start(file, command);
-      rehearsal.play();
+      rehearsal.exercise();
     } finally {
       rehearsal.killProcess();
       Files.delete(file);
@@ -97,7 +98,7 @@
     process = builder.start();
   }
 
-  private void play() throws IOException, InterruptedException {
+  private void exercise() throws IOException, InterruptedException {
     awaitPong();
     try (StubClient bad = new StubClient(address, TIMEOUT_MILLIS)) {
       bad.send("nonsense");
@@ -124,7 +125,8 @@
       client.close();
     }
     if (!process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) || process.exitValue() != 0) {
-      throw new IOException("the program did not end as planned");
+      throw new IOException(
+          "the proxy did not exit with status 0 within " + TIMEOUT_MILLIS + " ms of SIGTERM");
     }
   }
 
@@ -140,10 +142,11 @@
         }
       }
     }
-    throw new IOException("the program does not serve");
+    throw new IOException(
+        "the proxy did not answer PING within " + TIMEOUT_MILLIS + " ms, or has ended");
   }
 
-  /** The platform sends its signals to the process that {@code run} started; so does this. */
+  /** Sends a signal to the process that the command started, as the platform does. */
   private void signal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
   }
--- a/src/main/java/brassbank/rehearsal/StubClient.java
+++ b/src/main/java/brassbank/rehearsal/StubClient.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A client, or the front that sends PING: it sends lines and waits for the answers it expects. */
+/** A blocking client, or the front that sends PING: sends lines and checks the responses. */
 final class StubClient implements AutoCloseable {
   private final Socket socket = new Socket();
   private final BufferedReader in;
@@ -29,11 +29,15 @@
     socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Waits for a line that begins so; throws where another comes, or none in time. */
-  void expectLine(String start) throws IOException {
+  /**
+   * Waits for a line with the given prefix.
+   *
+   * @throws IOException if another line arrives, or none in time
+   */
+  void expectLine(String prefix) throws IOException {
     String line = in.readLine();
-    if (line == null || !line.startsWith(start)) {
-      throw new IOException("instead of " + start + " came " + line);
+    if (line == null || !line.startsWith(prefix)) {
+      throw new IOException("expected a line that starts with " + prefix + ", received " + line);
     }
   }
 
--- a/src/main/java/brassbank/rehearsal/StubDiscovery.java
+++ b/src/main/java/brassbank/rehearsal/StubDiscovery.java
@@ -12,18 +12,18 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** Discovery: the whole list, and one watch that tells of one drain. */
+/** A discovery that serves the whole list, and a watch that reports one draining target. */
 final class StubDiscovery {
   private static final int EMPTY_LINE_MILLIS = 500;
 
   private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
   private final CountDownLatch changed = new CountDownLatch(1);
 
-  /** Never counted down: a wait that only its time ends. */
+  /** Never counted down: waiting on it always lasts for the time-out. */
   private final CountDownLatch neverReleased = new CountDownLatch(1);
 
-  private volatile String setList;
-  private volatile String reportDraining;
+  private volatile String list;
+  private volatile String change;
 
   StubDiscovery() throws IOException {
     server.setExecutor(Executors.newCachedThreadPool());
@@ -35,11 +35,11 @@
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  void setList(String whole) {
-    setList = whole;
+  void setList(String json) {
+    list = json;
   }
 
-  /** Tells the watch that this target drains. */
+  /** Reports to the watch that a target drains. */
   void reportDraining(JsonObject entry) {
     JsonObject draining = entry.deepCopy();
     draining.addProperty("status", "DRAINING");
@@ -49,14 +49,14 @@
     delta.addProperty("index", 2);
     delta.addProperty("snapshot", false);
     delta.add("endpoints", entries);
-    reportDraining = delta.toString();
+    change = delta.toString();
     changed.countDown();
   }
 
   private void handleRequest(HttpExchange exchange) throws IOException {
     exchange.sendResponseHeaders(200, 0);
     try (OutputStream body = exchange.getResponseBody()) {
-      writeLine(body, setList);
+      writeLine(body, list);
       String query = exchange.getRequestURI().getQuery();
       if (query == null || !query.contains("follow=1")) {
         return;
@@ -64,8 +64,8 @@
       while (!changed.await(EMPTY_LINE_MILLIS, TimeUnit.MILLISECONDS)) {
         writeLine(body, "");
       }
-      writeLine(body, reportDraining);
-      // The watch stays open: the program that keeps it ends first.
+      writeLine(body, change);
+      // The watch stays open until the proxy closes it.
       while (!neverReleased.await(EMPTY_LINE_MILLIS, TimeUnit.MILLISECONDS)) {
         writeLine(body, "");
       }
--- a/src/main/java/brassbank/rehearsal/StubHost.java
+++ b/src/main/java/brassbank/rehearsal/StubHost.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A stream host that takes every flow, returns its lines, and answers probes with some load. */
+/** A stream host that accepts every flow, echoes its lines, and answers probes with a low load. */
 final class StubHost {
   private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   private final CountDownLatch probed = new CountDownLatch(1);
@@ -29,10 +29,14 @@
     return "127.0.0.1:" + socket.getLocalPort();
   }
 
-  /** Waits for a probe to be answered; throws where none comes in time. */
+  /**
+   * Waits until a probe has been answered.
+   *
+   * @throws IOException if none arrives in time
+   */
   void awaitProbe(int limitMillis) throws IOException, InterruptedException {
     if (!probed.await(limitMillis, TimeUnit.MILLISECONDS)) {
-      throw new IOException("no probe has come");
+      throw new IOException("no probe arrived within " + limitMillis + " ms");
     }
   }
 
@@ -43,7 +47,7 @@
         startDaemonThread(() -> serve(connection));
       }
     } catch (IOException e) {
-      System.err.println("a toy host has ended: " + e.getMessage());
+      System.err.println("a stub host stopped accepting connections: " + e.getMessage());
     }
   }
 
@@ -66,7 +70,7 @@
         }
       }
     } catch (IOException e) {
-      // The proxy has ended the connection, as it does when it stops.
+      // The proxy has closed the connection, as it does when it stops.
     }
   }
 }
--- a/src/main/java/brassbank/rehearsal/package-info.java
+++ b/src/main/java/brassbank/rehearsal/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A short run of {@code serve} on loopback, for the build: the class-data archive holds what such a
- * run has loaded. Nothing that serves uses this package, and it knows the program only as a process
- * that speaks the platform's protocols.
+ * A short run of {@code serve} on loopback for the build: the class-data archive holds the classes
+ * that this run loads. The proxy does not use this package, and this package knows the proxy only
+ * as a process that speaks the platform's protocols.
  */
 package brassbank.rehearsal;
--- a/src/main/resources/brassbank/lab/guard.sh
+++ b/src/main/resources/brassbank/lab/guard.sh
@@ -1,6 +1,7 @@
-# Sends signals for the lab, which Java itself cannot, and knows which processes are the lab's. When
-# the lab ends in whatever way, the pipe it speaks through ends: all that is left is killed, and the
-# folder removed. A terminal's Ctrl-C comes here too, and must not end it before that.
+# Watchdog of the lab: sends signals for it, which Java itself cannot, and tracks its processes. When
+# the lab ends in any way, its pipe to this script ends as well: the script then kills the remaining
+# processes and removes the folder. A terminal's Ctrl-C reaches this script too, and must not end it
+# before that.
 trap '' INT HUP TERM
 left=
 while read -r word id; do
--- a/src/test/java/brassbank/lab/DatagramLinksIT.java
+++ b/src/test/java/brassbank/lab/DatagramLinksIT.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams between the places of two proxies, over links that the lab owns. */
+/** Datagrams between the addresses of two proxies, over the simulated links of the lab. */
 class DatagramLinksIT {
   private static final String SCRIPT =
       """
@@ -54,7 +54,7 @@
       for_ms = 1000
       """;
 
-  private static DatagramChannel at(InetSocketAddress address) throws Exception {
+  private static DatagramChannel bind(InetSocketAddress address) throws Exception {
     DatagramChannel channel = DatagramChannel.open();
     channel.bind(address);
     channel.configureBlocking(false);
@@ -62,26 +62,27 @@
   }
 
   /**
-   * What came of the 80 in the middle of one second of the play: its ends are the faults' edges.
+   * Returns the received numbers of the 80 datagrams in the middle of a second of the run; faults
+   * begin and end at its edges.
    */
-  private static List<Integer> of(int second, List<Integer> all) {
+  private static List<Integer> receivedInSecond(int second, List<Integer> all) {
     return all.stream()
         .filter(number -> number / 100 == second && number % 100 >= 10 && number % 100 < 90)
         .toList();
   }
 
-  /** Asks a proxy for a sign of life over a stream, as another proxy's machine. */
-  private static final class Asking {
+  /** Sends a PING to a proxy over a stream, as from another proxy's machine. */
+  private static final class PingClient {
     private final InetSocketAddress address;
     private final ByteBuffer answer = ByteBuffer.allocate(64);
     private SocketChannel channel;
-    private boolean asked;
+    private boolean sent;
 
-    Asking(InetSocketAddress address) {
+    PingClient(InetSocketAddress address) {
       this.address = address;
     }
 
-    void look(boolean due) throws java.io.IOException {
+    void poll(boolean due) throws java.io.IOException {
       if (!due) {
         return;
       }
@@ -90,11 +91,11 @@
         channel.configureBlocking(false);
         channel.connect(address);
       }
-      if (!asked && channel.finishConnect()) {
-        asked = true;
+      if (!sent && channel.finishConnect()) {
+        sent = true;
         channel.write(ByteBuffer.wrap("PING\r\n".getBytes()));
       }
-      if (asked) {
+      if (sent) {
         channel.read(answer);
       }
     }
@@ -105,45 +106,46 @@
   }
 
   @Test
-  void areLostDoubledOutOfOrderAndCutAsTheScriptSaysAndNotElse() throws Exception {
+  void datagramsAreLostDuplicatedReorderedAndCutOnlyAsTheScriptSays() throws Exception {
     Path script = Files.createTempFile("brassbank", ".toml");
     Files.writeString(script, SCRIPT);
-    List<Integer> there = new ArrayList<>();
-    List<Integer> back = new ArrayList<>();
+    List<Integer> forward = new ArrayList<>();
+    List<Integer> backward = new ArrayList<>();
     Map<String, String> answers = new HashMap<>();
     try (Lab lab = new Lab(Script.read(script), Path.of("").toAbsolutePath(), null)) {
       Map<String, RealProxy> proxies = lab.proxies();
-      InetSocketAddress one = proxies.get("n0").address();
-      InetSocketAddress other = proxies.get("n1").address();
-      InetSocketAddress otherSeen = proxies.get("n1").datagramAddress();
-      InetSocketAddress oneSeen = proxies.get("n0").datagramAddress();
-      InetSocketAddress otherStream = proxies.get("n0").peerAddress(proxies.get("n1"));
-      try (DatagramChannel first = at(one);
-          DatagramChannel second = at(other);
-          DatagramChannel stranger =
-              at(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
+      InetSocketAddress firstAddress = proxies.get("n0").address();
+      InetSocketAddress secondAddress = proxies.get("n1").address();
+      InetSocketAddress secondProxied = proxies.get("n1").datagramAddress();
+      InetSocketAddress firstProxied = proxies.get("n0").datagramAddress();
+      InetSocketAddress secondStream = proxies.get("n0").peerAddress(proxies.get("n1"));
+      try (DatagramChannel first = bind(firstAddress);
+          DatagramChannel second = bind(secondAddress);
+          DatagramChannel unknownSender =
+              bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
         int[] sent = {100};
-        Asking calm = new Asking(otherStream);
-        Asking cut = new Asking(otherStream);
+        PingClient pingWithoutFaults = new PingClient(secondStream);
+        PingClient pingDuringCut = new PingClient(secondStream);
         ByteBuffer buffer = ByteBuffer.allocate(64);
         lab.play(
             (playing, now) -> {
               try {
-                calm.look(now > 1_500_000);
-                cut.look(now > 5_200_000);
-                answers.put(now < 5_900_000 ? "while cut" : "after it", cut.answer());
-                answers.put("calm", calm.answer());
+                pingWithoutFaults.poll(now > 1_500_000);
+                pingDuringCut.poll(now > 5_200_000);
+                answers.put(
+                    now < 5_900_000 ? "during the cut" : "after the cut", pingDuringCut.answer());
+                answers.put("without faults", pingWithoutFaults.answer());
                 while (now < 7_000_000 && sent[0] < now / 10_000) {
                   ByteBuffer number = ByteBuffer.allocate(4).putInt(sent[0]++).flip();
-                  first.send(number.duplicate(), otherSeen);
-                  second.send(number.duplicate(), oneSeen);
-                  stranger.send(ByteBuffer.wrap("stranger".getBytes()), otherSeen);
+                  first.send(number.duplicate(), secondProxied);
+                  second.send(number.duplicate(), firstProxied);
+                  unknownSender.send(ByteBuffer.wrap("stranger".getBytes()), secondProxied);
                 }
                 for (buffer.clear(); second.receive(buffer) != null; buffer.clear()) {
-                  there.add(buffer.flip().getInt());
+                  forward.add(buffer.flip().getInt());
                 }
                 for (buffer.clear(); first.receive(buffer) != null; buffer.clear()) {
-                  back.add(buffer.flip().getInt());
+                  backward.add(buffer.flip().getInt());
                 }
               } catch (java.io.IOException e) {
                 throw new IllegalStateException(e);
@@ -152,18 +154,22 @@
       }
     }
     Files.delete(script);
-    assertThat(of(1, there)).as("calm").hasSize(80).isSorted();
-    assertThat(of(2, there)).as("40%% are lost").hasSizeBetween(30, 66).doesNotHaveDuplicates();
-    assertThat(of(3, there).size()).as("40%% come twice").isBetween(94, 130);
-    assertThat(of(4, there)).as("late by 50 to 150 ms").hasSize(80);
-    assertThat(of(4, there)).isNotEqualTo(of(4, there).stream().sorted().toList());
-    assertThat(of(5, there)).as("cut").isEmpty();
-    assertThat(of(6, there)).as("calm again").hasSize(80);
+    assertThat(receivedInSecond(1, forward)).as("without faults").hasSize(80).isSorted();
+    assertThat(receivedInSecond(2, forward))
+        .as("40%% are lost")
+        .hasSizeBetween(30, 66)
+        .doesNotHaveDuplicates();
+    assertThat(receivedInSecond(3, forward).size()).as("40%% arrive twice").isBetween(94, 130);
+    assertThat(receivedInSecond(4, forward)).as("late by 50 to 150 ms").hasSize(80);
+    assertThat(receivedInSecond(4, forward))
+        .isNotEqualTo(receivedInSecond(4, forward).stream().sorted().toList());
+    assertThat(receivedInSecond(5, forward)).as("cut").isEmpty();
+    assertThat(receivedInSecond(6, forward)).as("without faults again").hasSize(80);
     assertThat(answers)
-        .as("a stream between the same two")
-        .containsEntry("calm", "PONG")
-        .containsEntry("while cut", "")
-        .containsEntry("after it", "PONG");
-    assertThat(back).as("the other way").hasSizeGreaterThan(590).isSorted();
+        .as("a stream between the same two proxies")
+        .containsEntry("without faults", "PONG")
+        .containsEntry("during the cut", "")
+        .containsEntry("after the cut", "PONG");
+    assertThat(backward).as("in the opposite direction").hasSizeGreaterThan(590).isSorted();
   }
 }
--- a/src/test/java/brassbank/lab/LabCommandTest.java
+++ b/src/test/java/brassbank/lab/LabCommandTest.java
@@ -13,17 +13,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What cannot be played is told before anything is started. */
+/** Scripts and options that cannot be played are rejected before any process starts. */
 class LabCommandTest {
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
   private int lab(String options) {
-    PrintStream usual = System.err;
+    PrintStream previous = System.err;
     System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
     try {
       return Program.run(List.of(new LabCommand()), ("lab " + options).split(" "));
     } finally {
-      System.setErr(usual);
+      System.setErr(previous);
     }
   }
 
@@ -38,13 +38,13 @@
         "src/test/resources/lab/one-is-killed.toml --hosts 3 | a script says itself",
         "src/test/resources/pinned/wall-clock-put-forward.toml | clock-step cannot be played"
       })
-  void saysWhatIsWrongWithItsOptions(String options, String message) {
+  void rejectsInvalidOptionsWithTheirReason(String options, String message) {
     assertThat(lab(options)).isEqualTo(2);
     assertThat(err.toString(StandardCharsets.UTF_8)).contains(message);
   }
 
   @Test
-  void tellsWhereLinksAreNoneAndWhichFileThatIs() throws Exception {
+  void reportsFileAndPositionOfAnInvalidLink() throws Exception {
     Path script = Files.createTempFile("brassbank", ".toml");
     Files.writeString(script, "[[fault]]\nkind = \"link-cut\"\ntarget = \"n0 to s-1\"\n");
     assertThat(lab(script.toString())).isEqualTo(2);
--- a/src/test/java/brassbank/lab/LabIT.java
+++ b/src/test/java/brassbank/lab/LabIT.java
@@ -30,17 +30,17 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Several real processes of the program and faults between them, under all rules. */
+/** Runs several real proxy processes with faults between them, checked by all rules. */
 @Execution(ExecutionMode.CONCURRENT)
 class LabIT {
   private static final Path SCRIPTS = Path.of("src/test/resources/lab");
   private static final Path ROOT = Path.of("").toAbsolutePath();
-  private static final Lab.ProgressListener NOBODY = (lab, now) -> {};
-  private static final Supplier<Hand> NONE = Nothing::new;
+  private static final Lab.ProgressListener NO_PROGRESS_LISTENER = (lab, now) -> {};
+  private static final Supplier<Interference> NO_INTERFERENCE = NoInterference::new;
 
   /**
-   * All of the lab's, one of membership's, one of subsets', which share too; the others of these
-   * take minutes.
+   * Returns all scripts of the lab, one for membership and one for subsets with shared budgets; the
+   * other scripts of those two groups take minutes.
    */
   static Stream<Path> scripts() throws IOException {
     Path members = Path.of("src/test/resources/lab-members");
@@ -54,21 +54,22 @@
     }
   }
 
-  /** What is done to one play: what is planted is planted anew where a play was void. */
-  private interface Hand extends LinkTampering, Lab.ProgressListener {}
+  /** Tampers with one run; a new instance is made when a void run is repeated. */
+  private interface Interference extends LinkTampering, Lab.ProgressListener {}
 
-  private static final class Nothing implements Hand {
+  private static final class NoInterference implements Interference {
     @Override
     public void onProgress(Lab lab, long now) {}
   }
 
-  /** Plays it, and once more where the lab was late; a second time says nothing of the rules. */
-  private static Lab.Outcome played(Path script, Supplier<Hand> hands) throws Exception {
-    for (int play = 1; ; play++) {
-      Hand hand = hands.get();
-      try (Lab lab = new Lab(Script.read(script), ROOT, null, hand)) {
-        Lab.Outcome outcome = lab.play(hand);
-        if (!outcome.isVoid() || play == 2) {
+  /** Runs the script, and once more if the lab was late; fails if the second run is void too. */
+  private static Lab.Outcome runScript(Path script, Supplier<Interference> interferences)
+      throws Exception {
+    for (int attempt = 1; ; attempt++) {
+      Interference interference = interferences.get();
+      try (Lab lab = new Lab(Script.read(script), ROOT, null, interference)) {
+        Lab.Outcome outcome = lab.play(interference);
+        if (!outcome.isVoid() || attempt == 2) {
           assertThat(outcome.isVoid())
               .as(
                   "void, twice: %d us late at %d",
@@ -83,38 +84,41 @@
   @ParameterizedTest
   @MethodSource("scripts")
   void holdsAllRules(Path script) throws Exception {
-    Lab.Outcome outcome = played(script, NONE);
+    Lab.Outcome outcome = runScript(script, NO_INTERFERENCE);
     assertThat(outcome.breaches()).as("log: %s", List.copyOf(outcome.breachLog())).isEmpty();
     assertThat(outcome.clientCounts().values()).allMatch(count -> count.served > 0);
     assertThat(outcome.resourceUsage().values())
         .allMatch(use -> use.peakDescriptors > 20 && use.peakResidentKib > 10_000);
   }
 
-  /** Links that ask thirty times for once, give ids to others, lead astray, and keep the dead. */
-  private static final class Misbehaving implements Hand {
+  /**
+   * Repeats each probe thirty times, gives all flows the same id, connects to the wrong host, and
+   * keeps killed proxies running.
+   */
+  private static final class MisbehavingLinks implements Interference {
     private static final Pattern ID = Pattern.compile("OPEN (\\S+) ");
-    private String first;
-    private Machine newest;
-    private int done;
+    private String firstId;
+    private Machine redirectTarget;
+    private int step;
 
     @Override
     public void onProgress(Lab lab, long now) {
-      World world = lab.scene().world();
+      World world = lab.scenarioRun().world();
       RealProxy proxy = lab.proxies().get("n0");
-      if (done == 0 && now > 2_000_000) {
-        done = 1;
-        storm(world, proxy.machine());
+      if (step == 0 && now > 2_000_000) {
+        step = 1;
+        floodDiscovery(world, proxy.machine());
         StreamHost host = world.hosts().get("s-1");
         host.kill();
         host.start(false);
         world.discovery().receiveStatus(host, "SERVING", 0);
-        log(proxy, "2026-01-01T00:00:00.000Z error test: planted\n");
-      } else if (done == 1 && now > 3_000_000) {
-        done = 2;
-        newest = world.hosts().get("s-1").machine();
-      } else if (done == 2 && now > 9_000_000) {
-        done = 3;
-        // It cannot hear what it is told, and is still there when its time is over.
+        appendToLog(proxy, "2026-01-01T00:00:00.000Z error test: planted\n");
+      } else if (step == 1 && now > 3_000_000) {
+        step = 2;
+        redirectTarget = world.hosts().get("s-1").machine();
+      } else if (step == 2 && now > 9_000_000) {
+        step = 3;
+        // The stopped process cannot handle SIGTERM, so it still runs at the time of the kill.
         lab.proxies().get("n2").pause(5_000_000);
         lab.proxies().get("n2").restart();
       }
@@ -127,15 +131,15 @@
       if (text.equals("STATS\r\n")) {
         text = text.repeat(30);
       } else if (id.lookingAt()) {
-        first = first == null ? id.group(1) : first;
-        text = text.replace(id.group(1), first);
+        firstId = firstId == null ? id.group(1) : firstId;
+        text = text.replace(id.group(1), firstId);
       }
       return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
     @Override
     public Machine redirect(Machine to) {
-      return newest != null && to.name().startsWith("s-") ? newest : to;
+      return redirectTarget != null && to.name().startsWith("s-") ? redirectTarget : to;
     }
 
     @Override
@@ -144,8 +148,8 @@
     }
   }
 
-  /** Calls discovery as fast as it can, in a proxy's name. */
-  private static void storm(World world, Machine proxy) {
+  /** Sends 60 calls to discovery at once from a proxy's machine. */
+  private static void floodDiscovery(World world, Machine proxy) {
     Program program = new Program(proxy, "storm", 0, Integer.MAX_VALUE);
     for (int i = 0; i < 60; i++) {
       program.connect(
@@ -168,9 +172,9 @@
   }
 
   @Test
-  void catchesEachBreachThatIsPlanted() throws Exception {
+  void detectsEachPlantedBreach() throws Exception {
     Lab.Outcome outcome =
-        played(Path.of("src/test/resources/lab-planted/busy.toml"), Misbehaving::new);
+        runScript(Path.of("src/test/resources/lab-planted/busy.toml"), MisbehavingLinks::new);
     assertThat(
             outcome.counts().entrySet().stream()
                 .filter(entry -> entry.getValue() > 0)
@@ -187,8 +191,8 @@
             "no task of the proxy fails");
   }
 
-  /** One whom nobody hears, and one who says everything sixty times. */
-  private static final class DeafAndLoud implements Hand {
+  /** Drops all datagrams of one proxy and sends those of another sixty times. */
+  private static final class LossyAndDuplicating implements Interference {
     private long now;
 
     @Override
@@ -210,9 +214,9 @@
   }
 
   @Test
-  void catchesEachBreachOfMembershipThatIsPlanted() throws Exception {
+  void detectsEachPlantedBreachOfMembership() throws Exception {
     Lab.Outcome outcome =
-        played(Path.of("src/test/resources/lab-planted/members.toml"), DeafAndLoud::new);
+        runScript(Path.of("src/test/resources/lab-planted/members.toml"), LossyAndDuplicating::new);
     assertThat(
             outcome.counts().entrySet().stream()
                 .filter(entry -> entry.getValue() > 0)
@@ -225,7 +229,7 @@
             "datagrams and bytes a second of one member");
   }
 
-  private static void log(RealProxy proxy, String line) {
+  private static void appendToLog(RealProxy proxy, String line) {
     try {
       Files.writeString(proxy.logs().get(0), line, StandardOpenOption.APPEND);
     } catch (IOException e) {
@@ -233,30 +237,30 @@
     }
   }
 
-  /** The processes that the guard of a lab stands over, and the lab's folder. */
+  /** The processes of a lab, its watchdog among them, and the lab's folder. */
   private record Site(List<ProcessHandle> processes, Path folder) {}
 
-  private static Site started(Process lab, int proxies) throws Exception {
+  private static Site awaitSite(Process lab, int proxies) throws Exception {
     for (int i = 0; i < 600; i++) {
       List<ProcessHandle> all = lab.descendants().toList();
       long serving =
           all.stream().filter(one -> one.info().commandLine().orElse("").contains("serve")).count();
-      var guard =
+      var watchdog =
           all.stream()
               .map(one -> one.info().arguments().orElse(new String[0]))
               .filter(arguments -> arguments.length == 2 && arguments[0].endsWith("guard.sh"))
               .findFirst();
-      if (serving == proxies && guard.isPresent()) {
-        return new Site(all, Path.of(guard.get()[1]));
+      if (serving == proxies && watchdog.isPresent()) {
+        return new Site(all, Path.of(watchdog.get()[1]));
       }
       Thread.sleep(50);
     }
-    throw new AssertionError("the lab starts no " + proxies + " proxies");
+    throw new AssertionError("the lab did not start " + proxies + " proxies within 30 s");
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"KILL", "INT"})
-  void leavesNothingBehindWhenItIsEndedWhileSevenProxiesRun(String signal) throws Exception {
+  void leavesNoProcessOrFolderWhenEndedWhileSevenProxiesRun(String signal) throws Exception {
     Process lab =
         new ProcessBuilder(
                 "bin/brassbank",
@@ -265,7 +269,7 @@
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
             .start();
-    Site site = started(lab, 7);
+    Site site = awaitSite(lab, 7);
     Thread.sleep(1_500);
     new ProcessBuilder("sh", "-c", "kill -" + signal + " " + lab.pid()).start().waitFor();
     assertThat(lab.waitFor(5, TimeUnit.SECONDS)).isTrue();
@@ -279,9 +283,9 @@
   }
 
   @Test
-  void tellsItsResultAsJsonAndKeepsTheLogs() throws Exception {
+  void printsItsResultAsJsonAndKeepsTheLogs() throws Exception {
     Path logs = Files.createTempDirectory("brassbank-logs");
-    Path said = Files.createTempFile("brassbank", ".json");
+    Path result = Files.createTempFile("brassbank", ".json");
     Process lab =
         new ProcessBuilder(
                 "bin/brassbank",
@@ -290,12 +294,12 @@
                 "--json",
                 "--logs",
                 logs.toString())
-            .redirectOutput(said.toFile())
+            .redirectOutput(result.toFile())
             .redirectError(ProcessBuilder.Redirect.DISCARD)
             .start();
     assertThat(lab.waitFor(90, TimeUnit.SECONDS)).isTrue();
     assertThat(lab.exitValue()).isZero();
-    JsonObject json = JsonParser.parseString(Files.readString(said)).getAsJsonObject();
+    JsonObject json = JsonParser.parseString(Files.readString(result)).getAsJsonObject();
     assertThat(json.get("verdict").getAsString()).isEqualTo("holds");
     assertThat(json.getAsJsonObject("rules").size()).isGreaterThan(15);
     assertThat(json.getAsJsonObject("proxies").getAsJsonObject("n1").get("served").getAsInt())
@@ -310,16 +314,17 @@
       }
     }
     Files.delete(logs);
-    Files.delete(said);
+    Files.delete(result);
   }
 
   @Test
-  void tellsAFailedStartAndLeavesNothing() throws Exception {
+  void reportsTheLogOfAFailedStart() throws Exception {
     Path root = Files.createTempDirectory("brassbank-no-root");
     Files.createDirectories(root.resolve("deploy"));
     Files.writeString(root.resolve("deploy/serve.sh"), "echo no runtime here; exit 3\n");
     try (Lab lab = new Lab(Script.read(SCRIPTS.resolve("one-is-killed.toml")), root, null)) {
-      assertThat(org.assertj.core.api.Assertions.catchThrowable(() -> lab.play(NOBODY)))
+      assertThat(
+              org.assertj.core.api.Assertions.catchThrowable(() -> lab.play(NO_PROGRESS_LISTENER)))
           .isInstanceOf(LabException.class)
           .hasMessageContaining("no runtime here");
     }
