--- a/src/main/java/brassbank/lab/Lab.java
+++ b/src/main/java/brassbank/lab/Lab.java
@@ -9,7 +9,7 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.event.Trace;
 import brassbank.sim.fault.Fault;
-import brassbank.sim.fault.Kinds;
+import brassbank.sim.fault.FaultKinds;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.net.Machine;
 import brassbank.sim.time.Agenda;
@@ -137,7 +137,8 @@
     this.logs = Files.createDirectories(logs == null ? folder.resolve("logs") : logs);
     loopback = new LoopbackAddresses();
     boolean inheritsListener =
-        plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
+        plan.faults().stream()
+            .anyMatch(fault -> fault.kind().name().equals(FaultKinds.PROXY_UPGRADE));
     ByteBuffer scratch = ByteBuffer.allocate(SocketBridge.scratchSize());
     scenarioRun =
         new ScenarioRun(
@@ -237,7 +238,7 @@
   private void warmUp() {
     for (int i = 0; i < WARM_UP_RUNS; i++) {
       new SimulationRun(
-              plan.until(Math.min(plan.seconds(), WARM_UP_SECONDS)), UnaryOperator.identity())
+              plan.withSeconds(Math.min(plan.seconds(), WARM_UP_SECONDS)), UnaryOperator.identity())
           .execute();
     }
   }
@@ -273,7 +274,7 @@
       }
       ports.addAll(proxy.ports());
     }
-    if (plan.membership()) {
+    if (plan.usesMembership()) {
       List<RealProxy> seeds = List.copyOf(proxies.values()).subList(0, Math.min(2, proxies.size()));
       for (RealProxy proxy : proxies.values()) {
         proxy.joinFleet(seeds, plan);
--- a/src/main/java/brassbank/lab/LabCommand.java
+++ b/src/main/java/brassbank/lab/LabCommand.java
@@ -103,24 +103,24 @@
   }
 
   private Plan plan() throws IOException {
-    require(script == null || !site.night(), "a script has its own faults: no --night with it");
+    require(script == null || !site.scenario(), "a script has its own faults: no --night with it");
     if (script != null) {
       require(
-          !site.sized() && !site.together(),
+          !site.hasSize() && !site.usesFleetMode(),
           "a script says itself how many proxies, hosts and clients there are, and what they do");
       try {
         Plan parsed = Script.read(script);
         require(parsed.proxies() <= MAX_PROXIES, "a lab has at most " + MAX_PROXIES + " proxies");
         require(
-            parsed.faults().equals(parsed.playable().faults()),
+            parsed.faults().equals(parsed.withoutClockSteps().faults()),
             script + ": clock-step cannot be played on real processes");
         return parsed;
       } catch (ScriptException e) {
         throw new UsageException(e.getMessage());
       }
     }
-    site.check(MAX_PROXIES);
-    return site.plan(seed).playable();
+    site.validate(MAX_PROXIES);
+    return site.plan(seed).withoutClockSteps();
   }
 
   private static void require(boolean condition, String message) {
--- a/src/main/java/brassbank/lab/ProxiedPort.java
+++ b/src/main/java/brassbank/lab/ProxiedPort.java
@@ -33,7 +33,7 @@
   private final Consumer<SocketChannel> acceptHandler;
   private final List<SocketChannel> queueFillers = new ArrayList<>();
   private final Set<SocketAddress> fillerAddresses = new HashSet<>();
-  private Fabric.Reach reach = Fabric.Reach.REFUSED;
+  private Fabric.ConnectResult reach = Fabric.ConnectResult.REFUSED;
   private ServerSocketChannel listener;
   private SelectionKey key;
 
@@ -73,7 +73,7 @@
    * @return whether the state had changed
    */
   boolean syncWithNetwork() throws IOException {
-    Fabric.Reach now = fabric.reach(from, to, port);
+    Fabric.ConnectResult now = fabric.probeConnect(from, to, port);
     if (now == reach) {
       return false;
     }
@@ -152,6 +152,6 @@
       listener.close();
       listener = null;
     }
-    reach = Fabric.Reach.REFUSED;
+    reach = Fabric.ConnectResult.REFUSED;
   }
 }
--- a/src/main/java/brassbank/lab/RealProxy.java
+++ b/src/main/java/brassbank/lab/RealProxy.java
@@ -6,10 +6,10 @@
 import brassbank.sim.actor.World;
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Plan;
-import brassbank.sim.net.Datagrams;
+import brassbank.sim.net.DatagramSocket;
 import brassbank.sim.net.Endpoint;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.proxy.ProxyConfig;
 import brassbank.sim.time.Agenda;
@@ -104,7 +104,7 @@
 
   private ProxyProcess process;
   private Program program;
-  private Datagrams datagrams;
+  private DatagramSocket datagrams;
   private String lastKnownList;
   private boolean stopping;
   private boolean listening;
@@ -223,7 +223,7 @@
   }
 
   private void sendDatagram(Machine to, byte[] bytes) {
-    if (datagrams != null && bytes.length <= Datagrams.MOST_BYTES) {
+    if (datagrams != null && bytes.length <= DatagramSocket.MAX_BYTES) {
       for (int i = shared.tampering().datagramCopies(name); i > 0; i--) {
         datagrams.send(to, PORT, bytes);
       }
@@ -233,7 +233,7 @@
   private void openStandInDatagrams() {
     try {
       datagrams =
-          program.datagrams(
+          program.openDatagramSocket(
               PORT,
               (from, port, bytes) -> {
                 RealProxy sender = peers.get(from);
@@ -252,15 +252,15 @@
 
   /** Bridges a connection that the process has opened to its target in the simulated network. */
   private void onProcessConnect(SocketChannel channel, ProxiedPort port) {
-    if (program == null || !program.alive()) {
+    if (program == null || !program.isAlive()) {
       SocketBridge.reset(channel);
       return;
     }
     program.connect(
         new InetSocketAddress(shared.tampering().redirect(port.to()).address(), port.port()),
-        new Program.Connected() {
+        new Program.ConnectHandler() {
           @Override
-          public void up(Endpoint endpoint) {
+          public void connected(Endpoint endpoint) {
             bridge(channel, endpoint, shared.tampering()::alter);
           }
 
@@ -278,7 +278,7 @@
   }
 
   /** Bridges a connection from the simulated network to the process. */
-  private void acceptFromNetwork(Port port) {
+  private void acceptFromNetwork(ListeningSocket port) {
     Endpoint endpoint = port.accept();
     if (endpoint == null) {
       return;
@@ -310,11 +310,11 @@
   }
 
   private void startListening() {
-    if (listening || program == null || !program.alive()) {
+    if (listening || program == null || !program.isAlive()) {
       return;
     }
     listening = true;
-    Port[] port = new Port[1];
+    ListeningSocket[] port = new ListeningSocket[1];
     try {
       port[0] = program.listen(PORT, BACKLOG, () -> acceptFromNetwork(port[0]));
     } catch (IOException e) {
@@ -324,7 +324,7 @@
 
   @Override
   public void start(boolean atOnce) {
-    if (program != null && program.alive()) {
+    if (program != null && program.isAlive()) {
       return;
     }
     if (lastKnownList == null) {
@@ -333,7 +333,7 @@
     world.discovery().resetReported(name, true);
     stopping = false;
     listening = false;
-    program = new Program(machine, name, 0, Integer.MAX_VALUE).passingOn();
+    program = new Program(machine, name, 0, Integer.MAX_VALUE).asRelay();
     if (datagrams == null || !shared.tampering().survivesKill(name)) {
       openStandInDatagrams();
     }
@@ -483,7 +483,7 @@
                   + " ended by itself, status "
                   + proxyProcess.exitStatus()));
     }
-    if (proxyProcess == process && stopping && killTimer != null && program.alive()) {
+    if (proxyProcess == process && stopping && killTimer != null && program.isAlive()) {
       int status = proxyProcess.exitStatus();
       killTimer.cancel();
       program.stopListening();
@@ -509,16 +509,16 @@
   /** Makes its processes join a fleet, with the given proxies as seeds. */
   void joinFleet(List<RealProxy> others, Plan plan) throws IOException {
     seeds = List.copyOf(others);
-    sharesBudgets = plan.shares();
+    sharesBudgets = plan.sharesBudgets();
     StringBuilder text = new StringBuilder("[membership]\nfleet = \"lab\"\n");
     text.append("advertise = \"").append(text(datagramAddress())).append("\"\nseeds = [");
     seeds.forEach(other -> text.append('"').append(text(other.datagramAddress())).append("\","));
     text.append("]\n");
-    if (plan.shares()) {
+    if (plan.sharesBudgets()) {
       text.append("[shares]\nbase = ").append(LeaseSettings.DEFAULT_BASE_SHARE).append('\n');
     }
-    if (plan.subsets()) {
-      text.append("[subsets]\naskers = ").append(plan.askers()).append('\n');
+    if (plan.usesSubsets()) {
+      text.append("[subsets]\naskers = ").append(plan.minProxiesPerHost()).append('\n');
     }
     Files.writeString(folder().resolve(SUPPLEMENT_FILE), text.toString());
   }
@@ -567,7 +567,7 @@
 
   @Override
   public void crash(long downFor) {
-    if (program != null && program.alive()) {
+    if (program != null && program.isAlive()) {
       lastKnownList = world.discovery().list(name);
       stopping = true;
       listening = false;
@@ -588,9 +588,9 @@
 
   @Override
   public void losePower(long downFor) {
-    machine.darken();
+    machine.losePower();
     crash(downFor);
-    world.agenda().after(downFor, machine::lighten);
+    world.agenda().after(downFor, machine::restorePower);
   }
 
   @Override
@@ -749,7 +749,7 @@
   @Override
   public void hangUpDamaged() {
     if (isServing()) {
-      hangUp(ProxyConfig.damaged(config(1)), () -> {});
+      hangUp(ProxyConfig.truncated(config(1)), () -> {});
     }
   }
 
--- a/src/main/java/brassbank/lab/SocketBridge.java
+++ b/src/main/java/brassbank/lab/SocketBridge.java
@@ -173,7 +173,7 @@
     try {
       int count = channel.write(ByteBuffer.wrap(pendingToProcess));
       pendingToProcess = Arrays.copyOfRange(pendingToProcess, count, pendingToProcess.length);
-      endpoint.passedOn(count);
+      endpoint.confirmRelayed(count);
       boolean empty = pendingToProcess.length == 0;
       if (empty) {
         key.interestOpsAnd(~SelectionKey.OP_WRITE);
--- a/src/main/java/brassbank/sim/MutualReachability.java
+++ b/src/main/java/brassbank/sim/MutualReachability.java
@@ -35,7 +35,7 @@
         hear[i][j] =
             runs[i]
                 && runs[j]
-                && fabric.hear(
+                && fabric.canExchangeDatagrams(
                     all.get(i).machine(), all.get(j).machine(), MAX_LOSS, MAX_DELAY_MICROS);
         hear[j][i] = hear[i][j];
       }
--- a/src/main/java/brassbank/sim/actor/BadClient.java
+++ b/src/main/java/brassbank/sim/actor/BadClient.java
@@ -16,7 +16,7 @@
  * A client that does not keep to the protocol. It sends at full speed and reads whatever is sent to
  * it; it is owed an error or an end in time, and must not be served.
  */
-public final class BadClient implements Program.Connected, LineConnection.Listener {
+public final class BadClient implements Program.ConnectHandler, LineConnection.Listener {
   private static final int CHUNK_BYTES = 64 * 1024;
 
   /** What it does. */
@@ -86,7 +86,7 @@
   }
 
   @Override
-  public void up(Endpoint endpoint) {
+  public void connected(Endpoint endpoint) {
     settled = false;
     lines = new LineConnection(endpoint, this);
     String flow = name + "." + remainingRounds;
@@ -171,7 +171,7 @@
       lines.sendBytes(some);
     }
     if (remainingBytes > 0 && !lines.isClosed()) {
-      program.later(Agenda.MILLI, this::sendChunk);
+      program.schedule(Agenda.MILLI, this::sendChunk);
     } else if (kind == Kind.HUGE) {
       lines.sendBytes(bytes("\r\n"));
     }
--- a/src/main/java/brassbank/sim/actor/Client.java
+++ b/src/main/java/brassbank/sim/actor/Client.java
@@ -145,7 +145,7 @@
     }
     long wait =
         told > 0 && honoursRetryHint ? Math.min(told, MAX_RETRY_DELAY_MILLIS) * MILLI : backoff;
-    program.later(wait, this::attempt);
+    program.schedule(wait, this::attempt);
   }
 
   private void reconnect() {
@@ -154,15 +154,15 @@
     }
     isReconnecting = true;
     world.publish(cameEvent(true));
-    program.later(stream.micros(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY), this::requestSession);
+    program.schedule(stream.micros(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY), this::requestSession);
   }
 
   /** One try, and the connection that comes of it. */
-  private final class Flow implements Program.Connected, LineConnection.Listener {
+  private final class Flow implements Program.ConnectHandler, LineConnection.Listener {
     private final InetSocketAddress address;
     private final String id = name + "." + flows++;
     private final long deadlineAt = giveUpAt;
-    private Program.Connecting connecting;
+    private Program.PendingConnect connecting;
     private LineConnection lines;
     private boolean answered;
     private boolean served;
@@ -180,7 +180,7 @@
 
     void start() {
       connecting = program.connect(address, this);
-      program.later(deadlineAt - world.now(), this::onConnectTimeout);
+      program.schedule(deadlineAt - world.now(), this::onConnectTimeout);
     }
 
     private void onConnectTimeout() {
@@ -200,7 +200,7 @@
     }
 
     @Override
-    public void up(Endpoint endpoint) {
+    public void connected(Endpoint endpoint) {
       if (closed) {
         endpoint.close();
         return;
@@ -229,10 +229,10 @@
               + load
               + ",life="
               + remainingLifetime / MILLI);
-      endpoint.whenArrived(() -> world.publish(new Event.FlowTaken(id, proxy)));
-      program.later(millis * MILLI + DEADLINE_GRACE, this::onDeadline);
+      endpoint.onDelivered(() -> world.publish(new Event.FlowTaken(id, proxy)));
+      program.schedule(millis * MILLI + DEADLINE_GRACE, this::onDeadline);
       if (impatient) {
-        program.later(stream.micros(0, MAX_IMPATIENT_WAIT), this::leaveUnanswered);
+        program.schedule(stream.micros(0, MAX_IMPATIENT_WAIT), this::leaveUnanswered);
       }
     }
 
@@ -279,10 +279,10 @@
       world.flows().opened(id, world.loadBalancer().name(address));
       world.publish(new Event.ClientServed(name, id));
       if (disconnectMode != DisconnectMode.STAYS) {
-        program.later(stream.micros(SECOND, 20 * SECOND), this::disconnect);
+        program.schedule(stream.micros(SECOND, 20 * SECOND), this::disconnect);
       }
       if (slowReader) {
-        program.later(stream.micros(SECOND, 10 * SECOND), this::pauseReading);
+        program.schedule(stream.micros(SECOND, 10 * SECOND), this::pauseReading);
       }
       sendNextLine();
     }
@@ -309,7 +309,7 @@
       }
       world.publish(new Event.LineSent(id, true, line.toString()));
       lines.send(line.toString());
-      program.later(LINE_INTERVAL, this::sendNextLine);
+      program.schedule(LINE_INTERVAL, this::sendNextLine);
     }
 
     private void pauseReading() {
@@ -317,7 +317,7 @@
         long micros = stream.micros(SECOND, 8 * SECOND);
         lines.reading(false);
         world.flows().markClientBusy(id, world.now() + micros);
-        program.later(
+        program.schedule(
             micros,
             () -> {
               if (!closed) {
@@ -354,7 +354,7 @@
         case FINISHES -> {
           closed = true;
           lines.finish();
-          program.later(5 * SECOND, lines::close);
+          program.schedule(5 * SECOND, lines::close);
         }
         case RESETS -> {
           closed = true;
--- a/src/main/java/brassbank/sim/actor/Discovery.java
+++ b/src/main/java/brassbank/sim/actor/Discovery.java
@@ -2,8 +2,8 @@
 
 import brassbank.sim.event.Event;
 import brassbank.sim.net.Endpoint;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
 import brassbank.sim.time.RandomStreams;
@@ -131,7 +131,7 @@
 
   /** Comes up at its address; it has lost nothing. */
   public void bringUp() {
-    if (program != null && program.alive()) {
+    if (program != null && program.isAlive()) {
       return;
     }
     program = new Program(machine(), "discovery", 0, Integer.MAX_VALUE);
@@ -164,7 +164,7 @@
     program = null;
     bringUp();
     old.stopListening();
-    old.later(
+    old.schedule(
         OLD_ADDRESS_LINGER,
         () -> {
           left.forEach(Call::close);
@@ -206,11 +206,13 @@
   public long soundSince(Machine proxy) {
     boolean sound =
         program != null
-            && program.alive()
+            && program.isAlive()
             && behavior == Behavior.SOUND
             && slowdown <= 1
             && !frozen;
-    return sound ? Math.max(soundSince, world.fabric().calmSince(proxy, machine())) : world.now();
+    return sound
+        ? Math.max(soundSince, world.fabric().undisturbedSince(proxy, machine()))
+        : world.now();
   }
 
   // ------------------------------------------------------------- what it knows
@@ -305,7 +307,7 @@
     }
     isBusy = true;
     Call next = queue.remove();
-    next.owner.later(
+    next.owner.schedule(
         (long) (slowdown * stream.micros(MIN_CALL_TIME, MAX_CALL_TIME)),
         () -> {
           isBusy = false;
@@ -316,7 +318,7 @@
 
   private final class Acceptor implements Runnable {
     private final Program owner;
-    private Port port;
+    private ListeningSocket port;
 
     Acceptor(Program owner) {
       this.owner = owner;
@@ -355,7 +357,7 @@
       } else if (line.isEmpty()) {
         world.publish(new Event.ListCalled(proxy, request.contains("follow=1")));
         queue.add(this);
-        owner.later(MAX_QUEUE_WAIT, this::waitedTooLong);
+        owner.schedule(MAX_QUEUE_WAIT, this::waitedTooLong);
         handleNext();
       }
     }
@@ -420,7 +422,7 @@
     private void reportOnArrival(Change change) {
       lines
           .endpoint()
-          .whenArrived(
+          .onDelivered(
               () -> {
                 recordReported(proxy, change);
                 world.publish(new Event.Told(proxy, change.host(), change.status()));
@@ -428,7 +430,7 @@
     }
 
     private void reportRemovedOnArrival(String host) {
-      lines.endpoint().whenArrived(() -> world.publish(new Event.Told(proxy, host, "DELETED")));
+      lines.endpoint().onDelivered(() -> world.publish(new Event.Told(proxy, host, "DELETED")));
     }
 
     private void watch(long since) {
@@ -471,7 +473,7 @@
     void scheduleChanges() {
       if (watching && !changesScheduled && !closed) {
         changesScheduled = true;
-        owner.later(stream.micros(10 * MILLI, 120 * MILLI), () -> sendChanges(false));
+        owner.schedule(stream.micros(10 * MILLI, 120 * MILLI), () -> sendChanges(false));
       }
     }
 
@@ -481,7 +483,7 @@
         if (quiet >= KEEPALIVE_INTERVAL) {
           sendChunk(behavior == Behavior.GARBAGE ? "%&/" : "");
         }
-        owner.later(
+        owner.schedule(
             Math.max(MILLI, KEEPALIVE_INTERVAL - (world.now() - lastLineAt)), this::keepAlive);
       }
     }
--- a/src/main/java/brassbank/sim/actor/StreamHost.java
+++ b/src/main/java/brassbank/sim/actor/StreamHost.java
@@ -2,8 +2,8 @@
 
 import brassbank.sim.event.Event;
 import brassbank.sim.net.Endpoint;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
 import brassbank.sim.time.RandomStreams;
@@ -252,7 +252,7 @@
   }
 
   private final class Acceptor implements Runnable {
-    private Port port;
+    private ListeningSocket port;
 
     @Override
     public void run() {
@@ -288,7 +288,7 @@
       if (connection.flow != null && !connection.closed) {
         connection.publish(
             new Event.HostEnded(
-                connection.flow, name, connection.established, true, machine.dark()));
+                connection.flow, name, connection.established, true, machine.hasNoPower()));
       }
       connection.closed = true;
     }
@@ -299,7 +299,7 @@
 
   /** Its machine loses its power: nothing is told to anybody. */
   public void losePower() {
-    machine.darken();
+    machine.losePower();
     kill();
   }
 
@@ -376,7 +376,7 @@
         new Report(visible, utilization() * noise, backlog, served / seconds, errors / seconds));
     served = 0;
     errors = 0;
-    program.later(reportPeriod, this::sampleLoad);
+    program.schedule(reportPeriod, this::sampleLoad);
   }
 
   private String stats() {
@@ -453,7 +453,7 @@
       kill();
       return;
     }
-    program.later(OVERLOAD_CHECK_INTERVAL, this::checkOverload);
+    program.schedule(OVERLOAD_CHECK_INTERVAL, this::checkOverload);
   }
 
   /** What it is asked for over what it can bear, in the time that counts for its fall. */
@@ -501,12 +501,12 @@
     Connection(Endpoint endpoint) {
       proxy = endpoint.peerMachine().name();
       lines = new LineConnection(endpoint, this);
-      endpoint.whenPeerEnds(this::proxyEnded);
+      endpoint.onPeerOutputEnd(this::proxyEnded);
       waitForProbe();
     }
 
     private void waitForProbe() {
-      idle = program.later(IDLE_TIMEOUT, () -> end(false));
+      idle = program.schedule(IDLE_TIMEOUT, () -> end(false));
     }
 
     private void proxyEnded() {
@@ -549,9 +549,9 @@
     }
 
     private void probe(String line) {
-      long calm = Math.max(pausedUntil, lines.endpoint().calmSince());
+      long calm = Math.max(pausedUntil, lines.endpoint().undisturbedSince());
       world.publish(new Event.ProbeArrived(name, proxy, line, calm));
-      program.later(
+      program.schedule(
           enqueueWork(stream.micros(MIN_PROBE_WORK, MAX_PROBE_WORK)),
           () -> {
             if (!closed) {
@@ -585,8 +585,8 @@
               name,
               proxy,
               lines.endpoint().peerFirstWriteAt(),
-              lines.endpoint().peerHasEnded()));
-      leftByProxy = lines.endpoint().peerHasEnded();
+              lines.endpoint().hasPeerEndedOutput()));
+      leftByProxy = lines.endpoint().hasPeerEndedOutput();
       if (!leftByProxy) {
         world.flows().setHost(flow, lines.endpoint(), StreamHost.this);
       }
@@ -603,7 +603,7 @@
         long micros =
             stream.micros(MIN_HANDSHAKE_WORK, MAX_HANDSHAKE_WORK)
                 + stream.micros(MIN_SETUP_WORK, MAX_SETUP_WORK);
-        program.later(enqueueWork(micros), () -> serve(deadline, life));
+        program.schedule(enqueueWork(micros), () -> serve(deadline, life));
       }
     }
 
@@ -675,7 +675,7 @@
       for (int i = 0; i < answer.length(); i++) {
         byte[] one = {(byte) answer.charAt(i)};
         boolean last = i == answer.length() - 1;
-        program.later(
+        program.schedule(
             (i + 1) * DRIP_INTERVAL,
             () -> {
               if (!closed) {
@@ -690,10 +690,10 @@
     }
 
     private void scheduleSession(long life) {
-      program.later(life, this::bye);
-      program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
+      program.schedule(life, this::bye);
+      program.schedule(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
       if (stream.chance(PUSH_SHARE)) {
-        program.later(stream.micros(SECOND, 20 * SECOND), this::push);
+        program.schedule(stream.micros(SECOND, 20 * SECOND), this::push);
       }
     }
 
@@ -716,7 +716,7 @@
       if (!closed) {
         load = Math.round(load * stream.logNormal(0.4) * 1000) / 1000.0;
         sendLine("LOAD " + load);
-        program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
+        program.schedule(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
       }
     }
 
@@ -725,7 +725,7 @@
       double asked = utilization();
       long delay = (long) (ECHO_DELAY * slowdown * Math.max(1, asked > 1 ? 20 * asked : 1));
       echoFreeAt = Math.max(echoFreeAt, world.now() + delay);
-      program.later(
+      program.schedule(
           echoFreeAt - world.now(),
           () -> {
             if (!closed) {
--- a/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
+++ b/src/main/java/brassbank/sim/actor/UpstreamLoadBalancer.java
@@ -139,7 +139,7 @@
     }
   }
 
-  private final class Probe implements Program.Connected, LineConnection.Listener {
+  private final class Probe implements Program.ConnectHandler, LineConnection.Listener {
     private final Upstream upstream;
     private final int incarnation;
     private final Program program;
@@ -153,8 +153,8 @@
     }
 
     void start() {
-      Program.Connecting connecting = program.connect(upstream.address, this);
-      program.later(
+      Program.PendingConnect connecting = program.connect(upstream.address, this);
+      program.schedule(
           PROBE_TIMEOUT,
           () -> {
             connecting.cancel();
@@ -163,7 +163,7 @@
     }
 
     @Override
-    public void up(Endpoint endpoint) {
+    public void connected(Endpoint endpoint) {
       lines = new LineConnection(endpoint, this);
       lines.send("PING");
     }
@@ -194,7 +194,7 @@
         if (lines != null) {
           lines.close();
         }
-        program.later(PROBE_INTERVAL, () -> probe(upstream, incarnation));
+        program.schedule(PROBE_INTERVAL, () -> probe(upstream, incarnation));
       }
     }
   }
