--- a/example/Client.java
+++ b/example/Client.java
@@ -44,7 +44,9 @@
   }
 
   private static void awaitReady(int port) throws IOException, InterruptedException {
-    for (long deadlineMillis = System.currentTimeMillis() + READY_TIMEOUT_MILLIS; ; Thread.sleep(50)) {
+    for (long deadlineMillis = System.currentTimeMillis() + READY_TIMEOUT_MILLIS;
+        ;
+        Thread.sleep(50)) {
       try (Socket socket = new Socket("127.0.0.1", port)) {
         send(socket, "PING");
         if ("PONG".equals(reader(socket).readLine())) {
