--- a/src/main/java/brassbank/sim/Joined.java
+++ b/src/main/java/brassbank/sim/MutualReachability.java
@@ -1,6 +1,6 @@
 package brassbank.sim;
 
-import brassbank.sim.actor.Instance;
+import brassbank.sim.actor.ProxyInstance;
 import brassbank.sim.net.Fabric;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,34 +8,35 @@
 import java.util.Map;
 
 /** Since when which members have run and could hear each other; looked at with the rules. */
-final class Joined {
+final class MutualReachability {
   /** What membership promises to bear: a tenth is lost, and all is late by so much, one way. */
-  private static final double MOST_LOST = 0.1;
+  private static final double MAX_LOSS = 0.1;
 
-  private static final long MOST_LATE = 300_000;
+  private static final long MAX_DELAY_MICROS = 300_000;
 
   private final Fabric fabric;
-  private final Map<String, Instance> proxies;
+  private final Map<String, ProxyInstance> proxies;
   private final Map<String, Long> since = new HashMap<>();
 
-  Joined(Fabric fabric, Map<String, Instance> proxies) {
+  MutualReachability(Fabric fabric, Map<String, ProxyInstance> proxies) {
     this.fabric = fabric;
     this.proxies = proxies;
   }
 
-  void look(long now) {
-    List<Instance> all = new ArrayList<>(proxies.values());
+  void update(long now) {
+    List<ProxyInstance> all = new ArrayList<>(proxies.values());
     boolean[] runs = new boolean[all.size()];
     boolean[][] hear = new boolean[all.size()][all.size()];
     for (int i = 0; i < all.size(); i++) {
-      runs[i] = all.get(i).member() && all.get(i).pausedUntil() <= now;
+      runs[i] = all.get(i).isMember() && all.get(i).pausedUntil() <= now;
     }
     for (int i = 0; i < all.size(); i++) {
       for (int j = 0; j < i; j++) {
         hear[i][j] =
             runs[i]
                 && runs[j]
-                && fabric.hear(all.get(i).machine(), all.get(j).machine(), MOST_LOST, MOST_LATE);
+                && fabric.canExchangeDatagrams(
+                    all.get(i).machine(), all.get(j).machine(), MAX_LOSS, MAX_DELAY_MICROS);
         hear[j][i] = hear[i][j];
       }
     }
--- a/src/main/java/brassbank/sim/Shrinker.java
+++ b/src/main/java/brassbank/sim/Shrinker.java
@@ -2,7 +2,7 @@
 
 import brassbank.sim.check.Breach;
 import brassbank.sim.fault.Fault;
-import brassbank.sim.fault.Numbers;
+import brassbank.sim.fault.IndexSet;
 import brassbank.sim.fault.Plan;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,23 +15,23 @@
  */
 public final class Shrinker {
   /** Runs of one shrinking, at most. */
-  private static final int MOST_RUNS = 2_000;
+  private static final int MAX_RUNS = 2_000;
 
   /** Who is told how far it has come. */
   public interface Progress {
-    void left(int faults, int clients, int runs);
+    void onProgress(int faults, int clients, int runs);
   }
 
   /** The smallest plan that was found, and what it breaks. */
   public record Shrunk(Plan plan, Breach breach, int runs) {}
 
-  private final Function<Plan, Run.Outcome> runner;
+  private final Function<Plan, SimulationRun.Result> runner;
   private final Progress progress;
   private Plan best;
   private Breach breach;
   private int runs;
 
-  private Shrinker(Function<Plan, Run.Outcome> runner, Progress progress) {
+  private Shrinker(Function<Plan, SimulationRun.Result> runner, Progress progress) {
     this.runner = runner;
     this.progress = progress;
   }
@@ -42,10 +42,11 @@
    * @param runner runs a plan; the same one each time in the same way
    * @return null where the plan breaks no rule
    */
-  public static Shrunk shrink(Plan plan, Function<Plan, Run.Outcome> runner, Progress progress) {
+  public static Shrunk shrink(
+      Plan plan, Function<Plan, SimulationRun.Result> runner, Progress progress) {
     Shrinker shrinker = new Shrinker(runner, progress);
-    Run.Outcome first = shrinker.runner.apply(plan);
-    if (first.sound()) {
+    SimulationRun.Result first = shrinker.runner.apply(plan);
+    if (first.isSound()) {
       return null;
     }
     shrinker.best = plan;
@@ -54,9 +55,9 @@
     int before;
     do {
       before = shrinker.size();
-      shrinker.faults();
-      shrinker.clients();
-    } while (shrinker.size() < before && shrinker.runs < MOST_RUNS);
+      shrinker.reduceFaults();
+      shrinker.reduceClients();
+    } while (shrinker.size() < before && shrinker.runs < MAX_RUNS);
     return new Shrunk(shrinker.best, shrinker.breach, shrinker.runs);
   }
 
@@ -71,34 +72,34 @@
 
   /** Most breaches come long before the end, and a run that holds is run to its end. */
   private void shorten() {
-    int end = (int) (breach.at() / 1_000_000) + 1;
+    int end = (int) (breach.atMicros() / 1_000_000) + 1;
     if (end < best.seconds()) {
-      takes(best.until(end));
+      reproduces(best.withSeconds(end));
     }
   }
 
-  private void faults() {
+  private void reduceFaults() {
     List<Fault> left = best.faults();
-    new Parts<Fault>(left) {
+    new DeltaDebugger<Fault>(left) {
       @Override
-      boolean holds(List<Fault> some) {
-        return takes(best.with(some));
+      boolean breaksWith(List<Fault> some) {
+        return reproduces(best.with(some));
       }
     }.reduce();
   }
 
-  private void clients() {
-    new Parts<Integer>(clientsOf(best)) {
+  private void reduceClients() {
+    new DeltaDebugger<Integer>(clientsOf(best)) {
       @Override
-      boolean holds(List<Integer> some) {
-        return takes(best.with(Numbers.of(some)));
+      boolean breaksWith(List<Integer> some) {
+        return reproduces(best.with(IndexSet.of(some)));
       }
     }.reduce();
   }
 
   /** Whether this smaller plan breaks the same rule; then it is the best one. */
-  private boolean takes(Plan smaller) {
-    if (runs >= MOST_RUNS) {
+  private boolean reproduces(Plan smaller) {
+    if (runs >= MAX_RUNS) {
       return false;
     }
     runs++;
@@ -106,7 +107,7 @@
       if (found.rule().equals(breach.rule())) {
         best = smaller;
         breach = found;
-        progress.left(best.faults().size(), clientsOf(best).size(), runs);
+        progress.onProgress(best.faults().size(), clientsOf(best).size(), runs);
         return true;
       }
     }
@@ -114,23 +115,24 @@
   }
 
   /** The search: leaves parts out, the larger ones first. */
-  private abstract static class Parts<T> {
-    private List<T> left;
+  private abstract static class DeltaDebugger<T> {
+    private List<T> remaining;
 
-    Parts(List<T> all) {
-      left = all;
+    DeltaDebugger(List<T> all) {
+      remaining = all;
     }
 
     /** Whether it still breaks with only these. */
-    abstract boolean holds(List<T> some);
+    abstract boolean breaksWith(List<T> some);
 
     void reduce() {
-      for (int part = Math.max(1, left.size()); part >= 1; part /= 2) {
-        for (int from = 0; from < left.size(); ) {
-          List<T> without = new ArrayList<>(left.subList(0, from));
-          without.addAll(left.subList(Math.min(left.size(), from + part), left.size()));
-          if (without.size() < left.size() && holds(without)) {
-            left = without;
+      for (int part = Math.max(1, remaining.size()); part >= 1; part /= 2) {
+        for (int from = 0; from < remaining.size(); ) {
+          List<T> without = new ArrayList<>(remaining.subList(0, from));
+          without.addAll(
+              remaining.subList(Math.min(remaining.size(), from + part), remaining.size()));
+          if (without.size() < remaining.size() && breaksWith(without)) {
+            remaining = without;
           } else {
             from += part;
           }
--- a/src/main/java/brassbank/sim/check/NoFailure.java
+++ b/src/main/java/brassbank/sim/check/NoTaskFailure.java
@@ -3,15 +3,15 @@
 import brassbank.sim.event.Event;
 
 /** No part of the proxy fails: what its loop would only log here ends the run. */
-final class NoFailure extends Rule {
-  NoFailure() {
+final class NoTaskFailure extends Rule {
+  NoTaskFailure() {
     super("no task of the proxy fails");
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.ProxyFailed failed) {
-      broken(now, failed.proxy() + ": " + failed.text());
+      reportBreach(now, failed.proxy() + ": " + failed.text());
     }
   }
 }
--- a/src/main/java/brassbank/sim/fault/Stage.java
+++ b/src/main/java/brassbank/sim/fault/FaultContext.java
@@ -1,7 +1,7 @@
 package brassbank.sim.fault;
 
 import brassbank.sim.actor.BadClient;
-import brassbank.sim.actor.Instance;
+import brassbank.sim.actor.ProxyInstance;
 import brassbank.sim.actor.StreamHost;
 import brassbank.sim.actor.World;
 import brassbank.sim.net.Disturbance;
@@ -12,33 +12,33 @@
 import java.util.Map;
 
 /** What faults may act upon: the world, the proxies, and what a fault has left to take back. */
-public final class Stage {
+public final class FaultContext {
   /** Brings clients: the run does, since it knows their numbers. */
-  public interface Crowd {
+  public interface ClientGenerator {
     /** Extra usual clients for a while, so many a second. */
-    void more(double rate, long millis);
+    void addClients(double rate, long millis);
 
     /** Bad clients for a while, so many a second. */
-    void bad(BadClient.Kind kind, double rate, long millis);
+    void addBadClients(BadClient.Kind kind, double rate, long millis);
   }
 
   private final World world;
-  private final Map<String, Instance> proxies;
-  private final Crowd crowd;
+  private final Map<String, ProxyInstance> proxies;
+  private final ClientGenerator clientGenerator;
   private final Map<Fault, Deque<Disturbance>> disturbances = new HashMap<>();
 
-  public Stage(World world, Map<String, Instance> proxies, Crowd crowd) {
+  public FaultContext(World world, Map<String, ProxyInstance> proxies, ClientGenerator crowd) {
     this.world = world;
     this.proxies = proxies;
-    this.crowd = crowd;
+    this.clientGenerator = crowd;
   }
 
   World world() {
     return world;
   }
 
-  Crowd crowd() {
-    return crowd;
+  ClientGenerator clientGenerator() {
+    return clientGenerator;
   }
 
   StreamHost host(Fault fault) {
@@ -49,20 +49,20 @@
     return world.hosts().values();
   }
 
-  Instance proxy(Fault fault) {
+  ProxyInstance proxy(Fault fault) {
     return proxies.get(fault.target());
   }
 
-  Collection<Instance> proxies() {
+  Collection<ProxyInstance> proxies() {
     return proxies.values();
   }
 
-  void begin(Fault fault, Disturbance disturbance) {
+  void beginDisturbance(Fault fault, Disturbance disturbance) {
     disturbances.computeIfAbsent(fault, f -> new ArrayDeque<>()).add(disturbance);
-    world.fabric().begin(disturbance);
+    world.fabric().addDisturbance(disturbance);
   }
 
-  void end(Fault fault) {
-    world.fabric().end(disturbances.get(fault).remove());
+  void endDisturbance(Fault fault) {
+    world.fabric().removeDisturbance(disturbances.get(fault).remove());
   }
 }
--- a/src/main/java/brassbank/sim/proxy/ProxyConfig.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyConfig.java
@@ -43,7 +43,7 @@
   }
 
   /** What is left of a file whose writer was stopped after two thirds of it. */
-  public static String damaged(String text) {
+  public static String truncated(String text) {
     return text.substring(0, text.length() * 2 / 3);
   }
 
@@ -90,7 +90,7 @@
       type.addProperty("give-up", c.deadlineMillis() * MILLI);
       type.addProperty("effect", c.repeat().effect());
       type.addProperty("group", c.repeat().group());
-      type.addProperty("value", c.worth());
+      type.addProperty("value", c.value());
       type.addProperty("window", c.repeat().windowMillis() * MILLI);
       classes.add(type);
     }
--- a/src/test/java/brassbank/sim/SharesTest.java
+++ b/src/test/java/brassbank/sim/SharesTest.java
@@ -8,7 +8,7 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.fault.Script;
-import brassbank.sim.members.SpoiledSeats;
+import brassbank.sim.members.TamperedLeaseNetwork;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -26,13 +26,13 @@
   private static final Path SCRIPTS = Path.of("src/test/resources/lab-shares");
 
   private static List<Breach> breaches(Plan plan, UnaryOperator<Network> wrapping) {
-    return new Run(plan, wrapping).go().breaches();
+    return new SimulationRun(plan, wrapping).execute().breaches();
   }
 
   /** As above, past the rule on a cold host's calls, which the same bug breaks before. */
   private static List<Breach> pastCalls(Plan plan, UnaryOperator<Network> wrapping) {
-    return new Run(plan, wrapping)
-        .go(breach -> !breach.rule().startsWith("a cold host's calls"))
+    return new SimulationRun(plan, wrapping)
+        .execute(breach -> !breach.rule().startsWith("a cold host's calls"))
         .breaches();
   }
 
@@ -44,7 +44,7 @@
         plans.add(Script.read(file));
       }
     }
-    assertThat(plans).hasSizeGreaterThan(6).allMatch(Plan::shares);
+    assertThat(plans).hasSizeGreaterThan(6).allMatch(Plan::sharesBudgets);
     assertThat(
             plans.parallelStream()
                 .flatMap(plan -> breaches(plan, UnaryOperator.identity()).stream())
@@ -57,12 +57,20 @@
     assertThat(
             Stream.iterate(1L, seed -> seed + 1)
                 .limit(8)
-                .map(seed -> Plan.drawn(seed, Plan.SECONDS, 5, Plan.HOSTS, Plan.RATE))
+                .map(
+                    seed ->
+                        Plan.drawn(
+                            seed,
+                            Plan.DEFAULT_SECONDS,
+                            5,
+                            Plan.DEFAULT_HOSTS,
+                            Plan.DEFAULT_CLIENTS_PER_SECOND))
                 .toList()
                 .parallelStream()
                 .flatMap(
                     plan ->
-                        breaches(plan.with(Plan.View.SHARES), UnaryOperator.identity()).stream())
+                        breaches(plan.with(Plan.FleetMode.SHARES), UnaryOperator.identity())
+                            .stream())
                 .toList())
         .isEmpty();
   }
@@ -70,10 +78,15 @@
   /** A fleet that is whole spends as one that goes by the file: the same places, to the byte. */
   @Test
   void changesNothingWhileAllAreThere() {
-    Plan plan = Plan.drawn(1, Plan.SECONDS, 5, Plan.HOSTS, Plan.RATE).with(List.of());
-    Run members = new Run(plan.with(Plan.View.MEMBERS), UnaryOperator.identity());
-    Run shares = new Run(plan.with(Plan.View.SHARES), UnaryOperator.identity());
-    assertThat(shares.go().service().text()).isEqualTo(members.go().service().text());
+    Plan plan =
+        Plan.drawn(1, Plan.DEFAULT_SECONDS, 5, Plan.DEFAULT_HOSTS, Plan.DEFAULT_CLIENTS_PER_SECOND)
+            .with(List.of());
+    SimulationRun members =
+        new SimulationRun(plan.with(Plan.FleetMode.MEMBERS), UnaryOperator.identity());
+    SimulationRun shares =
+        new SimulationRun(plan.with(Plan.FleetMode.SHARES), UnaryOperator.identity());
+    assertThat(shares.execute().service().summary())
+        .isEqualTo(members.execute().service().summary());
   }
 
   /** Answers of nobody: each proxy takes itself for the only one with a seat. */
@@ -85,14 +98,14 @@
             pastCalls(
                 plan,
                 real ->
-                    new SpoiledSeats(real, "simulated") {
+                    new TamperedLeaseNetwork(real, "simulated") {
                       @Override
-                      protected LeaseMessage taken(LeaseMessage message) {
+                      protected LeaseMessage tamperIncomingLease(LeaseMessage message) {
                         return null;
                       }
 
                       @Override
-                      protected LeaseMessage forged(InetSocketAddress to, LeaseMessage sent) {
+                      protected LeaseMessage forgeReplies(InetSocketAddress to, LeaseMessage sent) {
                         if (sent.kind() != LeaseMessage.Kind.ASK) {
                           return null;
                         }
@@ -114,15 +127,16 @@
 
   private static List<String> away(List<String> events, UnaryOperator<Network> wrapping)
       throws Exception {
-    Run run = new Run(Script.read(SCRIPTS.resolve("two-are-sent-away-at-once.toml")), wrapping);
+    SimulationRun run =
+        new SimulationRun(Script.read(SCRIPTS.resolve("two-are-sent-away-at-once.toml")), wrapping);
     run.trace()
-        .listen(
+        .addListener(
             (now, event) -> {
               if (event instanceof Event.ProxyOnStandby || event instanceof Event.ProxyPutOff) {
                 events.add(event.text());
               }
             });
-    return run.go().breaches().stream().map(Breach::rule).toList();
+    return run.execute().breaches().stream().map(Breach::rule).toList();
   }
 
   @Test
@@ -141,14 +155,14 @@
             away(
                 new ArrayList<>(),
                 real ->
-                    new SpoiledSeats(real, "simulated") {
+                    new TamperedLeaseNetwork(real, "simulated") {
                       @Override
-                      protected LeaseMessage taken(LeaseMessage message) {
+                      protected LeaseMessage tamperIncomingLease(LeaseMessage message) {
                         return message.kind() == LeaseMessage.Kind.LEAVE ? null : message;
                       }
 
                       @Override
-                      protected LeaseMessage forged(InetSocketAddress to, LeaseMessage sent) {
+                      protected LeaseMessage forgeReplies(InetSocketAddress to, LeaseMessage sent) {
                         int rank = to.getAddress().getAddress()[3] - 1;
                         return sent.kind() != LeaseMessage.Kind.LEAVE
                             ? null
--- a/src/test/java/brassbank/sim/SubsetsTest.java
+++ b/src/test/java/brassbank/sim/SubsetsTest.java
@@ -22,17 +22,17 @@
 
   /** A calm fleet in which each host is asked by eight of sixteen, and has room. */
   private static final Plan CALM =
-      Plan.drawn(3, Plan.LEAST_SECONDS, 16, 32, 8).with(List.of()).with(Plan.View.SUBSETS);
+      Plan.drawn(3, Plan.MIN_SECONDS, 16, 32, 8).with(List.of()).with(Plan.FleetMode.SUBSETS);
 
-  private static List<String> broken(Run run) {
-    return run.go().breaches().stream().map(Breach::rule).toList();
+  private static List<String> broken(SimulationRun run) {
+    return run.execute().breaches().stream().map(Breach::rule).toList();
   }
 
   private static List<Plan> scripts(String folder) throws Exception {
     List<Plan> plans = new ArrayList<>();
     try (Stream<Path> files = Files.list(Path.of("src/test/resources").resolve(folder))) {
       for (Path file : files.sorted().toList()) {
-        plans.add(Script.read(file).with(Plan.View.SUBSETS));
+        plans.add(Script.read(file).with(Plan.FleetMode.SUBSETS));
       }
     }
     return plans;
@@ -43,12 +43,12 @@
   void holdsAllRulesInTheLabsScripts() throws Exception {
     List<Plan> plans = scripts("lab-subsets");
     for (Plan plan : scripts("lab-shares")) {
-      plans.add(plan.onHosts(24));
+      plans.add(plan.withHosts(24));
     }
     assertThat(plans).hasSizeGreaterThan(10);
     assertThat(
             plans.parallelStream()
-                .flatMap(plan -> new Run(plan, AS_IT_IS).go().breaches().stream())
+                .flatMap(plan -> new SimulationRun(plan, AS_IT_IS).execute().breaches().stream())
                 .toList())
         .isEmpty();
   }
@@ -57,12 +57,16 @@
   void holdsAllRulesAgainstDrawnFaults() {
     assertThat(
             LongStream.rangeClosed(1, 8)
-                .mapToObj(seed -> Plan.drawn(seed, Plan.SECONDS, 7, 24, Plan.RATE))
+                .mapToObj(
+                    seed ->
+                        Plan.drawn(
+                            seed, Plan.DEFAULT_SECONDS, 7, 24, Plan.DEFAULT_CLIENTS_PER_SECOND))
                 .toList()
                 .parallelStream()
                 .flatMap(
                     plan ->
-                        new Run(plan.with(Plan.View.SUBSETS), AS_IT_IS).go().breaches().stream())
+                        new SimulationRun(plan.with(Plan.FleetMode.SUBSETS), AS_IT_IS)
+                            .execute().breaches().stream())
                 .toList())
         .isEmpty();
   }
@@ -70,10 +74,10 @@
   /** A file with another number than the others have: all ask all. */
   @Test
   void catchesHostsThatAllAsk() {
-    assertThat(broken(new Run(CALM, AS_IT_IS))).isEmpty();
+    assertThat(broken(new SimulationRun(CALM, AS_IT_IS))).isEmpty();
     assertThat(
             broken(
-                new Run(
+                new SimulationRun(
                     CALM, AS_IT_IS, told -> told, joining -> joining.withMinProxiesPerHost(1_000))))
         .containsOnly("a host is asked by few, with subsets");
   }
@@ -83,6 +87,7 @@
   void catchesSubsetsOfAnotherZone() {
     UnaryOperator<Site> turned =
         site -> site.withZones(List.of(site.zones().get(1), site.zones().get(0)));
-    assertThat(broken(new Run(CALM, AS_IT_IS, turned))).contains("a subset costs nobody his place");
+    assertThat(broken(new SimulationRun(CALM, AS_IT_IS, turned)))
+        .contains("a subset costs nobody his place");
   }
 }
