--- a/src/main/java/brassbank/lab/Lab.java
+++ b/src/main/java/brassbank/lab/Lab.java
@@ -1,7 +1,7 @@
 package brassbank.lab;
 
-import brassbank.sim.Run;
-import brassbank.sim.Scene;
+import brassbank.sim.ScenarioRun;
+import brassbank.sim.SimulationRun;
 import brassbank.sim.actor.Discovery;
 import brassbank.sim.actor.StreamHost;
 import brassbank.sim.actor.World;
@@ -9,7 +9,7 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.event.Trace;
 import brassbank.sim.fault.Fault;
-import brassbank.sim.fault.Kinds;
+import brassbank.sim.fault.FaultKinds;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.net.Machine;
 import brassbank.sim.time.Agenda;
@@ -29,62 +29,67 @@
 import java.util.Map;
 import java.util.function.UnaryOperator;
 
-/** One play of a plan on real processes, from their start to the last trace of them. */
+/** One run of a plan on real processes, from their start to the removal of all their resources. */
 public final class Lab implements AutoCloseable {
-  /**
-   * Time limits of the rules are extended by this, in microseconds: the protocol's 50 ms and 100.
-   */
-  static final long SLACK = 150_000;
+  /** Added to the time limits of the rules: the 50 ms of the protocol and 100 ms for the lab. */
+  static final long RULE_SLACK_MICROS = 150_000;
 
-  /** A play in which the lab was later than this tells nothing, in microseconds. */
-  static final long LATENESS = 50_000;
+  /** A run in which the lab was later than this is void. */
+  static final long MAX_LATENESS_MICROS = 50_000;
 
-  /** Doors follow the simulated network this often, in microseconds, and so many at a time. */
-  private static final long MIRROR_EVERY = 5_000;
+  /** How often the proxied ports follow the state of the simulated network. */
+  private static final long PORT_SYNC_INTERVAL_MICROS = 5_000;
 
-  private static final int DOORS_AT_ONCE = 64;
+  private static final int MAX_PORT_CHANGES_PER_SYNC = 64;
 
-  /** Seconds of the plan that are played in virtual time first, and seeds for that. */
+  /** Seconds of the plan that are simulated in virtual time first. */
   private static final int WARM_UP_SECONDS = 20;
 
-  private static final int WARM_UPS = 2;
-  private static final long START_WITHIN_NANOS = 60_000_000_000L;
-  private static final int LOG_LINES_KEPT = 4_000;
+  private static final int WARM_UP_RUNS = 2;
+  private static final long START_TIMEOUT_NANOS = 60_000_000_000L;
+  private static final int MAX_LOG_LINES = 4_000;
 
-  /** Kinds of fault that a machine of many processes cannot show. */
-  private static final List<String> NOT_HERE = List.of("clock-step");
+  /** Kinds of fault that cannot be played where all processes share one machine. */
+  private static final List<String> UNSUPPORTED_FAULTS = List.of("clock-step");
 
-  /** Somebody who looks on. */
-  public interface Watcher {
-    /** Now and then, with the play's time in microseconds. */
-    void at(Lab lab, long now);
+  /** Observes the progress of a run. */
+  public interface ProgressListener {
+    /** Called after each iteration, with the time of the run in microseconds. */
+    void onProgress(Lab lab, long now);
   }
 
-  /** A line that a proxy has logged, and when that was seen. */
-  record LogLine(long at, String proxy, String text) {}
+  /** A line that a proxy has logged, and when the lab read it. */
+  record LogLine(long atMicros, String proxy, String text) {}
 
   /**
-   * What came of a play.
+   * The outcome of a run.
    *
    * @param counts how often each rule was broken
-   * @param late the lab's worst lateness, and {@code lateAt} when that was, in microseconds
+   * @param servedShare the share of the service that the clients had
+   * @param serviceSummary the service that the clients had, as text
+   * @param clientCounts the outcomes of the flows, by proxy
+   * @param resourceUsage the resources that the processes used, by proxy
+   * @param breachLog the log lines around the first breach
+   * @param maxLatenessMicros the lab's largest lateness, at {@code maxLatenessAtMicros} of the run
+   * @param lateness999Micros the 99.9th percentile of the lab's lateness
+   * @param isVoid whether the lab was too late for a verdict
    */
   public record Outcome(
       Plan plan,
       List<Breach> breaches,
       Map<String, Integer> counts,
-      double share,
-      String service,
-      Map<String, Tally.Count> tallies,
-      Map<String, Meter.Use> uses,
+      double servedShare,
+      String serviceSummary,
+      Map<String, ClientStatistics.ProxyCounts> clientCounts,
+      Map<String, ProcessMonitor.ResourceUsage> resourceUsage,
       double labProcessorSeconds,
       List<String> breachLog,
-      long late,
-      long lateUsual,
-      long lateAt,
-      boolean tooLate) {
+      long maxLatenessMicros,
+      long lateness999Micros,
+      long maxLatenessAtMicros,
+      boolean isVoid) {
 
-    public boolean sound() {
+    public boolean holdsAllRules() {
       return breaches.isEmpty();
     }
   }
@@ -92,97 +97,100 @@
   private final Plan plan;
   private final Path folder;
   private final Path logs;
-  private final Guard guard;
-  private final Loopback loopback;
-  private final Lateness lateness = new Lateness(LATENESS);
-  private final Tally tally = new Tally();
+  private final Watchdog watchdog;
+  private final LoopbackAddresses loopback;
+  private final Lateness lateness = new Lateness(MAX_LATENESS_MICROS);
+  private final ClientStatistics clientStatistics = new ClientStatistics();
   private final Clock clock = new SystemClock();
   private final Map<String, RealProxy> proxies = new LinkedHashMap<>();
-  private final List<Door> doors = new ArrayList<>();
+  private final List<ProxiedPort> ports = new ArrayList<>();
   private final Deque<LogLine> lines = new ArrayDeque<>();
-  private final Scene scene;
-  private final Meter meter;
-  private Turner turner;
-  private Helpers helpers;
+  private final ScenarioRun scenarioRun;
+  private final ProcessMonitor monitor;
+  private RealTimeDriver driver;
+  private BackgroundTasks backgroundTasks;
   private boolean logsInTrace;
-  private int nextDoor;
-  private long mirroredAt;
+  private int nextPort;
+  private long lastSyncMicros;
 
   /**
-   * Builds the site; nothing is started yet.
+   * Builds the site without starting any proxy process.
    *
-   * @param root the project's folder, in which the proxies are started
-   * @param logs where the proxies' logs go, or null for the lab's own folder, which goes with it
-   * @throws LabException where the plan cannot be played here, or the machine has no place for it
+   * @param root the project's folder, the working directory of the proxies
+   * @param logs the folder for the proxies' logs, or null for the lab's own, which {@link #close}
+   *     removes
+   * @throws LabException if the plan cannot be played here, or the machine lacks the resources
    */
   public Lab(Plan plan, Path root, Path logs) throws IOException {
-    this(plan, root, logs, Tamper.NONE);
+    this(plan, root, logs, LinkTampering.NONE);
   }
 
-  Lab(Plan plan, Path root, Path logs, Tamper tamper) throws IOException {
+  Lab(Plan plan, Path root, Path logs, LinkTampering tampering) throws IOException {
     for (Fault fault : plan.faults()) {
-      if (NOT_HERE.contains(fault.kind().name())) {
+      if (UNSUPPORTED_FAULTS.contains(fault.kind().name())) {
         throw new LabException(fault.kind() + " cannot be played on real processes");
       }
     }
     this.plan = plan;
     folder = Files.createTempDirectory("brassbank-lab");
-    guard = new Guard(folder);
+    watchdog = new Watchdog(folder);
     this.logs = Files.createDirectories(logs == null ? folder.resolve("logs") : logs);
-    loopback = new Loopback();
-    boolean inherits =
-        plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
-    ByteBuffer scratch = ByteBuffer.allocate(Splice.scratchSize());
-    scene =
-        new Scene(
+    loopback = new LoopbackAddresses();
+    boolean inheritsListener =
+        plan.faults().stream()
+            .anyMatch(fault -> fault.kind().name().equals(FaultKinds.PROXY_UPGRADE));
+    ByteBuffer scratch = ByteBuffer.allocate(SocketBridge.scratchSize());
+    scenarioRun =
+        new ScenarioRun(
             plan,
-            new Scene.House(loopback, clock.unixMillis(), SLACK),
+            new ScenarioRun.Environment(loopback, clock.unixMillis(), RULE_SLACK_MICROS),
             (world, name, rank, machine) -> {
               RealProxy proxy =
                   new RealProxy(
-                      shared(world, root, tamper),
+                      sharedContext(world, root, tampering),
                       world,
-                      Scene.site(plan),
+                      ScenarioRun.site(plan),
                       name,
                       rank,
                       machine,
-                      inherits,
+                      inheritsListener,
                       scratch);
               proxies.put(name, proxy);
               return proxy;
             });
-    scene.trace().listen(tally);
-    meter = new Meter(proxies, turner, this::logged);
+    scenarioRun.trace().addListener(clientStatistics);
+    monitor = new ProcessMonitor(proxies, driver, this::onLogLine);
   }
 
-  private RealProxy.Lab shared(World world, Path root, Tamper tamper) {
+  private RealProxy.SharedContext sharedContext(World world, Path root, LinkTampering tampering) {
     try {
-      if (turner == null) {
-        turner = new Turner(world.agenda(), lateness);
-        helpers = new Helpers(turner);
+      if (driver == null) {
+        driver = new RealTimeDriver(world.agenda(), lateness);
+        backgroundTasks = new BackgroundTasks(driver);
       }
-      return new RealProxy.Lab(turner, helpers, guard, loopback, tamper, root, folder, logs);
+      return new RealProxy.SharedContext(
+          driver, backgroundTasks, watchdog, loopback, tampering, root, folder, logs);
     } catch (IOException e) {
-      throw new LabException("no selector: " + e.getMessage(), e);
+      throw new LabException("the lab cannot open a selector: " + e.getMessage(), e);
     }
   }
 
-  /** To be listened to before {@link #play}. */
+  /** Returns the trace; listeners are added before {@link #play}. */
   public Trace trace() {
-    return scene.trace();
+    return scenarioRun.trace();
   }
 
-  /** Puts what the proxies log into the trace. */
-  public void withLogs() {
+  /** Adds the proxies' log lines to the trace. */
+  public void includeLogsInTrace() {
     logsInTrace = true;
   }
 
-  Scene scene() {
-    return scene;
+  ScenarioRun scenarioRun() {
+    return scenarioRun;
   }
 
-  Tally tally() {
-    return tally;
+  ClientStatistics clientStatistics() {
+    return clientStatistics;
   }
 
   Map<String, RealProxy> proxies() {
@@ -193,175 +201,189 @@
     return folder;
   }
 
-  long late() {
-    return lateness.most();
+  long maxLatenessMicros() {
+    return lateness.maxMicros();
   }
 
-  // -------------------------------------------------------------------- play
-
-  /** Starts everybody and plays the plan to its end. */
-  public Outcome play(Watcher watcher) throws IOException {
+  /** Starts all proxies and runs the plan to its end. */
+  public Outcome play(ProgressListener listener) throws IOException {
     warmUp();
-    build();
-    scene.begin();
-    mirrorAll();
-    start();
-    meter.begin();
-    scene.world().beginsAt(clock.unixMillis());
-    turner.begin();
-    while (turner.now() < scene.end()) {
-      turn();
-      watcher.at(this, turner.now());
+    connectProxies();
+    scenarioRun.begin();
+    syncAllPorts();
+    awaitStart();
+    monitor.start();
+    scenarioRun.world().setEpochMillis(clock.unixMillis());
+    driver.startClock();
+    while (driver.nowMicros() < scenarioRun.end()) {
+      runOnce();
+      listener.onProgress(this, driver.nowMicros());
     }
-    scene.checks().end(scene.agenda().now());
-    scene.service().end(scene.agenda().now());
+    scenarioRun.checks().onEnd(scenarioRun.agenda().now());
+    scenarioRun.service().finish(scenarioRun.agenda().now());
     return outcome();
   }
 
-  /** Goes on after its end, for whoever wants to look at the site, until interrupted. */
-  public void stay() throws IOException {
+  /** Keeps the site running after the end of the plan, for inspection, until interrupted. */
+  public void keepRunning() throws IOException {
     while (!Thread.currentThread().isInterrupted()) {
-      turn();
+      runOnce();
     }
   }
 
   /**
-   * A runtime that has just begun compiles what it meets, and is late meanwhile: what the lab is
-   * made of has been met before the clock runs.
+   * Simulates the start of the plan in virtual time. A JVM that has just started is late while it
+   * compiles; this makes it compile the lab's code before the clock runs.
    */
   private void warmUp() {
-    for (int i = 0; i < WARM_UPS; i++) {
-      new Run(plan.until(Math.min(plan.seconds(), WARM_UP_SECONDS)), UnaryOperator.identity()).go();
+    for (int i = 0; i < WARM_UP_RUNS; i++) {
+      new SimulationRun(
+              plan.withSeconds(Math.min(plan.seconds(), WARM_UP_SECONDS)), UnaryOperator.identity())
+          .execute();
     }
   }
 
-  private void turn() throws IOException {
-    turner.turn();
-    long now = turner.now();
-    if (now - mirroredAt >= MIRROR_EVERY || nextDoor > 0) {
-      mirroredAt = now;
-      mirrorSome();
+  private void runOnce() throws IOException {
+    driver.runOnce();
+    long now = driver.nowMicros();
+    if (now - lastSyncMicros >= PORT_SYNC_INTERVAL_MICROS || nextPort > 0) {
+      lastSyncMicros = now;
+      syncSomePorts();
     }
   }
 
-  private void build() throws IOException {
-    World world = scene.world();
+  /**
+   * Opens the proxied ports of each proxy, and lets the proxies join a fleet if the plan says so.
+   */
+  private void connectProxies() throws IOException {
+    World world = scenarioRun.world();
     Map<SocketAddress, RealProxy> byAddress = new HashMap<>();
     proxies.values().forEach(proxy -> byAddress.put(proxy.address(), proxy));
     for (RealProxy proxy : proxies.values()) {
-      proxy.speaksWith(byAddress);
+      proxy.openDatagramPort(byAddress);
       for (StreamHost host : world.hosts().values()) {
-        proxy.meets(host.machine(), StreamHost.PORT);
+        proxy.addPort(host.machine(), StreamHost.PORT);
       }
       for (Machine machine : world.discovery().machines()) {
-        proxy.meets(machine, Discovery.PORT);
+        proxy.addPort(machine, Discovery.PORT);
       }
       for (RealProxy other : proxies.values()) {
         if (other != proxy) {
-          proxy.meets(other.machine(), StreamHost.PORT);
+          proxy.addPort(other.machine(), StreamHost.PORT);
         }
       }
-      doors.addAll(proxy.doors());
+      ports.addAll(proxy.ports());
     }
-    if (plan.membership()) {
+    if (plan.usesMembership()) {
       List<RealProxy> seeds = List.copyOf(proxies.values()).subList(0, Math.min(2, proxies.size()));
       for (RealProxy proxy : proxies.values()) {
-        proxy.joins(seeds, plan);
-        scene.agenda().after(0, proxy::watchView);
+        proxy.joinFleet(seeds, plan);
+        scenarioRun.agenda().after(0, proxy::watchView);
       }
     }
   }
 
-  private void mirrorAll() throws IOException {
-    for (Door door : doors) {
-      door.mirror();
+  private void syncAllPorts() throws IOException {
+    for (ProxiedPort port : ports) {
+      port.syncWithNetwork();
     }
   }
 
-  /** All doors, but no more changes at a time than keep the sockets waiting for long. */
-  private void mirrorSome() throws IOException {
+  /**
+   * Updates all ports over several calls; a call makes few changes, so that sockets do not wait.
+   */
+  private void syncSomePorts() throws IOException {
     int changed = 0;
-    while (nextDoor < doors.size() && changed < DOORS_AT_ONCE) {
-      changed += doors.get(nextDoor++).mirror() ? 1 : 0;
+    while (nextPort < ports.size() && changed < MAX_PORT_CHANGES_PER_SYNC) {
+      changed += ports.get(nextPort++).syncWithNetwork() ? 1 : 0;
     }
-    if (nextDoor == doors.size()) {
-      nextDoor = 0;
+    if (nextPort == ports.size()) {
+      nextPort = 0;
     }
   }
 
-  /** Time stands still until all proxies listen. */
-  private void start() throws IOException {
-    long until = clock.nanos() + START_WITHIN_NANOS;
-    while (!proxies.values().stream().allMatch(RealProxy::listening)) {
-      turner.lookOnly();
-      if (clock.nanos() > until || !scene.checks().breaches().isEmpty()) {
-        throw new LabException("the proxies do not start: " + lastWords());
+  /** Waits, with the clock stopped, until all proxies listen. */
+  private void awaitStart() throws IOException {
+    long until = clock.nanos() + START_TIMEOUT_NANOS;
+    while (!proxies.values().stream().allMatch(RealProxy::isListening)) {
+      driver.pollWithoutClock();
+      if (clock.nanos() > until || !scenarioRun.checks().breaches().isEmpty()) {
+        throw new LabException(
+            "not all proxies listened within 60 s of their start, or one failed: "
+                + describeStartFailure());
       }
     }
   }
 
-  private String lastWords() {
-    StringBuilder words = new StringBuilder();
-    scene.checks().breaches().forEach(breach -> words.append(breach.what()).append("; "));
+  /** Returns the breaches so far and the last log line of each process. */
+  private String describeStartFailure() {
+    StringBuilder text = new StringBuilder();
+    scenarioRun
+        .checks()
+        .breaches()
+        .forEach(breach -> text.append(breach.description()).append("; "));
     for (RealProxy proxy : proxies.values()) {
       for (Path log : proxy.logs()) {
         try {
-          List<String> said = Files.readAllLines(log);
-          if (!said.isEmpty()) {
-            words.append(proxy.name()).append(": ").append(said.get(said.size() - 1)).append("; ");
+          List<String> logLines = Files.readAllLines(log);
+          if (!logLines.isEmpty()) {
+            text.append(proxy.name())
+                .append(": ")
+                .append(logLines.get(logLines.size() - 1))
+                .append("; ");
           }
         } catch (IOException e) {
-          words.append(proxy.name()).append(": no log; ");
+          text.append(proxy.name()).append(": no log; ");
         }
       }
     }
-    return words.toString();
+    return text.toString();
   }
 
-  private void logged(String proxy, String text) {
-    long now = scene.agenda().now();
+  private void onLogLine(String proxy, String text) {
+    long now = scenarioRun.agenda().now();
     lines.add(new LogLine(now, proxy, text));
-    if (lines.size() > LOG_LINES_KEPT) {
+    if (lines.size() > MAX_LOG_LINES) {
       lines.remove();
     }
     String[] parts = text.split(" ", 3);
     if (parts.length == 3 && parts[1].equals("error")) {
-      scene.world().tell(new Event.ProxyFailed(proxy, parts[2]));
+      scenarioRun.world().publish(new Event.ProxyFailed(proxy, parts[2]));
     } else if (logsInTrace) {
-      scene.world().tell(new Event.ProxyLogged(proxy, text));
+      scenarioRun.world().publish(new Event.ProxyLogged(proxy, text));
     }
   }
 
   private Outcome outcome() {
-    List<Breach> breaches = List.copyOf(scene.checks().breaches());
+    List<Breach> breaches = List.copyOf(scenarioRun.checks().breaches());
     return new Outcome(
         plan,
         breaches,
-        new LinkedHashMap<>(scene.checks().counts()),
-        scene.service().share(),
-        scene.service().text(),
-        tally.counts(),
-        meter.uses(),
+        new LinkedHashMap<>(scenarioRun.checks().breachCounts()),
+        scenarioRun.service().servedShare(),
+        scenarioRun.service().summary(),
+        clientStatistics.counts(),
+        monitor.usage(),
         ProcessHandle.current().info().totalCpuDuration().map(d -> d.toNanos() / 1e9).orElse(0.0),
-        breaches.isEmpty() ? List.of() : BreachLog.lines(breaches.get(0), lines, tally),
-        lateness.most(),
-        lateness.usual(),
-        lateness.mostAt(),
-        lateness.tooLate());
+        breaches.isEmpty() ? List.of() : BreachLog.lines(breaches.get(0), lines, clientStatistics),
+        lateness.maxMicros(),
+        lateness.percentile999Micros(),
+        lateness.maxAtMicros(),
+        lateness.exceedsLimit());
   }
 
-  /** Ends all processes, and gives back sockets and files. */
+  /** Ends all processes and releases all sockets and files. */
   @Override
   public void close() throws IOException {
-    helpers.close();
-    meter.close();
+    backgroundTasks.close();
+    monitor.close();
     proxies.values().forEach(RealProxy::close);
-    guard.close();
-    turner.close();
+    watchdog.close();
+    driver.close();
     loopback.close();
   }
 
-  /** Seconds of a play's time, for people. */
+  /** Converts microseconds of a run to seconds. */
   static double seconds(long micros) {
     return micros / (double) Agenda.SECOND;
   }
--- a/src/main/java/brassbank/lab/Report.java
+++ b/src/main/java/brassbank/lab/Report.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What a play has shown, for people and for programs. */
+/** Formats the outcome of a run as text and as JSON. */
 final class Report {
   private Report() {}
 
@@ -31,10 +31,11 @@
             "memory MB",
             "descriptors"));
     outcome
-        .uses()
+        .resourceUsage()
         .forEach(
             (proxy, use) -> {
-              Tally.Count count = outcome.tallies().getOrDefault(proxy, new Tally.Count());
+              ClientStatistics.ProxyCounts count =
+                  outcome.clientCounts().getOrDefault(proxy, new ClientStatistics.ProxyCounts());
               text.append(
                   String.format(
                       Locale.ROOT,
@@ -46,10 +47,10 @@
                       count.unanswered(),
                       count.moved,
                       use.processorSeconds,
-                      use.mostResidentKib / 1024.0,
-                      use.mostDescriptors));
+                      use.peakResidentKib / 1024.0,
+                      use.peakDescriptors));
             });
-    text.append(String.format("%n%s%n", outcome.service()));
+    text.append(String.format("%n%s%n", outcome.serviceSummary()));
     if (!outcome.breaches().isEmpty()) {
       Breach first = outcome.breaches().get(0);
       text.append(String.format("%nfirst breach: %s%n", first));
@@ -62,66 +63,69 @@
                 + " %.1f s of processor time",
             outcome.plan().seed(),
             verdict(outcome),
-            outcome.late() / 1e3,
-            Lab.seconds(outcome.lateAt()),
-            outcome.lateUsual() / 1e3,
+            outcome.maxLatenessMicros() / 1e3,
+            Lab.seconds(outcome.maxLatenessAtMicros()),
+            outcome.lateness999Micros() / 1e3,
             outcome.labProcessorSeconds()));
     return text.toString();
   }
 
   private static String verdict(Lab.Outcome outcome) {
-    if (outcome.tooLate()) {
-      return "void, twice: nothing is said of the rules";
+    if (outcome.isVoid()) {
+      return "void, twice: no verdict on the rules";
     }
-    return outcome.sound() ? "all rules hold" : "a rule is broken";
+    return outcome.holdsAllRules() ? "all rules hold" : "a rule is broken";
   }
 
   static String json(Lab.Outcome outcome) {
     JsonObject json = new JsonObject();
     json.addProperty("seed", outcome.plan().seed());
-    json.addProperty("verdict", outcome.tooLate() ? "void" : outcome.sound() ? "holds" : "broken");
-    json.addProperty("served_share", Math.round(outcome.share() * 1e5) / 1e5);
-    json.addProperty("late_most_ms", outcome.late() / 1e3);
-    json.addProperty("late_most_at_s", Lab.seconds(outcome.lateAt()));
-    json.addProperty("late_99_9_ms", outcome.lateUsual() / 1e3);
+    json.addProperty(
+        "verdict", outcome.isVoid() ? "void" : outcome.holdsAllRules() ? "holds" : "broken");
+    json.addProperty("served_share", Math.round(outcome.servedShare() * 1e5) / 1e5);
+    json.addProperty("late_most_ms", outcome.maxLatenessMicros() / 1e3);
+    json.addProperty("late_most_at_s", Lab.seconds(outcome.maxLatenessAtMicros()));
+    json.addProperty("late_99_9_ms", outcome.lateness999Micros() / 1e3);
     json.addProperty("lab_processor_s", Math.round(outcome.labProcessorSeconds() * 10) / 10.0);
     JsonObject rules = new JsonObject();
     outcome.counts().forEach(rules::addProperty);
     json.add("rules", rules);
     JsonArray breaches = new JsonArray();
     for (Breach breach : outcome.breaches()) {
-      JsonObject one = new JsonObject();
-      one.addProperty("rule", breach.rule());
-      one.addProperty("at_s", breach.at() / 1e6);
-      one.addProperty("what", breach.what());
-      breaches.add(one);
+      JsonObject item = new JsonObject();
+      item.addProperty("rule", breach.rule());
+      item.addProperty("at_s", breach.atMicros() / 1e6);
+      item.addProperty("what", breach.description());
+      breaches.add(item);
     }
     json.add("breaches", breaches);
     JsonArray log = new JsonArray();
     outcome.breachLog().forEach(log::add);
     json.add("breach_log", log);
     JsonObject proxies = new JsonObject();
-    for (Map.Entry<String, Meter.Use> entry : outcome.uses().entrySet()) {
-      Tally.Count count = outcome.tallies().getOrDefault(entry.getKey(), new Tally.Count());
-      JsonObject one = new JsonObject();
-      one.addProperty("flows", count.sent);
-      one.addProperty("served", count.served);
-      one.addProperty("refused", count.refused);
-      one.addProperty("unanswered", count.unanswered());
-      one.addProperty("moved", count.moved);
-      one.addProperty("processor_s", Math.round(entry.getValue().processorSeconds * 100) / 100.0);
-      one.addProperty("resident_kib", entry.getValue().mostResidentKib);
-      one.addProperty("descriptors", entry.getValue().mostDescriptors);
-      one.addProperty("waited_for_core_ms", entry.getValue().waitedMicros / 1e3);
-      proxies.add(entry.getKey(), one);
+    for (Map.Entry<String, ProcessMonitor.ResourceUsage> entry :
+        outcome.resourceUsage().entrySet()) {
+      ClientStatistics.ProxyCounts count =
+          outcome.clientCounts().getOrDefault(entry.getKey(), new ClientStatistics.ProxyCounts());
+      JsonObject item = new JsonObject();
+      item.addProperty("flows", count.sent);
+      item.addProperty("served", count.served);
+      item.addProperty("refused", count.refused);
+      item.addProperty("unanswered", count.unanswered());
+      item.addProperty("moved", count.moved);
+      item.addProperty("processor_s", Math.round(entry.getValue().processorSeconds * 100) / 100.0);
+      item.addProperty("resident_kib", entry.getValue().peakResidentKib);
+      item.addProperty("descriptors", entry.getValue().peakDescriptors);
+      item.addProperty("waited_for_core_ms", entry.getValue().coreWaitMicros / 1e3);
+      proxies.add(entry.getKey(), item);
     }
     json.add("proxies", proxies);
     return new GsonBuilder().setPrettyPrinting().create().toJson(json);
   }
 
-  /** Where to look at a site that is left standing. */
-  static String standing(Lab lab) {
-    StringBuilder text = new StringBuilder("the site stands until Ctrl-C; its files: ");
+  /** Describes the folder, processes and logs of a site that is kept running. */
+  static String describeKeptSite(Lab lab) {
+    StringBuilder text = new StringBuilder("the site keeps running until Ctrl-C; its files: ");
     text.append(lab.folder()).append('\n');
     lab.proxies()
         .values()
--- a/src/main/java/brassbank/sim/Shrinker.java
+++ b/src/main/java/brassbank/sim/Shrinker.java
@@ -2,50 +2,53 @@
 
 import brassbank.sim.check.Breach;
 import brassbank.sim.fault.Fault;
-import brassbank.sim.fault.Numbers;
+import brassbank.sim.fault.IndexSet;
 import brassbank.sim.fault.Plan;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
 
 /**
- * Takes away faults and clients of a plan for as long as the same rule is still broken: first whole
- * halves, then smaller parts ("delta debugging", Zeller and Hildebrandt, IEEE TSE 28(2), 2002).
- * Since every fault and client draws from a stream of its own, what is left does as before.
+ * Reduces a plan that breaks a rule: removes faults and clients for as long as the same rule is
+ * still broken, first whole halves, then smaller parts ("delta debugging", Zeller and Hildebrandt,
+ * IEEE TSE 28(2), 2002). Since every fault and client draws from a random stream of its own, those
+ * that remain behave as before.
  */
 public final class Shrinker {
-  /** Runs of one shrinking, at most. */
-  private static final int MOST_RUNS = 2_000;
+  /** Maximum number of runs for one plan. */
+  private static final int MAX_RUNS = 2_000;
 
-  /** Who is told how far it has come. */
+  /** Receives the progress of a reduction. */
   public interface Progress {
-    void left(int faults, int clients, int runs);
+    /** Reports the faults and clients that remain after this many runs. */
+    void onProgress(int faults, int clients, int runs);
   }
 
-  /** The smallest plan that was found, and what it breaks. */
+  /** The smallest plan found, and the breach that it causes. */
   public record Shrunk(Plan plan, Breach breach, int runs) {}
 
-  private final Function<Plan, Run.Outcome> runner;
+  private final Function<Plan, SimulationRun.Result> runner;
   private final Progress progress;
   private Plan best;
   private Breach breach;
   private int runs;
 
-  private Shrinker(Function<Plan, Run.Outcome> runner, Progress progress) {
+  private Shrinker(Function<Plan, SimulationRun.Result> runner, Progress progress) {
     this.runner = runner;
     this.progress = progress;
   }
 
   /**
-   * Shrinks a plan.
+   * Reduces a plan.
    *
-   * @param runner runs a plan; the same one each time in the same way
+   * @param runner runs a plan, each time in the same way
    * @return null where the plan breaks no rule
    */
-  public static Shrunk shrink(Plan plan, Function<Plan, Run.Outcome> runner, Progress progress) {
+  public static Shrunk shrink(
+      Plan plan, Function<Plan, SimulationRun.Result> runner, Progress progress) {
     Shrinker shrinker = new Shrinker(runner, progress);
-    Run.Outcome first = shrinker.runner.apply(plan);
-    if (first.sound()) {
+    SimulationRun.Result first = shrinker.runner.apply(plan);
+    if (first.isSound()) {
       return null;
     }
     shrinker.best = plan;
@@ -54,9 +57,9 @@
     int before;
     do {
       before = shrinker.size();
-      shrinker.faults();
-      shrinker.clients();
-    } while (shrinker.size() < before && shrinker.runs < MOST_RUNS);
+      shrinker.reduceFaults();
+      shrinker.reduceClients();
+    } while (shrinker.size() < before && shrinker.runs < MAX_RUNS);
     return new Shrunk(shrinker.best, shrinker.breach, shrinker.runs);
   }
 
@@ -65,40 +68,43 @@
   }
 
   private static List<Integer> clientsOf(Plan plan) {
-    // More than ever come: those beyond the end of the run make no difference.
+    // An upper bound of the clients that arrive; those after the end of the run have no effect.
     return plan.clients().below((int) (2 * plan.rate() * plan.seconds()) + 20);
   }
 
-  /** Most breaches come long before the end, and a run that holds is run to its end. */
+  /**
+   * Ends the plan just after the breach: most breaches occur long before the end, and a run that
+   * breaks no rule continues to its end.
+   */
   private void shorten() {
-    int end = (int) (breach.at() / 1_000_000) + 1;
+    int end = (int) (breach.atMicros() / 1_000_000) + 1;
     if (end < best.seconds()) {
-      takes(best.until(end));
+      reproduces(best.withSeconds(end));
     }
   }
 
-  private void faults() {
-    List<Fault> left = best.faults();
-    new Parts<Fault>(left) {
+  private void reduceFaults() {
+    List<Fault> faults = best.faults();
+    new DeltaDebugger<Fault>(faults) {
       @Override
-      boolean holds(List<Fault> some) {
-        return takes(best.with(some));
+      boolean breaksWith(List<Fault> some) {
+        return reproduces(best.with(some));
       }
     }.reduce();
   }
 
-  private void clients() {
-    new Parts<Integer>(clientsOf(best)) {
+  private void reduceClients() {
+    new DeltaDebugger<Integer>(clientsOf(best)) {
       @Override
-      boolean holds(List<Integer> some) {
-        return takes(best.with(Numbers.of(some)));
+      boolean breaksWith(List<Integer> some) {
+        return reproduces(best.with(IndexSet.of(some)));
       }
     }.reduce();
   }
 
-  /** Whether this smaller plan breaks the same rule; then it is the best one. */
-  private boolean takes(Plan smaller) {
-    if (runs >= MOST_RUNS) {
+  /** Returns whether a smaller plan breaks the same rule; if so, it becomes the best one. */
+  private boolean reproduces(Plan smaller) {
+    if (runs >= MAX_RUNS) {
       return false;
     }
     runs++;
@@ -106,31 +112,32 @@
       if (found.rule().equals(breach.rule())) {
         best = smaller;
         breach = found;
-        progress.left(best.faults().size(), clientsOf(best).size(), runs);
+        progress.onProgress(best.faults().size(), clientsOf(best).size(), runs);
         return true;
       }
     }
     return false;
   }
 
-  /** The search: leaves parts out, the larger ones first. */
-  private abstract static class Parts<T> {
-    private List<T> left;
+  /** The search: leaves out parts of a list, the larger parts first. */
+  private abstract static class DeltaDebugger<T> {
+    private List<T> remaining;
 
-    Parts(List<T> all) {
-      left = all;
+    DeltaDebugger(List<T> all) {
+      remaining = all;
     }
 
-    /** Whether it still breaks with only these. */
-    abstract boolean holds(List<T> some);
+    /** Returns whether the rule is still broken with only these elements. */
+    abstract boolean breaksWith(List<T> some);
 
     void reduce() {
-      for (int part = Math.max(1, left.size()); part >= 1; part /= 2) {
-        for (int from = 0; from < left.size(); ) {
-          List<T> without = new ArrayList<>(left.subList(0, from));
-          without.addAll(left.subList(Math.min(left.size(), from + part), left.size()));
-          if (without.size() < left.size() && holds(without)) {
-            left = without;
+      for (int part = Math.max(1, remaining.size()); part >= 1; part /= 2) {
+        for (int from = 0; from < remaining.size(); ) {
+          List<T> without = new ArrayList<>(remaining.subList(0, from));
+          without.addAll(
+              remaining.subList(Math.min(remaining.size(), from + part), remaining.size()));
+          if (without.size() < remaining.size() && breaksWith(without)) {
+            remaining = without;
           } else {
             from += part;
           }
--- a/src/main/java/brassbank/sim/actor/Discovery.java
+++ b/src/main/java/brassbank/sim/actor/Discovery.java
@@ -2,11 +2,11 @@
 
 import brassbank.sim.event.Event;
 import brassbank.sim.net.Endpoint;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -20,35 +20,35 @@
 import java.util.TreeMap;
 
 /**
- * Discovery, which all proxies share: it learns late of what becomes of stream hosts, handles calls
- * one after another, and keeps watches. It can be down, answer 503, stand still, cut its answers,
- * send garbage, and move to another address.
+ * The simulated discovery service, which all proxies share. It receives the status of stream hosts
+ * with a delay, handles calls one after another, and serves watches. It can be down, answer 503,
+ * freeze, truncate its answers, send garbage, and move to another address.
  */
 public final class Discovery {
-  /** Where it listens on its machine. */
+  /** The port on which discovery listens. */
   public static final int PORT = 8500;
 
   private static final int BACKLOG = 128;
   private static final long MILLI = Agenda.MILLI;
   private static final long SECOND = Agenda.SECOND;
 
-  /** A call that has waited for longer fails. */
-  private static final long MOST_WAIT = 3 * SECOND;
+  /** A call that has waited longer than this fails. */
+  private static final long MAX_QUEUE_WAIT = 3 * SECOND;
 
-  /** Work of one call. */
-  private static final long CALL_LEAST = 175 * MILLI;
+  /** Time that discovery needs for one call. */
+  private static final long MIN_CALL_TIME = 175 * MILLI;
 
-  private static final long CALL_MOST = 278 * MILLI;
+  private static final long MAX_CALL_TIME = 278 * MILLI;
 
-  private static final long EMPTY_LINE = 2 * SECOND;
+  private static final long KEEPALIVE_INTERVAL = 2 * SECOND;
 
-  /** An address that was left closes its open connections after this. */
-  private static final long LEFT = 1_500 * MILLI;
+  /** After a move the old address closes its open connections after this time. */
+  private static final long OLD_ADDRESS_LINGER = 1_500 * MILLI;
 
   private static final long FIRST_INDEX = 41;
 
-  /** What it does with its calls. */
-  public enum Manner {
+  /** How discovery responds to calls. */
+  public enum Behavior {
     SOUND("as it should"),
     ERRORS("answers 503"),
     CUTS("ends connections within a line"),
@@ -56,171 +56,194 @@
 
     private final String about;
 
-    Manner(String about) {
+    Behavior(String about) {
       this.about = about;
     }
 
-    /** What it does, for those who write scripts. */
+    /** Returns a description for authors of scripts. */
     public String about() {
       return about;
     }
   }
 
-  /** A change, as one line of a watch tells it. */
+  /** A change of a host's status, as a line of a watch reports it. */
   private record Change(
-      long index, StreamHost of, String host, String status, long since, String rest) {
+      long index, StreamHost source, String host, String status, long since, String rest) {
 
-    /** As the proxy of this name is told it. */
+    /**
+     * Returns the JSON object of the change, with the address under which this proxy reaches the
+     * host.
+     */
     String entry(String proxy) {
-      return "{\"name\":\"" + host + "\",\"address\":\"" + of.address(proxy) + rest;
+      return "{\"name\":\"" + host + "\",\"address\":\"" + source.address(proxy) + rest;
     }
   }
 
   private final World world;
   private final List<Machine> addresses;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private final Map<String, Change> list = new TreeMap<>();
   private final List<Change> log = new ArrayList<>();
-  private final Map<String, Set<String>> told = new HashMap<>();
+  private final Map<String, Set<String>> reportedStarts = new HashMap<>();
   private final Set<Call> calls = new LinkedHashSet<>();
   private long index = FIRST_INDEX;
   private final Deque<Call> queue = new ArrayDeque<>();
-  private boolean working;
-  private int at;
+  private boolean isBusy;
+  private int addressIndex;
   private Program program;
-  private Manner manner = Manner.SOUND;
-  private double slow = 1;
-  private boolean still;
+  private Behavior behavior = Behavior.SOUND;
+  private double slowdown = 1;
+  private boolean frozen;
   private long soundSince;
-  private final List<Runnable> heldBack = new ArrayList<>();
+  private final List<Runnable> deferredUpdates = new ArrayList<>();
 
-  /** {@code addresses}: where it can be; it begins at the first. */
+  /**
+   * Creates the service. It begins at the first of {@code addresses} and can move to the others.
+   */
   public Discovery(World world, List<Machine> addresses) {
     this.world = world;
     this.addresses = addresses;
     this.stream = world.draws().of("discovery");
   }
 
-  /** Where it is now, and where it would be after so many moves. */
+  /** Returns discovery's address after {@code moves} further moves; 0 is the current address. */
   public String address(String proxy, int moves) {
-    return world.addresses().of(proxy, addresses.get((at + moves) % addresses.size()), PORT);
+    return world
+        .addresses()
+        .addressOf(proxy, addresses.get((addressIndex + moves) % addresses.size()), PORT);
   }
 
-  /** All machines that it can be at, the first one first. */
+  /** Returns all machines that discovery can run on, the first one first. */
   public List<Machine> machines() {
     return addresses;
   }
 
+  /** Returns the machine that discovery runs on. */
   public Machine machine() {
-    return addresses.get(at);
+    return addresses.get(addressIndex);
   }
 
-  // ------------------------------------------------------------------- life
+  // Process
 
-  /** Starts with all stream hosts that serve. */
+  /** Starts discovery with all stream hosts that serve in its list. */
   public void start() {
     for (StreamHost host : world.hosts().values()) {
-      if (host.serving()) {
+      if (host.isServing()) {
         list.put(host.name(), change(host, "SERVING"));
       }
     }
-    up();
+    bringUp();
   }
 
-  /** Comes up at its address; it has lost nothing. */
-  public void up() {
-    if (program != null && program.alive()) {
+  /** Starts the process at the current address; no state has been lost. */
+  public void bringUp() {
+    if (program != null && program.isAlive()) {
       return;
     }
     program = new Program(machine(), "discovery", 0, Integer.MAX_VALUE);
-    working = false;
+    isBusy = false;
     Acceptor acceptor = new Acceptor(program);
     try {
       acceptor.port = program.listen(PORT, BACKLOG, acceptor);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
-    disturbed();
+    markDisturbed();
   }
 
-  public void down() {
-    disturbed();
+  /** Ends the process and closes all its connections. */
+  public void takeDown() {
+    markDisturbed();
     calls.clear();
     queue.clear();
     program.kill();
   }
 
   /**
-   * Moves to its next address. The old one accepts nothing new and closes what is open a while
-   * later.
+   * Moves discovery to its next address. The old address accepts no new connections and closes the
+   * open ones {@link #OLD_ADDRESS_LINGER} microseconds later.
    */
-  public void move() {
+  public void moveAddress() {
     Program old = program;
-    Set<Call> left = new LinkedHashSet<>(calls);
+    Set<Call> openCalls = new LinkedHashSet<>(calls);
     queue.clear();
-    at = (at + 1) % addresses.size();
+    addressIndex = (addressIndex + 1) % addresses.size();
     program = null;
-    up();
+    bringUp();
     old.stopListening();
-    old.later(
-        LEFT,
+    old.schedule(
+        OLD_ADDRESS_LINGER,
         () -> {
-          left.forEach(Call::end);
+          openCalls.forEach(Call::close);
           old.kill();
         });
   }
 
-  public void manner(Manner next) {
-    manner = next;
-    disturbed();
-    if (next == Manner.CUTS || next == Manner.ERRORS) {
+  /** Sets how discovery responds to calls; open calls are cut off where it fails. */
+  public void setBehavior(Behavior next) {
+    behavior = next;
+    markDisturbed();
+    if (next == Behavior.CUTS || next == Behavior.ERRORS) {
       for (Call call : List.copyOf(calls)) {
-        call.cut();
+        call.breakOff();
       }
     }
   }
 
-  public void slow(double factor) {
-    slow = factor;
-    disturbed();
+  /** Sets by which factor a call takes longer than usual. */
+  public void setSlowdown(double factor) {
+    slowdown = factor;
+    markDisturbed();
   }
 
-  /** While it stands still it learns nothing; what it missed it learns afterwards. */
-  public void still(boolean on) {
-    still = on;
-    disturbed();
+  /**
+   * Freezes discovery's list, or releases it. While frozen, discovery applies no updates; it
+   * applies the deferred ones on release.
+   */
+  public void setFrozen(boolean on) {
+    frozen = on;
+    markDisturbed();
     if (!on) {
-      List<Runnable> missed = List.copyOf(heldBack);
-      heldBack.clear();
-      missed.forEach(Runnable::run);
+      List<Runnable> updates = List.copyOf(deferredUpdates);
+      deferredUpdates.clear();
+      updates.forEach(Runnable::run);
     }
   }
 
-  private void disturbed() {
+  private void markDisturbed() {
     soundSince = world.now();
   }
 
-  /** Since when it has worked as it should, and could be reached from a proxy's machine. */
+  /**
+   * Returns since when discovery has worked as it should and could be reached from a proxy's
+   * machine.
+   */
   public long soundSince(Machine proxy) {
     boolean sound =
-        program != null && program.alive() && manner == Manner.SOUND && slow <= 1 && !still;
-    return sound ? Math.max(soundSince, world.fabric().calmSince(proxy, machine())) : world.now();
+        program != null
+            && program.isAlive()
+            && behavior == Behavior.SOUND
+            && slowdown <= 1
+            && !frozen;
+    return sound
+        ? Math.max(soundSince, world.fabric().undisturbedSince(proxy, machine()))
+        : world.now();
   }
 
-  // ------------------------------------------------------------- what it knows
+  // List of hosts
 
-  /** It learns of a stream host's status after so many microseconds. */
-  public void learn(StreamHost host, String status, long micros) {
-    world.agenda().after(micros, () -> learnNow(host, status));
+  /** Receives a stream host's status after a delay in microseconds. */
+  public void receiveStatus(StreamHost host, String status, long micros) {
+    world.agenda().after(micros, () -> applyStatus(host, status));
   }
 
-  private void learnNow(StreamHost host, String status) {
-    if (still) {
-      heldBack.add(() -> learnNow(host, status));
+  private void applyStatus(StreamHost host, String status) {
+    if (frozen) {
+      deferredUpdates.add(() -> applyStatus(host, status));
       return;
     }
     if (!status.equals(host.status())) {
-      // It has gone on meanwhile, and what became of it is learnt for itself.
+      // The host's status has changed again, and that change is received separately.
       return;
     }
     Change change = change(host, status);
@@ -230,9 +253,9 @@
     } else {
       list.put(host.name(), change);
     }
-    world.tell(new Event.Listed(host.name(), status));
+    world.publish(new Event.Listed(host.name(), status));
     for (Call call : List.copyOf(calls)) {
-      call.tellSoon();
+      call.scheduleChanges();
     }
   }
 
@@ -254,7 +277,9 @@
     return new Change(index, host, host.name(), status, host.since(), rest);
   }
 
-  /** The whole list in its own form, as it stands now and as this proxy is told it. */
+  /**
+   * Returns the complete list as JSON, with the addresses under which this proxy reaches the hosts.
+   */
   public String list(String proxy) {
     return object(proxy, index, true, List.copyOf(list.values()));
   }
@@ -263,52 +288,60 @@
     StringBuilder text = new StringBuilder();
     text.append("{\"index\":").append(index).append(",\"snapshot\":").append(whole);
     text.append(",\"endpoints\":[");
-    String between = "";
+    String separator = "";
     for (Change change : changes) {
-      text.append(between).append(change.entry(proxy));
-      between = ",";
+      text.append(separator).append(change.entry(proxy));
+      separator = ",";
     }
     return text.append("]}").toString();
   }
 
-  /** What a proxy knows from its start, by its configuration. */
-  public void knows(String proxy, boolean all) {
-    told.remove(proxy);
+  /**
+   * Resets what was reported to a proxy whose process starts. {@code all}: its settings list the
+   * hosts that discovery knows.
+   */
+  public void resetReported(String proxy, boolean all) {
+    reportedStarts.remove(proxy);
     if (all) {
-      list.values().forEach(change -> remember(proxy, change));
+      list.values().forEach(change -> recordReported(proxy, change));
     }
   }
 
-  /** Whether this proxy has been told that the host serves since its last start. */
-  boolean hasToldStart(String proxy, StreamHost host) {
-    return told.getOrDefault(proxy, Set.of()).contains(host.name() + " " + host.since());
+  /**
+   * Returns whether the host's current start was reported to this proxy since the proxy's last
+   * start.
+   */
+  boolean hasReportedStart(String proxy, StreamHost host) {
+    return reportedStarts.getOrDefault(proxy, Set.of()).contains(host.name() + " " + host.since());
   }
 
-  private void remember(String proxy, Change change) {
+  private void recordReported(String proxy, Change change) {
     if (change.status().equals("SERVING")) {
-      told.computeIfAbsent(proxy, p -> new HashSet<>()).add(change.host() + " " + change.since());
+      reportedStarts
+          .computeIfAbsent(proxy, p -> new HashSet<>())
+          .add(change.host() + " " + change.since());
     }
   }
 
-  /** Handles the calls one after another. */
-  private void work() {
-    if (working || queue.isEmpty()) {
+  /** Handles the next call of the queue, if no other is being handled. */
+  private void handleNext() {
+    if (isBusy || queue.isEmpty()) {
       return;
     }
-    working = true;
+    isBusy = true;
     Call next = queue.remove();
-    next.owner.later(
-        (long) (slow * stream.micros(CALL_LEAST, CALL_MOST)),
+    next.owner.schedule(
+        (long) (slowdown * stream.micros(MIN_CALL_TIME, MAX_CALL_TIME)),
         () -> {
-          working = false;
+          isBusy = false;
           next.handle();
-          work();
+          handleNext();
         });
   }
 
   private final class Acceptor implements Runnable {
     private final Program owner;
-    private Port port;
+    private ListeningSocket port;
 
     Acceptor(Program owner) {
       this.owner = owner;
@@ -322,182 +355,189 @@
     }
   }
 
-  /** One connection, which brings one call. */
-  private final class Call implements Lines.Taker {
+  /** One connection, which carries one call. */
+  private final class Call implements LineConnection.Listener {
     private final Program owner;
     private final String proxy;
-    private final Lines lines;
+    private final LineConnection lines;
     private String request;
-    private boolean over;
+    private boolean closed;
     private boolean watching;
-    private boolean telling;
-    private long toldIndex;
-    private long lineAt;
+    private boolean changesScheduled;
+    private long sentIndex;
+    private long lastLineAt;
 
     Call(Program owner, Endpoint endpoint) {
       this.owner = owner;
       proxy = endpoint.peerMachine().name();
-      lines = new Lines(endpoint, this);
+      lines = new LineConnection(endpoint, this);
     }
 
     @Override
-    public void line(String line) {
+    public void onLine(String line) {
       if (request == null) {
         request = line;
       } else if (line.isEmpty()) {
-        world.tell(new Event.ListCalled(proxy, request.contains("follow=1")));
+        world.publish(new Event.ListCalled(proxy, request.contains("follow=1")));
         queue.add(this);
-        owner.later(MOST_WAIT, this::waitedTooLong);
-        work();
+        owner.schedule(MAX_QUEUE_WAIT, this::waitedTooLong);
+        handleNext();
       }
     }
 
     private void waitedTooLong() {
       if (queue.remove(this)) {
-        disturbed();
-        status("503 Service Unavailable");
+        markDisturbed();
+        sendStatus("503 Service Unavailable");
       }
     }
 
     private void handle() {
-      if (over) {
+      if (closed) {
         return;
       }
       String[] parts = request.split(" ");
       boolean known = parts.length == 3 && parts[0].equals("GET");
       String path = known ? parts[1] : "";
-      if (manner == Manner.ERRORS) {
-        status("503 Service Unavailable");
+      if (behavior == Behavior.ERRORS) {
+        sendStatus("503 Service Unavailable");
       } else if (path.equals("/api/targets")) {
-        whole();
+        sendList();
       } else if (path.matches("/api/targets\\?follow=1&since=\\d{1,18}")) {
         watch(Long.parseLong(path.substring(path.lastIndexOf('=') + 1)));
       } else {
-        status("404 Not Found");
+        sendStatus("404 Not Found");
       }
     }
 
-    private void status(String text) {
+    private void sendStatus(String text) {
       lines.send("HTTP/1.1 " + text + "\r\nContent-Length: 0\r\nConnection: close\r\n");
-      end();
+      close();
     }
 
-    private void whole() {
-      if (manner == Manner.CUTS) {
+    private void sendList() {
+      if (behavior == Behavior.CUTS) {
         lines.send("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n");
         lines.sendBytes("{\"index\":".getBytes());
-        end();
+        close();
         return;
       }
-      String text = manner == Manner.GARBAGE ? "{\"index\":" + index + ",\"end" : list(proxy);
+      String text = behavior == Behavior.GARBAGE ? "{\"index\":" + index + ",\"end" : list(proxy);
       lines.send(
           "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
               + text.length()
               + "\r\n");
       lines.sendBytes(text.getBytes());
-      if (manner == Manner.SOUND) {
-        tellAll();
+      if (behavior == Behavior.SOUND) {
+        reportAll();
       }
-      end();
+      close();
     }
 
-    private void tellAll() {
+    private void reportAll() {
       world.hosts().values().stream()
           .filter(host -> !list.containsKey(host.name()))
-          .forEach(host -> tellGone(host.name()));
-      list.values().forEach(this::tell);
+          .forEach(host -> reportRemovedOnArrival(host.name()));
+      list.values().forEach(this::reportOnArrival);
     }
 
-    /** It is told once it has arrived: what is written into a cut way tells nobody. */
-    private void tell(Change change) {
+    /**
+     * Records a change as reported once it has arrived at the proxy: a change that is written to a
+     * broken network path never arrives.
+     */
+    private void reportOnArrival(Change change) {
       lines
           .endpoint()
-          .whenArrived(
+          .onDelivered(
               () -> {
-                remember(proxy, change);
-                world.tell(new Event.Told(proxy, change.host(), change.status()));
+                recordReported(proxy, change);
+                world.publish(new Event.Told(proxy, change.host(), change.status()));
               });
     }
 
-    private void tellGone(String host) {
-      lines.endpoint().whenArrived(() -> world.tell(new Event.Told(proxy, host, "DELETED")));
+    private void reportRemovedOnArrival(String host) {
+      lines.endpoint().onDelivered(() -> world.publish(new Event.Told(proxy, host, "DELETED")));
     }
 
     private void watch(long since) {
       watching = true;
       lines.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n");
       if (since < FIRST_INDEX || since > index) {
-        chunk(list(proxy));
-        tellAll();
-        toldIndex = index;
+        sendChunk(list(proxy));
+        reportAll();
+        sentIndex = index;
       } else {
-        toldIndex = since;
-        tellNow(true);
+        sentIndex = since;
+        sendChanges(true);
       }
       keepAlive();
     }
 
-    /** The changes since what was told last; an object without any only as a watch's first. */
-    private void tellNow(boolean first) {
-      telling = false;
-      if (over) {
+    /**
+     * Sends the changes since the last ones sent. An object without changes is sent only as the
+     * first of a watch.
+     */
+    private void sendChanges(boolean first) {
+      changesScheduled = false;
+      if (closed) {
         return;
       }
-      List<Change> changes = log.stream().filter(change -> change.index() > toldIndex).toList();
+      List<Change> changes = log.stream().filter(change -> change.index() > sentIndex).toList();
       if (changes.isEmpty() && !first) {
         return;
       }
       String text = object(proxy, index, false, changes);
-      if (manner == Manner.GARBAGE) {
-        chunk(text.substring(0, text.length() / 2));
+      if (behavior == Behavior.GARBAGE) {
+        sendChunk(text.substring(0, text.length() / 2));
         return;
       }
-      chunk(text);
-      toldIndex = index;
-      changes.forEach(this::tell);
-      if (manner == Manner.CUTS) {
-        cut();
+      sendChunk(text);
+      sentIndex = index;
+      changes.forEach(this::reportOnArrival);
+      if (behavior == Behavior.CUTS) {
+        breakOff();
       }
     }
 
-    void tellSoon() {
-      if (watching && !telling && !over) {
-        telling = true;
-        owner.later(stream.micros(10 * MILLI, 120 * MILLI), () -> tellNow(false));
+    void scheduleChanges() {
+      if (watching && !changesScheduled && !closed) {
+        changesScheduled = true;
+        owner.schedule(stream.micros(10 * MILLI, 120 * MILLI), () -> sendChanges(false));
       }
     }
 
     private void keepAlive() {
-      if (!over) {
-        long quiet = world.now() - lineAt;
-        if (quiet >= EMPTY_LINE) {
-          chunk(manner == Manner.GARBAGE ? "%&/" : "");
+      if (!closed) {
+        long idle = world.now() - lastLineAt;
+        if (idle >= KEEPALIVE_INTERVAL) {
+          sendChunk(behavior == Behavior.GARBAGE ? "%&/" : "");
         }
-        owner.later(Math.max(MILLI, EMPTY_LINE - (world.now() - lineAt)), this::keepAlive);
+        owner.schedule(
+            Math.max(MILLI, KEEPALIVE_INTERVAL - (world.now() - lastLineAt)), this::keepAlive);
       }
     }
 
-    private void chunk(String line) {
-      lineAt = world.now();
+    private void sendChunk(String line) {
+      lastLineAt = world.now();
       lines.send(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n");
     }
 
-    /** Ends it within a line. */
-    void cut() {
-      if (!over) {
+    /** Closes the connection in the middle of a line. */
+    void breakOff() {
+      if (!closed) {
         lines.sendBytes("40\r\n{\"index\":".getBytes());
-        end();
+        close();
       }
     }
 
     @Override
-    public void ended(boolean reset) {
-      end();
+    public void onEnd(boolean reset) {
+      close();
     }
 
-    void end() {
-      if (!over) {
-        over = true;
+    void close() {
+      if (!closed) {
+        closed = true;
         calls.remove(this);
         queue.remove(this);
         lines.close();
--- a/src/main/java/brassbank/sim/actor/StreamHost.java
+++ b/src/main/java/brassbank/sim/actor/StreamHost.java
@@ -2,11 +2,11 @@
 
 import brassbank.sim.event.Event;
 import brassbank.sim.net.Endpoint;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -17,59 +17,61 @@
 import java.util.Set;
 
 /**
- * A stream host: takes attempts with every row of the protocol's outcome table, holds connections,
- * answers probes, warms up, drains, and falls over if it is pushed while cold.
+ * A simulated stream host: answers attempts with every outcome that the protocol allows, holds
+ * sessions, answers probes, warms up, drains, and fails if it is overloaded while cold.
  */
 public final class StreamHost {
-  /** Where it listens on its machine. */
+  /** The port on which stream hosts listen. */
   public static final int PORT = 7070;
 
   private static final int BACKLOG = 128;
   private static final long MILLI = Agenda.MILLI;
   private static final long SECOND = Agenda.SECOND;
 
-  /** Work of taking one connection, on a core of speed 1. */
-  private static final long HANDSHAKE_LEAST = 740;
+  /** Work of accepting one connection, in microseconds on a core of speed 1. */
+  private static final long MIN_HANDSHAKE_WORK = 740;
 
-  private static final long HANDSHAKE_MOST = 1_500;
-  private static final long SETUP_LEAST = 2_000;
-  private static final long SETUP_MOST = 17_000;
+  private static final long MAX_HANDSHAKE_WORK = 1_500;
+  private static final long MIN_SETUP_WORK = 2_000;
+  private static final long MAX_SETUP_WORK = 17_000;
 
-  private static final long PROBE_LEAST = 110;
-  private static final long PROBE_MOST = 230;
+  private static final long MIN_PROBE_WORK = 110;
+  private static final long MAX_PROBE_WORK = 230;
 
-  /** A line is returned after this on a host that is not busy. */
-  private static final long ECHO = 1 * MILLI;
+  /** A host that is not busy echoes a line after this time. */
+  private static final long ECHO_DELAY = 1 * MILLI;
 
-  /** Connections a host holds at most, for each that it can serve well. */
-  private static final double CAP = 2.5;
+  /** Maximum number of connections, as a multiple of the number that the host can serve well. */
+  private static final double MAX_CONNECTIONS_FACTOR = 2.5;
 
-  private static final long LOOK = 100 * MILLI;
+  private static final long OVERLOAD_CHECK_INTERVAL = 100 * MILLI;
 
-  /** Between two bytes of an answer that drips. */
-  private static final long DRIP = 30 * MILLI;
+  /** Interval between the bytes of an answer that is sent one byte at a time. */
+  private static final long DRIP_INTERVAL = 30 * MILLI;
 
-  /** An idle connection of a probe is closed after this. */
-  private static final long IDLE = 5 * SECOND;
+  /** An idle probe connection is closed after this time. */
+  private static final long IDLE_TIMEOUT = 5 * SECOND;
 
-  /** A push that a few heavy connections could make by chance. */
-  private static final double FALL_SLACK = 3;
+  /**
+   * Additional load, in connections of mean load, that a few heavy connections may cause by chance.
+   */
+  private static final double OVERLOAD_SLACK = 3;
 
   /**
-   * What an attempt costs a cold host, turned away or not, against a connection that it holds: what
-   * a warm one has at hand, as the project's model, it must load first.
+   * Load of an attempt at a cold host, rejected or not, relative to an established connection: a
+   * cold host must first load what a warm one has in memory, such as the project's model.
    */
   private static final double ATTEMPT_WEIGHT = 2;
 
-  /** Share of connections on which much comes at once, and how many lines that is. */
-  private static final double PUSHES = 0.06;
+  /** Share of connections on which the host sends many lines at once, and how many lines. */
+  private static final double PUSH_SHARE = 0.06;
 
-  private static final int PUSH_LEAST = 20;
-  private static final int PUSH_MOST = 150;
-  private static final int LONGEST_PUSH = 3_900;
+  private static final int MIN_PUSH_LINES = 20;
+  private static final int MAX_PUSH_LINES = 150;
+  private static final int MAX_PUSH_LENGTH = 3_900;
 
-  /** What the host does with an attempt, apart from serving it. */
-  public enum Manner {
+  /** How the host responds to an attempt. */
+  public enum Behavior {
     SERVES("serves it"),
     LOSES("loses it, while probes are answered"),
     ERRS("answers ERR"),
@@ -84,18 +86,18 @@
 
     private final String about;
 
-    Manner(String about) {
+    Behavior(String about) {
       this.about = about;
     }
 
-    /** What it does, for those who write scripts. */
+    /** Returns a description for authors of scripts. */
     public String about() {
       return about;
     }
   }
 
-  /** What its load reports say. */
-  public enum Reports {
+  /** How the host's load reports differ from its load. */
+  public enum LoadReports {
     TRUE("with what there is"),
     LOW("with far less load than there is"),
     GARBAGE("with no figure at all"),
@@ -103,11 +105,11 @@
 
     private final String about;
 
-    Reports(String about) {
+    LoadReports(String about) {
       this.about = about;
     }
 
-    /** What it does, for those who write scripts. */
+    /** Returns a description for authors of scripts. */
     public String about() {
       return about;
     }
@@ -121,10 +123,14 @@
 
   private record Report(long visibleAt, double load, double backlog, double rate, double errors) {}
 
-  /** What it was asked for at a moment, and how much of that by proxies that knew of its start. */
-  private record Pressure(long at, double asked, double told, double capacity) {}
+  /**
+   * The load on a cold host at a moment, and the part of it from proxies to which discovery had
+   * reported the host's start.
+   */
+  private record LoadSample(long at, double demand, double informedDemand, double capacity) {}
 
-  private record Arrival(long at, boolean told, double load) {}
+  /** An attempt that has arrived; {@code informed}: its proxy knew of the host's start. */
+  private record Arrival(long at, boolean informed, double load) {}
 
   private final World world;
   private final String name;
@@ -134,27 +140,27 @@
   private final double coldFrom;
   private final long warmUp;
   private final double capacity;
-  private final Draws.Stream stream;
+  private final RandomStreams.Stream stream;
   private final long reportPeriod;
   private final Set<Connection> connections = new LinkedHashSet<>();
-  private final Deque<Report> reports = new ArrayDeque<>();
-  private final Deque<Pressure> pressures = new ArrayDeque<>();
+  private final Deque<Report> recentReports = new ArrayDeque<>();
+  private final Deque<LoadSample> loadSamples = new ArrayDeque<>();
   private final Deque<Arrival> arrivals = new ArrayDeque<>();
 
   private State state = State.DOWN;
   private Program program;
   private long startedAt;
   private long since;
-  private long freeAt;
-  private int receipts;
+  private long idleAt;
+  private int receiptCount;
   private int served;
   private int errors;
 
-  private Manner manner = Manner.SERVES;
-  private double mannerShare = 1;
-  private Reports truth = Reports.TRUE;
-  private double slow = 1;
-  private long reportLate;
+  private Behavior behavior = Behavior.SERVES;
+  private double behaviorShare = 1;
+  private LoadReports loadReports = LoadReports.TRUE;
+  private double slowdown = 1;
+  private long reportDelay;
   private boolean fallen;
   private long pausedUntil;
 
@@ -163,7 +169,7 @@
     this.name = name;
     this.machine = machine;
     this.kind = kind;
-    Draws.Stream model = world.draws().of("model of " + name);
+    RandomStreams.Stream model = world.draws().of("model of " + name);
     speed = model.between(kind.speedLeast(), kind.speedMost());
     coldFrom = Math.max(world.site().coldShare(), model.between(kind.coldLeast(), kind.coldMost()));
     warmUp =
@@ -187,26 +193,26 @@
     return kind;
   }
 
-  /** As the proxy of this name is told it. */
+  /** Returns the address under which this proxy reaches the host. */
   String address(String proxy) {
-    return world.addresses().of(proxy, machine, PORT);
+    return world.addresses().addressOf(proxy, machine, PORT);
   }
 
-  /** Connections of mean load that it serves well once it is warm. */
+  /** Returns the number of connections of mean load that the host serves well once it is warm. */
   public double capacity() {
     return capacity;
   }
 
-  /** The same, as far as it is warm now. */
-  public double capacityNow() {
+  /** Returns the host's capacity at its present warmth. */
+  public double currentCapacity() {
     return capacity * warmth();
   }
 
-  public boolean serving() {
+  public boolean isServing() {
     return state == State.SERVING;
   }
 
-  /** Its state, in discovery's words. */
+  /** Returns the host's state, as discovery names it. */
   String status() {
     return switch (state) {
       case DOWN -> "DELETED";
@@ -215,19 +221,22 @@
     };
   }
 
-  /** Whether it was pushed over and so stays down. */
-  public boolean fallen() {
+  /** Returns whether the host failed under overload, after which it stays down. */
+  public boolean hasFallen() {
     return fallen;
   }
 
-  /** When it began to serve, in microseconds of the run; 0 where it stood at the beginning. */
+  /**
+   * Returns when the host began to serve, in microseconds of the run; 0 where it already ran at the
+   * beginning.
+   */
   public long since() {
     return since;
   }
 
-  // ------------------------------------------------------------------- life
+  // Process
 
-  /** Starts its process; {@code warm}: it has run for long. */
+  /** Starts the host's process; {@code warm}: it counts as having run for a long time. */
   public void start(boolean warm) {
     if (state != State.DOWN || fallen) {
       return;
@@ -235,10 +244,10 @@
     program = new Program(machine, name, 0, Integer.MAX_VALUE);
     startedAt = world.now();
     since = warm ? 0 : Math.max(1, startedAt);
-    freeAt = 0;
+    idleAt = 0;
     state = State.SERVING;
-    reports.clear();
-    pressures.clear();
+    recentReports.clear();
+    loadSamples.clear();
     arrivals.clear();
     Acceptor acceptor = new Acceptor();
     try {
@@ -246,63 +255,64 @@
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
-    sample();
-    look();
-    world.tell(new Event.HostStarted(name, !warm));
+    sampleLoad();
+    checkOverload();
+    world.publish(new Event.HostStarted(name, !warm));
   }
 
   private final class Acceptor implements Runnable {
-    private Port port;
+    private ListeningSocket port;
 
     @Override
     public void run() {
       for (Endpoint endpoint = port.accept(); endpoint != null; endpoint = port.accept()) {
         connections.add(new Connection(endpoint));
-        world.tell(new Event.HostConnected(name, endpoint.peerMachine().name()));
+        world.publish(new Event.HostConnected(name, endpoint.peerMachine().name()));
       }
     }
   }
 
-  /** Drains: all clients are sent away at once, nothing new is taken. */
+  /** Drains the host: sends all clients away at once and takes no new sessions. */
   public void drain() {
     if (state != State.SERVING) {
       return;
     }
     state = State.DRAINING;
-    world.tell(new Event.HostDrains(name));
+    world.publish(new Event.HostDrains(name));
     for (Connection connection : List.copyOf(connections)) {
-      if (connection.up) {
+      if (connection.established) {
         connection.lines.send("MOVE");
         connection.end(false);
       }
     }
   }
 
-  /** Its process dies: connections are reset, new ones refused. */
+  /** Kills the host's process: its connections are reset and new ones refused. */
   public void kill() {
     if (state == State.DOWN) {
       return;
     }
     state = State.DOWN;
     for (Connection connection : List.copyOf(connections)) {
-      if (connection.flow != null && !connection.over) {
-        connection.tell(
-            new Event.HostEnded(connection.flow, name, connection.up, true, machine.dark()));
+      if (connection.flow != null && !connection.closed) {
+        connection.publish(
+            new Event.HostEnded(
+                connection.flow, name, connection.established, true, machine.hasNoPower()));
       }
-      connection.over = true;
+      connection.closed = true;
     }
     connections.clear();
     program.kill();
-    world.tell(new Event.HostGone(name));
+    world.publish(new Event.HostGone(name));
   }
 
-  /** Its machine loses its power: nothing is told to anybody. */
-  public void darken() {
-    machine.darken();
+  /** Cuts the power of the host's machine: its peers receive no sign of that. */
+  public void losePower() {
+    machine.losePower();
     kill();
   }
 
-  /** Nothing of it runs for a while; its kernel goes on. */
+  /** Pauses the host's process, while the machine's kernel continues. */
   public void pause(long micros) {
     if (state != State.DOWN) {
       pausedUntil = Math.max(pausedUntil, world.now() + micros);
@@ -310,31 +320,35 @@
     }
   }
 
-  /** Until when nothing of it runs, or did not run. */
+  /** Returns until when the process is paused, or when its last pause ended. */
   long pausedUntil() {
     return pausedUntil;
   }
 
-  public void manner(Manner next, double share) {
-    manner = next;
-    mannerShare = share;
+  /** Sets how the host responds to attempts, and to which share of them. */
+  public void setBehavior(Behavior next, double share) {
+    behavior = next;
+    behaviorShare = share;
   }
 
-  public void reports(Reports next) {
-    truth = next;
+  /** Sets how the host's load reports differ from its load. */
+  public void setLoadReports(LoadReports next) {
+    loadReports = next;
   }
 
-  /** How many times slower than usual it is. */
-  public void slow(double factor) {
-    slow = factor;
+  /** Sets by which factor the host is slower than usual. */
+  public void setSlowdown(double factor) {
+    slowdown = factor;
   }
 
-  /** Load reports show up so much later than usual. */
-  public void reportLate(long micros) {
-    reportLate = micros;
+  /** Delays load reports by {@code micros} in addition to their usual delay. */
+  public void setReportDelay(long micros) {
+    reportDelay = micros;
   }
 
-  /** Resets all connections that stand, as a middle box that forgets them does. */
+  /**
+   * Resets this share of the connections, as a middlebox does that has lost its connection table.
+   */
   public void resetConnections(double share) {
     for (Connection connection : List.copyOf(connections)) {
       if (stream.chance(share)) {
@@ -343,7 +357,7 @@
     }
   }
 
-  // ------------------------------------------------------------------- load
+  // Load
 
   private double warmth() {
     if (since == 0) {
@@ -353,37 +367,38 @@
     return coldFrom + (1 - coldFrom) * Math.min(1, age);
   }
 
-  /** Load asked over what it can do now. */
-  public double asked() {
+  /** Returns the load of the established connections, relative to the host's current capacity. */
+  public double utilization() {
     double load = 0;
     Set<String> groups = new LinkedHashSet<>();
     for (Connection connection : connections) {
-      if (connection.up) {
+      if (connection.established) {
         load += connection.load;
         groups.add(connection.group);
       }
     }
-    return (load + world.site().groupCost() * groups.size()) * slow / capacityNow();
+    return (load + world.site().groupCost() * groups.size()) * slowdown / currentCapacity();
   }
 
-  private void sample() {
-    double backlog = Math.max(0, freeAt - world.now()) / (double) SECOND;
+  private void sampleLoad() {
+    double backlog = Math.max(0, idleAt - world.now()) / (double) SECOND;
     double seconds = reportPeriod / (double) SECOND;
-    long visible = world.now() + stream.micros(72 * MILLI, 410 * MILLI) + reportLate;
+    long visible = world.now() + stream.micros(72 * MILLI, 410 * MILLI) + reportDelay;
     double noise = 1 + stream.between(-0.05, 0.05);
-    reports.add(new Report(visible, asked() * noise, backlog, served / seconds, errors / seconds));
+    recentReports.add(
+        new Report(visible, utilization() * noise, backlog, served / seconds, errors / seconds));
     served = 0;
     errors = 0;
-    program.later(reportPeriod, this::sample);
+    program.schedule(reportPeriod, this::sampleLoad);
   }
 
   private String stats() {
-    while (reports.size() > 1 && second().visibleAt() <= world.now()) {
-      reports.removeFirst();
+    while (recentReports.size() > 1 && secondReport().visibleAt() <= world.now()) {
+      recentReports.removeFirst();
     }
-    Report report = reports.peek();
-    double load = truth == Reports.LOW ? 0.02 : report.load();
-    return truth == Reports.GARBAGE
+    Report report = recentReports.peek();
+    double load = loadReports == LoadReports.LOW ? 0.02 : report.load();
+    return loadReports == LoadReports.GARBAGE
         ? "PONG x0=many,x1="
         : "PONG x0="
             + rounded(load)
@@ -395,8 +410,8 @@
             + rounded(report.errors());
   }
 
-  private Report second() {
-    var each = reports.iterator();
+  private Report secondReport() {
+    var each = recentReports.iterator();
     each.next();
     return each.next();
   }
@@ -405,17 +420,21 @@
     return String.valueOf(Math.round(value * 1000) / 1000.0);
   }
 
-  /** Work on a queue that all cores share; when it is done. */
-  private long work(long micros) {
-    double cost = micros * slow / (speed * warmth() * kind.cores());
-    freeAt = Math.max(freeAt, world.now()) + (long) cost;
-    return freeAt - world.now();
+  /**
+   * Adds work to the queue that all cores share.
+   *
+   * @return the time until this work is done, in microseconds
+   */
+  private long enqueueWork(long micros) {
+    double cost = micros * slowdown / (speed * warmth() * kind.cores());
+    idleAt = Math.max(idleAt, world.now()) + (long) cost;
+    return idleAt - world.now();
   }
 
-  // ------------------------------------------------------------- falling over
+  // Overload of a cold host
 
-  /** Looks whether it is being pushed over, which only a cold host can be. */
-  private void look() {
+  /** Checks whether the host is overloaded, which makes it fail only while it is cold. */
+  private void checkOverload() {
     if (state != State.SERVING || warmth() >= 1) {
       return;
     }
@@ -424,110 +443,116 @@
     while (!arrivals.isEmpty() && arrivals.peek().at() < from) {
       arrivals.removeFirst();
     }
-    double asked = 0;
-    double told = 0;
+    double demand = 0;
+    double informedDemand = 0;
     for (Connection connection : connections) {
-      if (connection.up) {
-        asked += connection.load;
-        told += connection.told ? connection.load : 0;
+      if (connection.established) {
+        demand += connection.load;
+        informedDemand += connection.informed ? connection.load : 0;
       }
     }
     for (Arrival arrival : arrivals) {
-      asked += ATTEMPT_WEIGHT * arrival.load();
-      told += arrival.told() ? ATTEMPT_WEIGHT * arrival.load() : 0;
+      demand += ATTEMPT_WEIGHT * arrival.load();
+      informedDemand += arrival.informed() ? ATTEMPT_WEIGHT * arrival.load() : 0;
     }
-    pressures.add(new Pressure(now, asked, told, capacityNow()));
-    while (pressures.peek().at() < from) {
-      pressures.removeFirst();
+    loadSamples.add(new LoadSample(now, demand, informedDemand, currentCapacity()));
+    while (loadSamples.peek().at() < from) {
+      loadSamples.removeFirst();
     }
-    int placed = (int) arrivals.stream().filter(Arrival::told).count();
+    int placed = (int) arrivals.stream().filter(Arrival::informed).count();
     Site site = world.site();
-    double turnover = capacityNow() / Client.meanLoadSeconds(site);
+    double turnover = currentCapacity() / Client.meanLoadSeconds(site);
     double bears = site.fallMultiple() * turnover * site.fallWindow() / SECOND;
-    world.tell(new Event.ColdHostAsked(name, toldShare() * pushedBy(), placed, bears));
-    if (now - startedAt >= world.site().fallWindow() && pushedBy() > 1) {
+    world.publish(new Event.ColdHostAsked(name, informedShare() * overload(), placed, bears));
+    if (now - startedAt >= world.site().fallWindow() && overload() > 1) {
       fallen = true;
-      world.tell(new Event.HostFellOver(name, toldShare()));
+      world.publish(new Event.HostFellOver(name, informedShare()));
       kill();
       return;
     }
-    program.later(LOOK, this::look);
+    program.schedule(OVERLOAD_CHECK_INTERVAL, this::checkOverload);
   }
 
-  /** What it is asked for over what it can bear, in the time that counts for its fall. */
-  private double pushedBy() {
-    double asked = 0;
-    double could = 0;
-    for (Pressure pressure : pressures) {
-      asked += pressure.asked();
-      could += pressure.capacity();
+  /**
+   * Returns the load relative to what the host withstands, over the window that decides on its
+   * failure.
+   */
+  private double overload() {
+    double demand = 0;
+    double capacity = 0;
+    for (LoadSample sample : loadSamples) {
+      demand += sample.demand();
+      capacity += sample.capacity();
     }
-    return asked / (world.site().fallMultiple() * could + FALL_SLACK * pressures.size());
+    return demand / (world.site().fallMultiple() * capacity + OVERLOAD_SLACK * loadSamples.size());
   }
 
-  private double toldShare() {
-    double asked = 0;
-    double told = 0;
-    for (Pressure pressure : pressures) {
-      asked += pressure.asked();
-      told += pressure.told();
+  private double informedShare() {
+    double demand = 0;
+    double informedDemand = 0;
+    for (LoadSample sample : loadSamples) {
+      demand += sample.demand();
+      informedDemand += sample.informedDemand();
     }
-    return asked == 0 ? 0 : told / asked;
+    return demand == 0 ? 0 : informedDemand / demand;
   }
 
-  // ------------------------------------------------------------ a connection
+  // Connections
 
-  private final class Connection implements Lines.Taker {
-    private final Lines lines;
+  private final class Connection implements LineConnection.Listener {
+    private final LineConnection lines;
     private final String proxy;
     private String flow;
     private String group = "";
     private double load = 1;
 
-    /** The proxy knew of the host's start when it sent this. */
-    private boolean told;
+    /** The proxy knew of the host's start when it sent the attempt. */
+    private boolean informed;
 
-    private boolean up;
-    private boolean over;
+    private boolean established;
+    private boolean closed;
 
-    /** The proxy has ended its side, though nothing may tell the host of that. */
-    private boolean left;
+    /** The proxy has closed its side, although the host may receive no sign of that. */
+    private boolean leftByProxy;
 
     private long echoFreeAt;
     private Agenda.Entry idle;
 
     Connection(Endpoint endpoint) {
       proxy = endpoint.peerMachine().name();
-      lines = new Lines(endpoint, this);
-      endpoint.whenPeerEnds(this::proxyEnded);
+      lines = new LineConnection(endpoint, this);
+      endpoint.onPeerOutputEnd(this::proxyEnded);
       waitForProbe();
     }
 
     private void waitForProbe() {
-      idle = program.later(IDLE, () -> end(false));
+      idle = program.schedule(IDLE_TIMEOUT, () -> end(false));
     }
 
     private void proxyEnded() {
-      if (flow != null && !left) {
-        world.flows().over(flow);
-        tell(new Event.ProxyEnded(flow, name, up));
+      if (flow != null && !leftByProxy) {
+        world.flows().closed(flow);
+        publish(new Event.ProxyEnded(flow, name, established));
       }
-      left = true;
+      leftByProxy = true;
     }
 
-    /** What becomes of a connection that the proxy has left is of no interest to any rule. */
-    private void tell(Event event) {
-      if (!left) {
-        world.tell(event);
+    /**
+     * Publishes an event, unless the proxy has closed the connection: what happens to it afterwards
+     * concerns no rule.
+     */
+    private void publish(Event event) {
+      if (!leftByProxy) {
+        world.publish(event);
       }
     }
 
     @Override
-    public void line(String line) {
-      if (up) {
-        passed(line);
+    public void onLine(String line) {
+      if (established) {
+        echo(line);
       } else if (flow != null) {
-        unreadable(line);
+        rejectUnreadable(line);
       } else if (line.equals("PING") || line.equals("STATS")) {
         idle.cancel();
         waitForProbe();
@@ -536,30 +561,34 @@
         idle.cancel();
         open(line);
       } else {
-        unreadable(line);
+        rejectUnreadable(line);
       }
     }
 
-    private void unreadable(String line) {
-      world.tell(new Event.HostCannotRead(name, proxy, line));
+    private void rejectUnreadable(String line) {
+      world.publish(new Event.HostCannotRead(name, proxy, line));
       lines.send("SYNTAX");
       end(false);
     }
 
     private void probe(String line) {
-      long calm = Math.max(pausedUntil, lines.endpoint().calmSince());
-      world.tell(new Event.ProbeArrived(name, proxy, line, calm));
-      program.later(
-          work(stream.micros(PROBE_LEAST, PROBE_MOST)),
+      long calm = Math.max(pausedUntil, lines.endpoint().undisturbedSince());
+      world.publish(new Event.ProbeArrived(name, proxy, line, calm));
+      program.schedule(
+          enqueueWork(stream.micros(MIN_PROBE_WORK, MAX_PROBE_WORK)),
           () -> {
-            if (!over) {
-              boolean errs = state == State.DRAINING || truth == Reports.ERRORS;
+            if (!closed) {
+              boolean errs = state == State.DRAINING || loadReports == LoadReports.ERRORS;
               lines.send(errs ? "ERR" : line.equals("PING") ? "PONG" : stats());
             }
           });
     }
 
-    /** The line's parts as the protocol page has them. */
+    /**
+     * Handles an {@code OPEN} line: the flow's id, a key, and options of the form {@code
+     * name=value} joined by commas, among them the class {@code c}, the deadline {@code d} and the
+     * lifetime {@code life}, both in milliseconds.
+     */
     private void open(String line) {
       String[] parts = line.split(" ", -1);
       Map<String, String> values = new LinkedHashMap<>();
@@ -571,42 +600,43 @@
       }
       String wait = values.getOrDefault("d", "");
       if (!wait.matches("\\d{1,9}") || !values.containsKey("life") || !values.containsKey("c")) {
-        unreadable(line);
+        rejectUnreadable(line);
         return;
       }
       flow = parts[1];
       group = values.getOrDefault("g", "");
       load = Double.parseDouble(values.getOrDefault("load", "1"));
-      world.tell(
+      world.publish(
           new Event.AttemptArrived(
               flow,
               name,
               proxy,
               lines.endpoint().peerFirstWriteAt(),
-              lines.endpoint().peerHasEnded()));
-      left = lines.endpoint().peerHasEnded();
-      if (!left) {
-        world.flows().host(flow, lines.endpoint(), StreamHost.this);
+              lines.endpoint().hasPeerEndedOutput()));
+      leftByProxy = lines.endpoint().hasPeerEndedOutput();
+      if (!leftByProxy) {
+        world.flows().setHost(flow, lines.endpoint(), StreamHost.this);
       }
-      told = world.discovery().hasToldStart(proxy, StreamHost.this);
-      arrivals.add(new Arrival(world.now(), told, load));
+      informed = world.discovery().hasReportedStart(proxy, StreamHost.this);
+      arrivals.add(new Arrival(world.now(), informed, load));
       long life = Long.parseLong(values.get("life")) * MILLI;
-      if (state == State.DRAINING || connections.size() > CAP * capacity) {
+      if (state == State.DRAINING || connections.size() > MAX_CONNECTIONS_FACTOR * capacity) {
         answer("BUSY");
         end(false);
-      } else if (manner != Manner.SERVES && stream.chance(mannerShare)) {
+      } else if (behavior != Behavior.SERVES && stream.chance(behaviorShare)) {
         misbehave(life);
       } else {
         long deadline = world.now() + Long.parseLong(wait) * MILLI;
         long micros =
-            stream.micros(HANDSHAKE_LEAST, HANDSHAKE_MOST) + stream.micros(SETUP_LEAST, SETUP_MOST);
-        program.later(work(micros), () -> serve(deadline, life));
+            stream.micros(MIN_HANDSHAKE_WORK, MAX_HANDSHAKE_WORK)
+                + stream.micros(MIN_SETUP_WORK, MAX_SETUP_WORK);
+        program.schedule(enqueueWork(micros), () -> serve(deadline, life));
       }
     }
 
     private void misbehave(long life) {
       errors++;
-      switch (manner) {
+      switch (behavior) {
         case ERRS -> {
           answer("ERR");
           end(false);
@@ -617,8 +647,8 @@
         }
         case RESETS -> reset();
         case RESETS_ON_UP -> {
-          up = true;
-          answer("UP r" + ++receipts);
+          established = true;
+          answer("UP r" + ++receiptCount);
           reset();
         }
         case ENDS -> end(false);
@@ -631,27 +661,27 @@
           end(false);
         }
         case SERVES_BRIEFLY -> {
-          up = true;
-          String answer = "UP r" + ++receipts;
-          tell(new Event.AttemptAnswered(flow, name, answer, false));
-          tell(new Event.LineSent(flow, false, "LOAD 0.5"));
+          established = true;
+          String answer = "UP r" + ++receiptCount;
+          publish(new Event.AttemptAnswered(flow, name, answer, false));
+          publish(new Event.LineSent(flow, false, "LOAD 0.5"));
           lines.send(answer + "\r\nLOAD 0.5\r\nBYE");
           end(false);
         }
         case DRIPS -> drip(life);
         default -> {
-          // Lost: nothing is ever said.
+          // LOSES: the host never answers.
         }
       }
     }
 
     private void answer(String line) {
-      tell(new Event.AttemptAnswered(flow, name, line, !line.startsWith("UP")));
+      publish(new Event.AttemptAnswered(flow, name, line, !line.startsWith("UP")));
       lines.send(line);
     }
 
     private void serve(long deadline, long life) {
-      if (over) {
+      if (closed) {
         return;
       }
       if (state == State.DRAINING || world.now() > deadline) {
@@ -659,89 +689,91 @@
         end(false);
         return;
       }
-      up = true;
+      established = true;
       served++;
-      answer("UP r" + ++receipts);
-      stand(life);
+      answer("UP r" + ++receiptCount);
+      scheduleSession(life);
     }
 
-    /** The answer comes slowly, and nothing else before it is whole. */
+    /** Sends the answer one byte at a time, and nothing else before it is complete. */
     private void drip(long life) {
-      String answer = "UP r" + ++receipts + "\r\n";
-      tell(new Event.AttemptAnswered(flow, name, answer.trim(), false));
+      String answer = "UP r" + ++receiptCount + "\r\n";
+      publish(new Event.AttemptAnswered(flow, name, answer.trim(), false));
       for (int i = 0; i < answer.length(); i++) {
         byte[] one = {(byte) answer.charAt(i)};
         boolean last = i == answer.length() - 1;
-        program.later(
-            (i + 1) * DRIP,
+        program.schedule(
+            (i + 1) * DRIP_INTERVAL,
             () -> {
-              if (!over) {
+              if (!closed) {
                 lines.sendBytes(one);
-                up = last;
+                established = last;
                 if (last) {
-                  stand(life);
+                  scheduleSession(life);
                 }
               }
             });
       }
     }
 
-    private void stand(long life) {
-      program.later(life, this::bye);
-      program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
-      if (stream.chance(PUSHES)) {
-        program.later(stream.micros(SECOND, 20 * SECOND), this::push);
+    private void scheduleSession(long life) {
+      program.schedule(life, this::bye);
+      program.schedule(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
+      if (stream.chance(PUSH_SHARE)) {
+        program.schedule(stream.micros(SECOND, 20 * SECOND), this::push);
       }
     }
 
-    /** A picture of the walkthrough: more than all buffers on the way hold. */
+    /**
+     * Sends lines that together exceed all buffers on the path, as an image of a walkthrough does.
+     */
     private void push() {
-      int count = stream.between(PUSH_LEAST, PUSH_MOST);
-      for (int i = 0; i < count && !over; i++) {
-        say("p " + i + " " + "#".repeat(stream.between(0, LONGEST_PUSH)));
+      int count = stream.between(MIN_PUSH_LINES, MAX_PUSH_LINES);
+      for (int i = 0; i < count && !closed; i++) {
+        sendLine("p " + i + " " + "#".repeat(stream.between(0, MAX_PUSH_LENGTH)));
       }
     }
 
     private void bye() {
-      if (!over) {
+      if (!closed) {
         lines.send("BYE");
         end(false);
       }
     }
 
     private void changeLoad() {
-      if (!over) {
-        load = Math.round(load * stream.spread(0.4) * 1000) / 1000.0;
-        say("LOAD " + load);
-        program.later(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
+      if (!closed) {
+        load = Math.round(load * stream.logNormal(0.4) * 1000) / 1000.0;
+        sendLine("LOAD " + load);
+        program.schedule(stream.micros(5 * SECOND, 16 * SECOND), this::changeLoad);
       }
     }
 
-    private void passed(String line) {
-      tell(new Event.LineArrived(flow, true, line));
-      double asked = asked();
-      long delay = (long) (ECHO * slow * Math.max(1, asked > 1 ? 20 * asked : 1));
+    private void echo(String line) {
+      publish(new Event.LineArrived(flow, true, line));
+      double asked = utilization();
+      long delay = (long) (ECHO_DELAY * slowdown * Math.max(1, asked > 1 ? 20 * asked : 1));
       echoFreeAt = Math.max(echoFreeAt, world.now() + delay);
-      program.later(
+      program.schedule(
           echoFreeAt - world.now(),
           () -> {
-            if (!over) {
-              say("r" + line.substring(1));
+            if (!closed) {
+              sendLine("r" + line.substring(1));
             }
           });
     }
 
-    private void say(String line) {
-      tell(new Event.LineSent(flow, false, line));
+    private void sendLine(String line) {
+      publish(new Event.LineSent(flow, false, line));
       lines.send(line);
     }
 
     @Override
-    public void ended(boolean reset) {
-      if (over) {
+    public void onEnd(boolean reset) {
+      if (closed) {
         return;
       }
-      over = true;
+      closed = true;
       connections.remove(this);
       idle.cancel();
       if (reset) {
@@ -751,17 +783,17 @@
       }
     }
 
-    /** The host ends it, after what it has said. */
+    /** Closes the connection after all pending lines, or resets it. */
     private void end(boolean reset) {
-      if (over) {
+      if (closed) {
         return;
       }
-      over = true;
+      closed = true;
       connections.remove(this);
       idle.cancel();
       if (flow != null) {
-        world.flows().over(flow);
-        tell(new Event.HostEnded(flow, name, up, reset, false));
+        world.flows().closed(flow);
+        publish(new Event.HostEnded(flow, name, established, reset, false));
       }
       if (reset) {
         lines.reset();
--- a/src/main/java/brassbank/sim/actor/World.java
+++ b/src/main/java/brassbank/sim/actor/World.java
@@ -5,39 +5,42 @@
 import brassbank.sim.net.Fabric;
 import brassbank.sim.net.Machine;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What all actors of one run share: time, chance, the network, the trace, and each other. */
+/**
+ * The environment that all actors of one run share: time, randomness, the network, the trace, and
+ * the other actors.
+ */
 public final class World {
-  /** Unix time at the beginning of a run in virtual time: 2026-01-01T00:00:00Z. */
+  /** The Unix time at which a run in virtual time begins: 2026-01-01T00:00:00Z. */
   public static final long EPOCH_MILLIS = 1_767_225_600_000L;
 
   private final Agenda agenda;
-  private final Draws draws;
+  private final RandomStreams draws;
   private final Fabric fabric;
   private final Trace trace;
   private final Site site;
-  private final Addresses addresses;
+  private final AddressMapping addresses;
   private long epochMillis;
-  private final Flows flows = new Flows();
+  private final FlowEndpoints flows = new FlowEndpoints();
   private final Map<String, StreamHost> hosts = new LinkedHashMap<>();
   private Discovery discovery;
-  private Front front;
+  private UpstreamLoadBalancer loadBalancer;
 
   /**
    * @param epochMillis Unix time at the beginning of the run
    */
   public World(
       Agenda agenda,
-      Draws draws,
+      RandomStreams draws,
       Fabric fabric,
       Trace trace,
       Site site,
-      Addresses addresses,
+      AddressMapping addresses,
       long epochMillis) {
     this.agenda = agenda;
     this.draws = draws;
@@ -48,21 +51,25 @@
     this.epochMillis = epochMillis;
   }
 
-  /** Unix time now, by the clock that every machine reads. */
+  /**
+   * Returns the Unix time in milliseconds at {@code micros} of the run, by the clock that every
+   * machine reads.
+   */
   public long unixMillis(long micros) {
     return epochMillis + micros / Agenda.MILLI;
   }
 
+  /** Returns the Unix time at which the run began. */
   public long epochMillis() {
     return epochMillis;
   }
 
-  /** Time begins only now, at this Unix time. */
-  public void beginsAt(long unixMillis) {
+  /** Sets the Unix time at which the run began. */
+  public void setEpochMillis(long unixMillis) {
     epochMillis = unixMillis;
   }
 
-  Addresses addresses() {
+  AddressMapping addresses() {
     return addresses;
   }
 
@@ -74,7 +81,7 @@
     return agenda.now();
   }
 
-  public Draws draws() {
+  public RandomStreams draws() {
     return draws;
   }
 
@@ -86,7 +93,7 @@
     return site;
   }
 
-  public Flows flows() {
+  public FlowEndpoints flows() {
     return flows;
   }
 
@@ -98,30 +105,34 @@
     discovery = service;
   }
 
-  public Front front() {
-    return front;
+  public UpstreamLoadBalancer loadBalancer() {
+    return loadBalancer;
   }
 
-  public void front(Front layer) {
-    front = layer;
+  public void loadBalancer(UpstreamLoadBalancer balancer) {
+    loadBalancer = balancer;
   }
 
-  /** All stream hosts by their names, in a fixed order. */
+  /** Returns all stream hosts by their names, in a fixed order. */
   public Map<String, StreamHost> hosts() {
     return hosts;
   }
 
-  public void tell(Event event) {
-    trace.tell(event);
+  /** Publishes an event to the trace's listeners. */
+  public void publish(Event event) {
+    trace.publish(event);
   }
 
-  /** A machine at 10.{group}.0.{number}; no name is looked up. */
+  /**
+   * Creates a machine with the address 10.{group}.{number / 256}.{number % 256}; no name is
+   * resolved.
+   */
   public Machine machine(String name, String zone, int group, int number) {
     try {
       InetAddress address =
           InetAddress.getByAddress(
               new byte[] {10, (byte) group, (byte) (number >> 8), (byte) number});
-      return fabric.machine(name, zone, address);
+      return fabric.addMachine(name, zone, address);
     } catch (UnknownHostException e) {
       throw new IllegalStateException("four bytes are an address", e);
     }
--- a/src/main/java/brassbank/sim/check/FourAttempts.java
+++ b/src/main/java/brassbank/sim/check/AttemptLimit.java
@@ -5,23 +5,24 @@
 import java.util.Map;
 
 /**
- * No flow costs the stream hosts more attempts than are allowed, over all proxies and their lives.
+ * No flow causes more attempts at the stream hosts than are allowed, counted over all proxies and
+ * all incarnations of their processes.
  */
-final class FourAttempts extends Rule {
-  private final Checks.Figures figures;
+final class AttemptLimit extends Rule {
+  private final Checks.RuleParameters figures;
   private final Map<String, Integer> attempts = new HashMap<>();
 
-  FourAttempts(Checks.Figures figures) {
+  AttemptLimit(Checks.RuleParameters figures) {
     super("no more attempts of a flow than are allowed");
     this.figures = figures;
   }
 
   @Override
-  void see(long now, Event event) {
+  void onEvent(long now, Event event) {
     if (event instanceof Event.AttemptArrived arrived) {
       int count = attempts.merge(arrived.flow(), 1, Integer::sum);
-      if (count == figures.mostAttempts() + 1) {
-        broken(
+      if (count == figures.maxAttempts() + 1) {
+        reportBreach(
             now,
             arrived.flow()
                 + " comes to "
--- a/src/main/java/brassbank/sim/check/Checks.java
+++ b/src/main/java/brassbank/sim/check/Checks.java
@@ -7,139 +7,152 @@
 import java.util.List;
 import java.util.Map;
 
-/** All rules of a run, and what they found. */
+/** Evaluates the rules of a run and collects their breaches. */
 public final class Checks implements Trace.Listener {
-  /** How often time alone is looked at, in microseconds. */
-  public static final long EVERY = 50_000;
+  /** How often {@link #onTick} is to be called, in microseconds. */
+  public static final long TICK_MICROS = 50_000;
 
-  private static final int MOST = 20;
+  private static final int MAX_BREACHES = 20;
 
   private final List<Rule> rules;
   private final List<Breach> breaches = new ArrayList<>();
-  private final Map<String, Integer> counts = new LinkedHashMap<>();
+  private final Map<String, Integer> breachCounts = new LinkedHashMap<>();
 
-  public Checks(List<Rule> rules, Truth truth) {
+  public Checks(List<Rule> rules, GroundTruth truth) {
     this.rules = List.copyOf(rules);
     this.rules.forEach(
         rule -> {
-          rule.judgedBy(this, truth);
-          counts.put(rule.name(), 0);
+          rule.attach(this, truth);
+          breachCounts.put(rule.name(), 0);
         });
   }
 
-  /** Every rule there is; {@code figures} are the site's. */
-  public static List<Rule> all(Figures figures) {
+  /** Returns the rules that hold in every run. */
+  public static List<Rule> commonRules(RuleParameters parameters) {
     return List.of(
-        new OneAnswer(figures),
-        new AnswerFromHost(),
-        new OneAttempt(),
-        new FourAttempts(figures),
-        new NoEffectDoubled(figures),
-        new AnsweredAtOnce(figures),
-        new DrainsKept(figures),
-        new ColdHosts(),
-        new ColdSum(),
-        new HostPace(HostPace.Of.PROBES, figures),
-        new HostPace(HostPace.Of.CONNECTS, figures),
-        new HostPace(HostPace.Of.SETUPS, figures),
-        new CallPace(figures),
-        new LinesIntact(),
-        new ConnectionsKept(),
-        new NobodyLeft(),
-        new EndsPassedOn(),
-        new SilenceNoticed(),
-        new BadClients(),
-        new PlannedStop(),
-        new StandbyEmpty(),
-        new OneDoor(),
-        new Descriptors(figures),
-        new NoFailure(),
-        new Recovery(figures));
+        new SingleTimelyAnswer(parameters),
+        new AnswerProvenance(),
+        new SingleAttemptInFlight(),
+        new AttemptLimit(parameters),
+        new NoDuplicateEffect(parameters),
+        new PromptFinalAnswer(parameters),
+        new DrainRespected(parameters),
+        new NoColdHostOverload(),
+        new ColdHostCalls(),
+        new HostRequestRate(HostRequestRate.Operation.PROBES, parameters),
+        new HostRequestRate(HostRequestRate.Operation.CONNECTS, parameters),
+        new HostRequestRate(HostRequestRate.Operation.SETUPS, parameters),
+        new DiscoveryCallRate(parameters),
+        new LineIntegrity(),
+        new NoUnannouncedDisconnect(),
+        new NoOrphanedClient(),
+        new DisconnectRelayed(),
+        new SilenceDetection(),
+        new BadClientsRejected(),
+        new PlannedShutdown(),
+        new StandbyDrained(),
+        new SingleAcceptor(),
+        new DescriptorUse(parameters),
+        new NoTaskFailure(),
+        new Recovery(parameters));
   }
 
-  /** Those that a fleet with a view of itself has beside them. */
-  public static List<Rule> ofMembership(Figures figures, boolean shares) {
+  /** Returns the rules that hold in addition in a fleet whose proxies keep a membership view. */
+  public static List<Rule> membershipRules(RuleParameters parameters, boolean shares) {
     return List.of(
-        new DeathsNoticed(figures),
-        new NoFalseDeath(),
-        new ViewsAgree(figures),
-        new ViewsGrow(),
-        new MembershipPace(figures, shares));
+        new FailureDetection(parameters),
+        new NoFalseFailure(),
+        new ViewConvergence(parameters),
+        new ViewMonotonicity(),
+        new MembershipTrafficRate(parameters, shares));
   }
 
-  /** Those that a fleet has besides whose proxies share its budgets. */
-  public static List<Rule> ofShares(Figures figures) {
-    return List.of(new ColdPlaces(figures), new OneLeaves());
+  /** Returns the rules that hold in addition in a fleet whose proxies share its budgets. */
+  public static List<Rule> sharedBudgetRules(RuleParameters parameters) {
+    return List.of(new ColdHostSlots(parameters), new SingleDrain());
   }
 
-  /** Those that a fleet has besides whose proxies ask a part of the hosts each. */
-  public static List<Rule> ofSubsets(Figures figures) {
-    return List.of(new FewAsk(figures), new SubsetCostsNobody(figures));
+  /**
+   * Returns the rules that hold in addition in a fleet whose proxies use a subset of the hosts
+   * each.
+   */
+  public static List<Rule> subsetRules(RuleParameters parameters) {
+    return List.of(new SubsetFanIn(parameters), new SubsetAvailability(parameters));
   }
 
   /**
-   * The site's figures that rules need, in microseconds where they are times.
+   * The figures of a site that the rules need, in microseconds where they are times.
    *
-   * @param mostAttempts attempts that a flow may have
-   * @param descriptorsBind there may be fewer descriptors than the usual clients need
-   * @param demand what the usual clients ask for together, over what the fleet can do once warm
-   * @param askers by how many proxies a host is asked at least, where they choose among hosts
-   * @param repeats how flows of each class may be repeated; a class that is missing, at any time
-   * @param recovery how long after the last fault everything must be sound again
+   * @param answerSlack by how much an answer may exceed its deadline
+   * @param drainGrace how long after the report of a drain a proxy may still use the host
+   * @param maxAttempts attempts that a flow may have
+   * @param minProxiesPerHost the least number of proxies that use a host, where proxies use subsets
+   * @param recovery how long after the last fault the system must have recovered
+   * @param descriptorsAreScarce whether a proxy may have fewer descriptors than the regular clients
+   *     need
+   * @param demand the load that the regular clients ask for together, relative to the capacity of
+   *     all hosts once they are warm
+   * @param repeats the repetition rule of each class; requests of a class without one may be
+   *     repeated at any time
    */
-  public record Figures(
+  public record RuleParameters(
       long answerSlack,
       long drainGrace,
-      int mostAttempts,
+      int maxAttempts,
       int proxies,
       int hosts,
-      int askers,
+      int minProxiesPerHost,
       long recovery,
-      boolean descriptorsBind,
+      boolean descriptorsAreScarce,
       double demand,
       Map<String, Repeat> repeats) {}
 
   /**
    * Whether a flow may be sent again once it may have run.
    *
-   * @param never it may not
-   * @param window else for how long, in microseconds from the first attempt that may have run
+   * @param never it may not be sent again
+   * @param window otherwise, for how long it may be, in microseconds from the first attempt that
+   *     may have run
    */
   public record Repeat(boolean never, long window) {}
 
   @Override
-  public void see(long now, Event event) {
+  public void onEvent(long now, Event event) {
     for (Rule rule : rules) {
-      rule.see(now, event);
+      rule.onEvent(now, event);
     }
   }
 
-  /** To be called every {@link #EVERY}. */
-  public void look(long now) {
+  /**
+   * Lets the rules check what depends on time alone. The caller calls it every {@link
+   * #TICK_MICROS}.
+   */
+  public void onTick(long now) {
     for (Rule rule : rules) {
-      rule.look(now);
+      rule.onTick(now);
     }
   }
 
-  public void end(long now) {
+  /** Lets the rules check what can be judged at the end of a run only. */
+  public void onEnd(long now) {
     for (Rule rule : rules) {
-      rule.end(now);
+      rule.onEnd(now);
     }
   }
 
-  void broken(Breach breach) {
-    counts.merge(breach.rule(), 1, Integer::sum);
-    if (breaches.size() < MOST) {
+  void record(Breach breach) {
+    breachCounts.merge(breach.rule(), 1, Integer::sum);
+    if (breaches.size() < MAX_BREACHES) {
       breaches.add(breach);
     }
   }
 
-  /** How often each rule was broken so far, in the rules' order. */
-  public Map<String, Integer> counts() {
-    return counts;
+  /** Returns how often each rule was broken so far, in the order of the rules. */
+  public Map<String, Integer> breachCounts() {
+    return breachCounts;
   }
 
-  /** What was broken so far, in the order of time; no more than the first twenty. */
+  /** Returns the first twenty breaches so far, in the order of time. */
   public List<Breach> breaches() {
     return breaches;
   }
--- a/src/main/java/brassbank/sim/check/Rule.java
+++ b/src/main/java/brassbank/sim/check/Rule.java
@@ -2,39 +2,44 @@
 
 import brassbank.sim.event.Event;
 
-/** One rule of a run. It sees every event, and is asked every {@link Checks#EVERY} besides. */
+/**
+ * A rule that must hold in a run. It receives every event, and a tick every {@link
+ * Checks#TICK_MICROS}.
+ */
 public abstract class Rule {
   static final long MILLI = 1_000;
   static final long SECOND = 1_000_000;
 
   private final String name;
   private Checks checks;
-  Truth truth;
+  GroundTruth groundTruth;
 
-  /** {@code name} is what reports and tables call it. */
+  /** Creates a rule; {@code name} is its name in reports and tables. */
   Rule(String name) {
     this.name = name;
   }
 
+  /** Returns the rule's name in reports and tables. */
   public final String name() {
     return name;
   }
 
-  final void judgedBy(Checks by, Truth known) {
+  final void attach(Checks by, GroundTruth truth) {
     checks = by;
-    truth = known;
+    groundTruth = truth;
   }
 
-  /** An event has happened. */
-  abstract void see(long now, Event event);
+  /** Receives an event. */
+  abstract void onEvent(long now, Event event);
 
-  /** Time has passed. */
-  void look(long now) {}
+  /** Checks what depends on time alone. */
+  void onTick(long now) {}
 
-  /** The run is over. */
-  void end(long now) {}
+  /** Checks what can be judged at the end of the run only. */
+  void onEnd(long now) {}
 
-  final void broken(long now, String what) {
-    checks.broken(new Breach(name, now, what));
+  /** Records a breach of this rule. */
+  final void reportBreach(long now, String what) {
+    checks.record(new Breach(name, now, what));
   }
 }
--- a/src/main/java/brassbank/sim/cli/ExperimentCommand.java
+++ b/src/main/java/brassbank/sim/cli/ExperimentCommand.java
@@ -4,9 +4,9 @@
 import brassbank.cli.UsageException;
 import brassbank.sim.experiment.Experiment;
 import brassbank.sim.experiment.Figure;
-import brassbank.sim.experiment.Paired;
+import brassbank.sim.experiment.PairedDifference;
 import brassbank.sim.experiment.Variant;
-import brassbank.sim.fault.Night;
+import brassbank.sim.fault.FleetScenario;
 import brassbank.sim.fault.Plan;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
@@ -21,7 +21,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Variants of a fleet on the same seeds: means, and paired differences with 95% intervals. */
+/**
+ * Compares variants of a fleet on the same seeds: means, and paired differences with 95% intervals.
+ */
 @Command(
     name = "experiment",
     description = "Play variants of a fleet on the same seeds, and tell what differs.",
@@ -35,10 +37,10 @@
       "  brassbank experiment JOIN --seeds 1-10 --proxies 14,56 --rate 60 --csv"
     })
 public final class ExperimentCommand implements Callable<Integer> {
-  private static final int MOST_SEEDS = 100_000;
+  private static final int MAX_SEEDS = 100_000;
 
   @Parameters(paramLabel = "NIGHT", description = "${COMPLETION-CANDIDATES}.")
-  private Night night;
+  private FleetScenario scenario;
 
   @Option(
       names = "--seeds",
@@ -59,28 +61,28 @@
       names = "--proxies",
       paramLabel = "N",
       split = ",",
-      defaultValue = "" + Night.PROXIES,
+      defaultValue = "" + FleetScenario.PROXIES,
       description = "How many proxies the same clients are dealt to (default: ${DEFAULT-VALUE}).")
   private List<Integer> proxies;
 
   @Option(
       names = "--hosts",
       paramLabel = "N",
-      defaultValue = "" + Night.HOSTS,
+      defaultValue = "" + FleetScenario.HOSTS,
       description = "Stream hosts (default: ${DEFAULT-VALUE}).")
   private int hosts;
 
   @Option(
       names = "--rate",
       paramLabel = "N",
-      defaultValue = "" + Night.RATE,
+      defaultValue = "" + FleetScenario.CLIENTS_PER_SECOND,
       description = "New clients a second (default: ${DEFAULT-VALUE}).")
   private double rate;
 
   @Option(
       names = "--seconds",
       paramLabel = "N",
-      defaultValue = "" + Plan.SECONDS,
+      defaultValue = "" + Plan.DEFAULT_SECONDS,
       description = "Virtual seconds of each play (default: ${DEFAULT-VALUE}).")
   private int seconds;
 
@@ -100,23 +102,23 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    Seeds.Range range;
+    SeedRunner.Range range;
     try {
-      range = Seeds.range(seeds);
+      range = SeedRunner.range(seeds);
     } catch (IllegalArgumentException e) {
       throw new UsageException("--seeds: " + e.getMessage());
     }
-    require(range.count() <= MOST_SEEDS, "--seeds: at most " + MOST_SEEDS);
+    require(range.count() <= MAX_SEEDS, "--seeds: at most " + MAX_SEEDS);
     require(hosts >= 1 && hosts <= 250, "--hosts must be from 1 to 250");
     require(rate > 0 && rate <= 1_000, "--rate must be above 0 and at most 1000");
-    require(seconds >= Plan.LEAST_SECONDS, "--seconds must be " + Plan.LEAST_SECONDS + " or more");
+    require(seconds >= Plan.MIN_SECONDS, "--seconds must be " + Plan.MIN_SECONDS + " or more");
     require(jobs >= 1 && jobs <= 256, "--jobs must be from 1 to 256");
     require(!json || !csv, "--json and --csv are mutually exclusive");
     List<Variant> variants = new ArrayList<>();
     for (int count : proxies) {
       require(count >= 1 && count <= 250, "--proxies must be from 1 to 250");
       for (String what : vary) {
-        Variant variant = new Variant(view(what), count, hosts, rate);
+        Variant variant = new Variant(fleetMode(what), count, hosts, rate);
         require(!variants.contains(variant), "twice the same variant: " + variant.text());
         variants.add(variant);
       }
@@ -128,23 +130,23 @@
   }
 
   private Plan plan(Variant variant, long seed) {
-    return night
+    return scenario
         .plan(seed, seconds, variant.proxies(), variant.hosts(), variant.rate())
-        .with(variant.view());
+        .with(variant.fleetMode());
   }
 
-  private static Plan.View view(String what) {
-    for (Plan.View view : Plan.View.values()) {
-      if (view.key().equals(what)) {
-        return view;
+  private static Plan.FleetMode fleetMode(String what) {
+    for (Plan.FleetMode mode : Plan.FleetMode.values()) {
+      if (mode.key().equals(what)) {
+        return mode;
       }
     }
     throw new UsageException("--vary: '" + what + "' is none of off, membership, shares, subsets");
   }
 
-  private static void require(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new UsageException(otherwise);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new UsageException(message);
     }
   }
 
@@ -156,13 +158,13 @@
     return plays.stream().mapToDouble(play -> play.get(figure)).average().orElse(Double.NaN);
   }
 
-  private String table(Seeds.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
+  private String table(SeedRunner.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
     StringBuilder text = new StringBuilder();
     text.append(
         String.format(
             Locale.ROOT,
             "%s, seeds %d-%d, %d hosts, %.0f clients a second, %d s%n",
-            night,
+            scenario,
             range.first(),
             range.last(),
             hosts,
@@ -180,15 +182,16 @@
       for (Map.Entry<Variant, List<Map<Figure, Double>>> one : results.entrySet()) {
         text.append(String.format(Locale.ROOT, "%18.3f", mean(one.getValue(), figure)));
         if (one.getKey() != base) {
-          Paired paired =
-              Paired.of(values(results.get(base), figure), values(one.getValue(), figure));
+          PairedDifference paired =
+              PairedDifference.of(
+                  values(results.get(base), figure), values(one.getValue(), figure));
           text.append(
               String.format(
                   Locale.ROOT,
                   "%11.3f +-%7.3f%s",
                   paired.mean(),
-                  paired.half(),
-                  paired.tells() ? "*" : " "));
+                  paired.halfWidth(),
+                  paired.isSignificant() ? "*" : " "));
         }
       }
       text.append(String.format("%n"));
@@ -196,7 +199,8 @@
     return text.toString();
   }
 
-  private static String csv(Seeds.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
+  private static String csv(
+      SeedRunner.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
     StringBuilder text = new StringBuilder("variant,seed");
     for (Figure figure : Figure.values()) {
       text.append(',').append(figure.key());
@@ -215,9 +219,9 @@
     return text.toString();
   }
 
-  private String json(Seeds.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
+  private String json(SeedRunner.Range range, Map<Variant, List<Map<Figure, Double>>> results) {
     JsonObject all = new JsonObject();
-    all.addProperty("night", night.name());
+    all.addProperty("night", scenario.name());
     all.addProperty("first", range.first());
     all.addProperty("last", range.last());
     JsonArray variants = new JsonArray();
@@ -227,18 +231,19 @@
           JsonObject one = new JsonObject();
           one.addProperty("variant", variant.text());
           for (Figure figure : Figure.values()) {
-            JsonObject told = new JsonObject();
-            told.addProperty("about", figure.about());
-            told.addProperty("mean", mean(plays, figure));
+            JsonObject figureJson = new JsonObject();
+            figureJson.addProperty("about", figure.about());
+            figureJson.addProperty("mean", mean(plays, figure));
             if (variant != base && plays.size() > 1) {
-              Paired paired = Paired.of(values(results.get(base), figure), values(plays, figure));
-              told.addProperty("difference", paired.mean());
-              told.addProperty("half_of_95_pct", paired.half());
+              PairedDifference paired =
+                  PairedDifference.of(values(results.get(base), figure), values(plays, figure));
+              figureJson.addProperty("difference", paired.mean());
+              figureJson.addProperty("half_of_95_pct", paired.halfWidth());
             }
             JsonArray each = new JsonArray();
             plays.forEach(play -> each.add(play.get(figure)));
-            told.add("plays", each);
-            one.add(figure.key(), told);
+            figureJson.add("plays", each);
+            one.add(figure.key(), figureJson);
           }
           variants.add(one);
         });
--- a/src/main/java/brassbank/sim/event/Trace.java
+++ b/src/main/java/brassbank/sim/event/Trace.java
@@ -4,11 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Hands each event to all who listen, in the order in which they came to listen. */
+/** Passes each event to all listeners, in the order in which they were added. */
 public final class Trace {
-  /** Who hears of each event. */
+  /** Receives every event of a run. */
   public interface Listener {
-    void see(long now, Event event);
+    /** Receives an event; {@code now} is the virtual time in microseconds. */
+    void onEvent(long now, Event event);
   }
 
   private final Agenda agenda;
@@ -18,13 +19,14 @@
     this.agenda = agenda;
   }
 
-  public void listen(Listener listener) {
+  public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
-  public void tell(Event event) {
+  /** Passes an event to all listeners, at the current virtual time. */
+  public void publish(Event event) {
     for (Listener listener : listeners) {
-      listener.see(agenda.now(), event);
+      listener.onEvent(agenda.now(), event);
     }
   }
 }
--- a/src/main/java/brassbank/sim/experiment/Variant.java
+++ b/src/main/java/brassbank/sim/experiment/Variant.java
@@ -3,13 +3,13 @@
 import brassbank.sim.fault.Plan;
 
 /**
- * One way in which the seeds are played.
+ * A configuration of the fleet in which the seeds are run.
  *
- * @param view what the proxies do together
+ * @param fleetMode how the proxies cooperate
  */
-public record Variant(Plan.View view, int proxies, int hosts, double rate) {
-  /** Its name in tables and files. */
+public record Variant(Plan.FleetMode fleetMode, int proxies, int hosts, double rate) {
+  /** Returns the name used in tables and files. */
   public String text() {
-    return view.key() + " " + proxies + "x" + hosts;
+    return fleetMode.key() + " " + proxies + "x" + hosts;
   }
 }
--- a/src/main/java/brassbank/sim/fault/Plan.java
+++ b/src/main/java/brassbank/sim/fault/Plan.java
@@ -1,18 +1,18 @@
 package brassbank.sim.fault;
 
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * All that decides a run beside the code: the seed, the site's size, the faults, and which clients
- * come.
+ * Complete input of a simulation run: the seed, the size of the site, the faults and the clients.
+ * The same program produces the same run for equal plans.
  *
- * @param seconds how long the run is
- * @param rate new clients a second
- * @param sockets descriptors that each proxy may hold
- * @param clients which of the clients that the seed draws come
- * @param membership whether the proxies keep a view of the fleet
+ * @param seconds duration of the run
+ * @param rate new clients per second
+ * @param sockets descriptor limit of each proxy
+ * @param clients indexes of the drawn clients that take part; the others are left out
+ * @param fleetMode how the proxies cooperate
  */
 public record Plan(
     long seed,
@@ -22,103 +22,107 @@
     double rate,
     int sockets,
     List<Fault> faults,
-    Numbers clients,
-    View view) {
+    IndexSet clients,
+    FleetMode fleetMode) {
 
-  /** What the proxies do together; each does what those before it do. */
-  public enum View {
-    /** Nothing. */
+  /** How the proxies cooperate; each mode includes all modes before it. */
+  public enum FleetMode {
+    /** The proxies do not cooperate. */
     NONE("off"),
-    /** They keep a view of the fleet. */
+    /** The proxies maintain a view of the fleet. */
     MEMBERS("membership"),
-    /** They share the fleet's budgets by who is there. */
+    /** The proxies divide the fleet's budgets among the live members. */
     SHARES("shares"),
-    /** Each asks a subset of the hosts. */
+    /** Each proxy uses a subset of the hosts. */
     SUBSETS("subsets");
 
     private final String key;
 
-    View(String key) {
+    FleetMode(String key) {
       this.key = key;
     }
 
-    /** Its name in scripts and options. */
+    /** Returns the name used in scripts and options. */
     public String key() {
       return key;
     }
   }
 
-  /** The usual day. */
-  public static final int SECONDS = 60;
+  /** Default duration of a run. */
+  public static final int DEFAULT_SECONDS = 60;
 
-  public static final int PROXIES = 3;
-  public static final int HOSTS = 12;
-  public static final double RATE = 13;
+  public static final int DEFAULT_PROXIES = 3;
+  public static final int DEFAULT_HOSTS = 12;
+  public static final double DEFAULT_CLIENTS_PER_SECOND = 13;
 
-  /** Faults begin no earlier than this, and are over so long before the end. */
-  private static final long FIRST_MILLIS = 4_000;
+  /** Earliest start of a drawn fault, in milliseconds since the start of the run. */
+  private static final long FIRST_FAULT_MILLIS = 4_000;
 
-  /** After the last fault everything is to be sound again within this. */
+  /** Time after the last fault within which the system must recover. */
   public static final long RECOVERY_MILLIS = 16_000;
 
-  /** For so long at the end of a run everything is to be sound. */
-  public static final long SOUND_MILLIS = 14_000;
+  /** Length of the period at the end of a run in which the system must be stable. */
+  public static final long STABLE_MILLIS = 14_000;
 
-  /** A run that has room for faults, for what follows them, and for the proof that all is well. */
-  public static final int LEAST_SECONDS = 40;
+  /** Shortest run that leaves time for faults, recovery and the stable period. */
+  public static final int MIN_SECONDS = 40;
 
-  /** Share of kinds that a seed switches on, at least and at most. */
-  private static final double LEAST_KINDS = 0.05;
+  /** Range of the probability with which a seed enables each kind of fault. */
+  private static final double MIN_KIND_SHARE = 0.05;
 
-  private static final double MOST_KINDS = 0.35;
+  private static final double MAX_KIND_SHARE = 0.35;
 
-  private static final double FEW_SOCKETS = 0.15;
-  private static final int[] FEW = {130, 400};
+  private static final double FEW_SOCKETS_PROBABILITY = 0.15;
+  private static final int[] FEW_SOCKETS_RANGE = {130, 400};
 
-  /** Descriptors with which no limit binds. */
-  public static final int USUAL_SOCKETS = 1_024;
+  /** Descriptor limit that a run does not reach. */
+  public static final int DEFAULT_SOCKETS = 1_024;
 
-  /** The usual number of proxies that ask a host, and what smaller fleets play with. */
-  private static final int ASKERS = 8;
+  /** Minimum number of proxies that use each host, in large and in small fleets. */
+  private static final int MIN_PROXIES_PER_HOST = 8;
 
-  private static final int FEW_ASKERS = 2;
-  private static final int ASKERS_FROM = 14;
+  private static final int SMALL_FLEET_MIN_PROXIES_PER_HOST = 2;
+  private static final int LARGE_FLEET_PROXIES = 14;
 
   public Plan {
     faults = List.copyOf(faults);
   }
 
   /**
-   * Draws what goes wrong: a random subset of the kinds ("swarm testing", Groce and others, ISSTA
-   * 2012), and for each of them its number, times, targets and sizes from a stream of its own.
+   * Draws the faults of a seed: a random subset of the kinds ("swarm testing", Groce et al., ISSTA
+   * 2012), and for each kind the number, times, targets and magnitudes from its own random stream.
    */
   public static Plan drawn(long seed, int seconds, int proxies, int hosts, double rate) {
-    Draws draws = new Draws(seed);
-    Draws.Stream swarm = draws.of("swarm");
-    double share = swarm.between(LEAST_KINDS, MOST_KINDS);
-    int sockets = swarm.chance(FEW_SOCKETS) ? swarm.between(FEW[0], FEW[1]) : USUAL_SOCKETS;
-    long until = seconds * 1_000L - RECOVERY_MILLIS - SOUND_MILLIS;
+    RandomStreams draws = new RandomStreams(seed);
+    RandomStreams.Stream swarm = draws.of("swarm");
+    double share = swarm.between(MIN_KIND_SHARE, MAX_KIND_SHARE);
+    int sockets =
+        swarm.chance(FEW_SOCKETS_PROBABILITY)
+            ? swarm.between(FEW_SOCKETS_RANGE[0], FEW_SOCKETS_RANGE[1])
+            : DEFAULT_SOCKETS;
+    long untilMillis = seconds * 1_000L - RECOVERY_MILLIS - STABLE_MILLIS;
     List<Fault> faults = new ArrayList<>();
-    for (FaultKind kind : Kinds.ALL) {
-      Draws.Stream stream = draws.of("fault " + kind.name());
-      if (kind.most() == 0 || !stream.chance(share)) {
+    for (FaultKind kind : FaultKinds.ALL) {
+      RandomStreams.Stream stream = draws.of("fault " + kind.name());
+      if (kind.maxPerRun() == 0 || !stream.chance(share)) {
         continue;
       }
-      int count = stream.between(1, kind.most());
-      List<String> targets = targets(kind.on(), proxies, hosts);
+      int count = stream.between(1, kind.maxPerRun());
+      List<String> targets = targets(kind.targetType(), proxies, hosts);
       for (int i = 0; i < count; i++) {
-        Fault fault = kind.draw(stream, targets, FIRST_MILLIS, until);
-        if (fault.untilMillis() <= until) {
+        Fault fault = kind.draw(stream, targets, FIRST_FAULT_MILLIS, untilMillis);
+        if (fault.untilMillis() <= untilMillis) {
           faults.add(fault);
         }
       }
     }
     faults.sort((a, b) -> Long.compare(a.atMillis(), b.atMillis()));
-    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, Numbers.ALL, View.NONE);
+    return new Plan(
+        seed, seconds, proxies, hosts, rate, sockets, faults, IndexSet.ALL, FleetMode.NONE);
   }
 
-  /** The names that a fault of such a kind may be aimed at; empty where it needs none. */
-  static List<String> targets(FaultKind.On on, int proxies, int hosts) {
+  /** Returns the valid targets of a type; empty if the type needs no target name. */
+  static List<String> targets(FaultKind.TargetType on, int proxies, int hosts) {
     List<String> targets = new ArrayList<>();
     switch (on) {
       case HOST -> {
@@ -133,63 +137,66 @@
       }
       case ZONE -> targets.addAll(List.of("leith", "dalkeith"));
       default -> {
-        // It is aimed at everything.
+        // Faults of the whole system and of links have no list of targets.
       }
     }
     return targets;
   }
 
-  /** When the last fault is over, in milliseconds. */
-  public long faultsOverMillis() {
+  /** Returns the end of the last fault, in milliseconds since the start of the run. */
+  public long lastFaultEndMillis() {
     return faults.stream().mapToLong(Fault::untilMillis).max().orElse(0);
   }
 
-  /** The same without what only virtual time can show: a clock of its own for each machine. */
-  public Plan playable() {
+  /**
+   * Returns this plan without clock steps, which real processes on one machine cannot play because
+   * they share a clock.
+   */
+  public Plan withoutClockSteps() {
     return with(
         faults.stream().filter(fault -> !fault.kind().name().equals("clock-step")).toList());
   }
 
-  public Plan with(List<Fault> left) {
-    return new Plan(seed, seconds, proxies, hosts, rate, sockets, left, clients, view);
+  public Plan with(List<Fault> remaining) {
+    return new Plan(seed, seconds, proxies, hosts, rate, sockets, remaining, clients, fleetMode);
   }
 
-  /** The same with no more than so many seconds, which ends it early. */
-  public Plan until(int shorter) {
-    return new Plan(seed, shorter, proxies, hosts, rate, sockets, faults, clients, view);
+  /** Returns this plan with another, usually newSeconds, duration; the faults stay. */
+  public Plan withSeconds(int newSeconds) {
+    return new Plan(seed, newSeconds, proxies, hosts, rate, sockets, faults, clients, fleetMode);
   }
 
-  public Plan with(Numbers left) {
-    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, left, view);
+  public Plan with(IndexSet remaining) {
+    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, remaining, fleetMode);
   }
 
-  /** Whether the proxies keep a view of the fleet. */
-  public boolean membership() {
-    return view != View.NONE;
+  /** Returns whether the proxies maintain a view of the fleet. */
+  public boolean usesMembership() {
+    return fleetMode != FleetMode.NONE;
   }
 
-  /** Whether they share the fleet's budgets by who is there. */
-  public boolean shares() {
-    return view.compareTo(View.SHARES) >= 0;
+  /** Returns whether the proxies divide the fleet's budgets among the live members. */
+  public boolean sharesBudgets() {
+    return fleetMode.compareTo(FleetMode.SHARES) >= 0;
   }
 
-  /** Whether each asks a subset of the hosts. */
-  public boolean subsets() {
-    return view == View.SUBSETS;
+  /** Returns whether each proxy uses a subset of the hosts. */
+  public boolean usesSubsets() {
+    return fleetMode == FleetMode.SUBSETS;
   }
 
-  /** By how many proxies a host is asked at least; in small fleets less than usual. */
-  public int askers() {
-    return proxies < ASKERS_FROM ? FEW_ASKERS : ASKERS;
+  /** Returns the minimum number of proxies that use each host; it is lower in small fleets. */
+  public int minProxiesPerHost() {
+    return proxies < LARGE_FLEET_PROXIES ? SMALL_FLEET_MIN_PROXIES_PER_HOST : MIN_PROXIES_PER_HOST;
   }
 
-  /** The same on another number of hosts, no fewer than faults are aimed at. */
-  public Plan onHosts(int count) {
-    return new Plan(seed, seconds, proxies, count, rate, sockets, faults, clients, view);
+  /** Returns this plan with another number of hosts, which must include every target of a fault. */
+  public Plan withHosts(int count) {
+    return new Plan(seed, seconds, proxies, count, rate, sockets, faults, clients, fleetMode);
   }
 
-  /** The same with proxies that do this together. */
-  public Plan with(View together) {
-    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, clients, together);
+  /** Returns this plan with another mode of cooperation. */
+  public Plan with(FleetMode mode) {
+    return new Plan(seed, seconds, proxies, hosts, rate, sockets, faults, clients, mode);
   }
 }
--- a/src/main/java/brassbank/sim/proxy/HttpCall.java
+++ b/src/main/java/brassbank/sim/proxy/HttpCall.java
@@ -12,14 +12,15 @@
 import java.util.Locale;
 
 /**
- * One HTTP/1.1 call as the contract has it (RFC 9112): a status line, headers, and content that is
- * chunked, counted or ends with the connection. It stands in for the real network's HTTP client.
+ * One HTTP/1.1 GET request (RFC 9112). Parses the status line, the headers and content that is
+ * chunked, has a content length or ends with the connection. It replaces the HTTP client of the
+ * real network.
  */
-final class HttpCall implements Network.Attempt, Program.Connected, Endpoint.Handler {
+final class HttpCall implements Network.Attempt, Program.ConnectHandler, Endpoint.Handler {
   private static final int READ_SIZE = 8 * 1024;
-  private static final int LONGEST_HEAD = 8 * 1024;
+  private static final int MAX_HEAD_BYTES = 8 * 1024;
 
-  private enum Part {
+  private enum ParseState {
     HEAD,
     COUNTED,
     UNTIL_END,
@@ -33,16 +34,16 @@
   private final Program program;
   private final InetSocketAddress address;
   private final String path;
-  private final Network.ResponseHandler answer;
-  private Program.Connecting connecting;
+  private final Network.ResponseHandler responseHandler;
+  private Program.PendingConnect connecting;
   private Endpoint endpoint;
-  private boolean over;
+  private boolean done;
 
-  private Part part = Part.HEAD;
+  private ParseState parseState = ParseState.HEAD;
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
   private int status = -1;
   private boolean chunked;
-  private long left = -1;
+  private long remainingBytes = -1;
   private int headBytes;
 
   HttpCall(
@@ -55,7 +56,7 @@
     this.program = program;
     this.address = address;
     this.path = path;
-    this.answer = answer;
+    this.responseHandler = answer;
   }
 
   void start() {
@@ -64,8 +65,8 @@
 
   @Override
   public void cancel() {
-    if (!over) {
-      over = true;
+    if (!done) {
+      done = true;
       if (endpoint != null) {
         endpoint.close();
       } else {
@@ -75,7 +76,7 @@
   }
 
   @Override
-  public void up(Endpoint connected) {
+  public void connected(Endpoint connected) {
     endpoint = connected;
     String request =
         "GET "
@@ -94,8 +95,8 @@
       fail(e.getMessage());
       return;
     }
-    network.turn(answer::connected);
-    if (!over) {
+    network.runOnLoop(responseHandler::connected);
+    if (!done) {
       endpoint.handler(this);
     }
   }
@@ -105,10 +106,10 @@
     fail(cause.getMessage());
   }
 
-  private void fail(String why) {
-    if (!over) {
+  private void fail(String reason) {
+    if (!done) {
       cancel();
-      network.turn(() -> answer.failed(why));
+      network.runOnLoop(() -> responseHandler.failed(reason));
     }
   }
 
@@ -123,72 +124,79 @@
       return;
     }
     if (count < 0) {
-      if (part == Part.UNTIL_END) {
-        content(bytes, 0, 0, true);
+      if (parseState == ParseState.UNTIL_END) {
+        deliverContent(bytes, 0, 0, true);
       } else {
         fail("the connection has ended");
       }
       return;
     }
     try {
-      take(bytes, count);
+      parse(bytes, count);
     } catch (IOException | NumberFormatException e) {
       fail("no HTTP: " + e.getMessage());
     }
   }
 
-  private void take(byte[] bytes, int count) throws IOException {
-    int at = 0;
-    while (at < count && !over) {
-      if (part == Part.COUNTED || part == Part.CHUNK || part == Part.UNTIL_END) {
-        int most = part == Part.UNTIL_END ? count - at : (int) Math.min(left, count - at);
-        left -= most;
-        content(bytes, at, most, part == Part.COUNTED && left == 0);
-        at += most;
-        if (part == Part.CHUNK && left == 0) {
-          part = Part.CHUNK_END;
+  private void parse(byte[] bytes, int count) throws IOException {
+    int position = 0;
+    while (position < count && !done) {
+      if (parseState == ParseState.COUNTED
+          || parseState == ParseState.CHUNK
+          || parseState == ParseState.UNTIL_END) {
+        int length =
+            parseState == ParseState.UNTIL_END
+                ? count - position
+                : (int) Math.min(remainingBytes, count - position);
+        remainingBytes -= length;
+        deliverContent(
+            bytes, position, length, parseState == ParseState.COUNTED && remainingBytes == 0);
+        position += length;
+        if (parseState == ParseState.CHUNK && remainingBytes == 0) {
+          parseState = ParseState.CHUNK_END;
         }
-      } else if (bytes[at] == '\n') {
-        at++;
+      } else if (bytes[position] == '\n') {
+        position++;
         String text = line.toString(StandardCharsets.ISO_8859_1);
         line.reset();
-        line(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
+        parseLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
       } else {
-        line.write(bytes[at++]);
-        if (line.size() + headBytes > LONGEST_HEAD) {
+        line.write(bytes[position++]);
+        if (line.size() + headBytes > MAX_HEAD_BYTES) {
           throw new IOException("a line or a head is too long");
         }
       }
     }
   }
 
-  private void line(String text) throws IOException {
-    switch (part) {
-      case HEAD -> head(text);
+  private void parseLine(String text) throws IOException {
+    switch (parseState) {
+      case HEAD -> parseHeadLine(text);
       case CHUNK_SIZE -> {
         int extension = text.indexOf(';');
-        left = Long.parseLong((extension < 0 ? text : text.substring(0, extension)).trim(), 16);
-        if (left < 0) {
+        remainingBytes =
+            Long.parseLong((extension < 0 ? text : text.substring(0, extension)).trim(), 16);
+        if (remainingBytes < 0) {
           throw new IOException("a negative length");
         }
-        part = left == 0 ? Part.TRAILER : Part.CHUNK;
+        parseState = remainingBytes == 0 ? ParseState.TRAILER : ParseState.CHUNK;
       }
       case CHUNK_END -> {
         if (!text.isEmpty()) {
           throw new IOException("a chunk is longer than it says");
         }
-        part = Part.CHUNK_SIZE;
+        parseState = ParseState.CHUNK_SIZE;
       }
       case TRAILER -> {
         if (text.isEmpty()) {
-          content(new byte[0], 0, 0, true);
+          deliverContent(new byte[0], 0, 0, true);
         }
       }
-      default -> throw new IllegalStateException("no lines in " + part);
+      default -> throw new IllegalStateException("no lines in " + parseState);
     }
   }
 
-  private void head(String text) throws IOException {
+  private void parseHeadLine(String text) throws IOException {
     headBytes += text.length();
     if (status < 0) {
       if (!text.matches("HTTP/1\\.[01] \\d{3}( .*)?")) {
@@ -202,27 +210,28 @@
       if (name.equals("transfer-encoding")) {
         chunked = value.equalsIgnoreCase("chunked");
       } else if (name.equals("content-length")) {
-        left = Long.parseLong(value);
+        remainingBytes = Long.parseLong(value);
       }
     } else {
-      network.turn(() -> answer.statusReceived(status));
+      network.runOnLoop(() -> responseHandler.statusReceived(status));
       if (chunked) {
-        part = Part.CHUNK_SIZE;
-      } else if (left == 0) {
-        content(new byte[0], 0, 0, true);
+        parseState = ParseState.CHUNK_SIZE;
+      } else if (remainingBytes == 0) {
+        deliverContent(new byte[0], 0, 0, true);
       } else {
-        part = left > 0 ? Part.COUNTED : Part.UNTIL_END;
+        parseState = remainingBytes > 0 ? ParseState.COUNTED : ParseState.UNTIL_END;
       }
     }
   }
 
-  private void content(byte[] bytes, int offset, int count, boolean last) {
+  private void deliverContent(byte[] bytes, int offset, int count, boolean last) {
     if (count == 0 && !last) {
       return;
     }
     if (last) {
       cancel();
     }
-    network.turn(() -> answer.contentReceived(status, ByteBuffer.wrap(bytes, offset, count), last));
+    network.runOnLoop(
+        () -> responseHandler.contentReceived(status, ByteBuffer.wrap(bytes, offset, count), last));
   }
 }
--- a/src/main/java/brassbank/sim/proxy/SimChannel.java
+++ b/src/main/java/brassbank/sim/proxy/SimChannel.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** The contract's channel, over one end of a simulated connection. */
+/** Implements {@link Channel} on one end of a simulated TCP connection. */
 final class SimChannel implements Channel {
   private final SimNetwork network;
   private final Endpoint endpoint;
@@ -21,12 +21,12 @@
         new Endpoint.Handler() {
           @Override
           public void readable() {
-            network.turn(handler::readable);
+            network.runOnLoop(handler::readable);
           }
 
           @Override
           public void writable() {
-            network.turn(handler::writable);
+            network.runOnLoop(handler::writable);
           }
         });
   }
@@ -54,7 +54,7 @@
 
   @Override
   public void sendBuffer(int bytes) {
-    endpoint.sendBuffer(bytes);
+    endpoint.sendBufferBytes(bytes);
   }
 
   @Override
--- a/src/main/java/brassbank/sim/proxy/SimNetwork.java
+++ b/src/main/java/brassbank/sim/proxy/SimNetwork.java
@@ -4,7 +4,7 @@
 import brassbank.net.EventLoop;
 import brassbank.net.Network;
 import brassbank.sim.net.Endpoint;
-import brassbank.sim.net.Port;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Program;
 import brassbank.sim.time.Agenda;
 import brassbank.sources.Clock;
@@ -14,173 +14,180 @@
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
 
-/** The contract's network, for one run of a proxy on a simulated machine. */
+/** Implements {@link Network} for one process of a proxy on a simulated machine. */
 public final class SimNetwork implements Network {
   private static final int BACKLOG = 1024;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Who is told that an accept or a connect found no descriptor. */
-  public interface Exhausted {
-    void exhausted(String held);
+  /** Receives a report, with the held descriptors, when an accept or a connect finds none free. */
+  public interface DescriptorExhaustionHandler {
+    void descriptorsExhausted(String held);
   }
 
   private final Program program;
   private final Clock clock;
-  private final Exhausted exhausted;
-  private final SharedDoor door;
+  private final DescriptorExhaustionHandler exhaustionHandler;
+  private final SharedListener sharedListener;
   private EventLoop loop;
   private Agenda.Entry timer;
-  private long armedFor = Long.MAX_VALUE;
+  private long armedForNanos = Long.MAX_VALUE;
 
-  public SimNetwork(Program program, Clock clock, Exhausted exhausted) {
+  public SimNetwork(Program program, Clock clock, DescriptorExhaustionHandler exhausted) {
     this(program, clock, exhausted, null);
   }
 
-  /** With a listening socket that the program has inherited, or null for none. */
-  SimNetwork(Program program, Clock clock, Exhausted exhausted, SharedDoor door) {
+  /**
+   * @param sharedListener the listening socket that the program has inherited, or null for none
+   */
+  SimNetwork(
+      Program program, Clock clock, DescriptorExhaustionHandler exhausted, SharedListener door) {
     this.program = program;
     this.clock = clock;
-    this.exhausted = exhausted;
-    this.door = door;
+    this.exhaustionHandler = exhausted;
+    this.sharedListener = door;
   }
 
   @Override
   public void start(EventLoop timers) {
     loop = timers;
-    arm();
+    armTimer();
   }
 
-  /** Runs something of the proxy's, on a turn that has come, and sees to its timers after it. */
-  void turn(Runnable task) {
+  /** Runs a task of the proxy as its event loop would, and arms the timer for its next deadline. */
+  void runOnLoop(Runnable task) {
     EventLoop.runGuarded(task);
-    arm();
+    armTimer();
   }
 
-  /** As the real selector does, which waits for whole milliseconds, rounded up. */
-  private void arm() {
+  /** Rounds waits up to whole milliseconds, as the real selector does. */
+  private void armTimer() {
     long due = loop == null ? Long.MAX_VALUE : loop.nextDeadlineNanos();
-    if (due == armedFor && timer != null && timer.pending()) {
+    if (due == armedForNanos && timer != null && timer.isPending()) {
       return;
     }
     if (timer != null) {
       timer.cancel();
     }
-    armedFor = due;
+    armedForNanos = due;
     if (due != Long.MAX_VALUE) {
       long millis = Math.max(0, (due - clock.nanos() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
-      timer = program.later(millis * Agenda.MILLI, () -> turn(loop::runDueTimers));
+      timer = program.schedule(millis * Agenda.MILLI, () -> runOnLoop(loop::runDueTimers));
     }
   }
 
-  /** What is told at one time comes in an order of chance here, so that none can be first. */
+  /**
+   * Listens on an address of this machine. Events of the same time are handled in random order, so
+   * {@code first}, the priority of the listener, has no effect.
+   */
   @Override
   public Network.Listener listen(
       InetSocketAddress address, boolean first, Consumer<Channel> accepted) throws IOException {
     if (!address.getAddress().equals(program.machine().address())) {
       throw new IOException("cannot assign the requested address " + address);
     }
-    Accepting accepting = new Accepting(accepted, true);
-    Port port = program.listen(address.getPort(), BACKLOG, accepting::turn);
-    accepting.waiting = port::waiting;
+    SimListener accepting = new SimListener(accepted, true);
+    ListeningSocket port = program.listen(address.getPort(), BACKLOG, accepting::acceptOne);
+    accepting.pendingConnections = port::pendingConnections;
     accepting.accept = port::accept;
     return accepting;
   }
 
   @Override
   public Network.Listener inherit(Consumer<Channel> accepted) throws IOException {
-    if (door == null) {
+    if (sharedListener == null) {
       return Network.super.inherit(accepted);
     }
-    Accepting accepting = new Accepting(accepted, false);
-    accepting.waiting = door::waiting;
-    accepting.accept = () -> door.accept(program);
-    door.heir(accepting::again);
+    SimListener accepting = new SimListener(accepted, false);
+    accepting.pendingConnections = sharedListener::pendingConnections;
+    accepting.accept = () -> sharedListener.accept(program);
+    sharedListener.addAcceptor(accepting::scheduleAccept);
     return accepting;
   }
 
-  /** The listener's part: takes one connection a turn, while it is on. */
-  private final class Accepting implements Network.Listener {
+  /** Accepts one connection per task of the event loop while accepting is enabled. */
+  private final class SimListener implements Network.Listener {
     private final Consumer<Channel> accepted;
-    private IntSupplier waiting;
+    private IntSupplier pendingConnections;
     private Supplier<Endpoint> accept;
-    private boolean on;
-    private boolean due;
+    private boolean accepting;
+    private boolean acceptScheduled;
 
-    Accepting(Consumer<Channel> accepted, boolean on) {
+    SimListener(Consumer<Channel> accepted, boolean on) {
       this.accepted = accepted;
-      this.on = on;
+      this.accepting = on;
     }
 
     @Override
     public void accepting(boolean allowed) {
-      on = allowed;
-      again();
+      accepting = allowed;
+      scheduleAccept();
     }
 
-    private void again() {
-      if (on && !due && waiting.getAsInt() > 0) {
-        due = true;
-        program.later(0, this::turn);
+    private void scheduleAccept() {
+      if (accepting && !acceptScheduled && pendingConnections.getAsInt() > 0) {
+        acceptScheduled = true;
+        program.schedule(0, this::acceptOne);
       }
     }
 
-    private void turn() {
-      due = false;
-      if (!on || waiting.getAsInt() == 0) {
+    private void acceptOne() {
+      acceptScheduled = false;
+      if (!accepting || pendingConnections.getAsInt() == 0) {
         return;
       }
-      if (!program.room()) {
-        // The real listener ends here: the contract's user must not let it come to this.
-        exhausted.exhausted(program.holds());
-        on = false;
+      if (!program.hasFreeDescriptor()) {
+        // The real listener fails here; the proxy must keep enough descriptors free to avoid it.
+        exhaustionHandler.descriptorsExhausted(program.describeDescriptors());
+        accepting = false;
         return;
       }
       Endpoint endpoint = accept.get();
-      SimNetwork.this.turn(() -> accepted.accept(new SimChannel(SimNetwork.this, endpoint)));
-      again();
+      SimNetwork.this.runOnLoop(() -> accepted.accept(new SimChannel(SimNetwork.this, endpoint)));
+      scheduleAccept();
     }
   }
 
   @Override
-  public Attempt connect(InetSocketAddress address, ConnectHandler then) {
-    Program.Connecting connecting =
+  public Attempt connect(InetSocketAddress address, ConnectHandler handler) {
+    Program.PendingConnect connecting =
         program.connect(
             address,
-            new Program.Connected() {
+            new Program.ConnectHandler() {
               @Override
-              public void up(Endpoint endpoint) {
-                turn(() -> then.connected(new SimChannel(SimNetwork.this, endpoint)));
+              public void connected(Endpoint endpoint) {
+                runOnLoop(() -> handler.connected(new SimChannel(SimNetwork.this, endpoint)));
               }
 
               @Override
               public void failed(IOException cause) {
-                if (!program.room()) {
-                  exhausted.exhausted(program.holds());
+                if (!program.hasFreeDescriptor()) {
+                  exhaustionHandler.descriptorsExhausted(program.describeDescriptors());
                 }
-                turn(() -> then.failed(cause));
+                runOnLoop(() -> handler.failed(cause));
               }
             });
     return connecting::cancel;
   }
 
   @Override
-  public Attempt get(InetSocketAddress address, String path, ResponseHandler answer) {
-    HttpCall call = new HttpCall(this, program, address, path, answer);
+  public Attempt get(InetSocketAddress address, String path, ResponseHandler handler) {
+    HttpCall call = new HttpCall(this, program, address, path, handler);
     call.start();
     return call;
   }
 
   @Override
-  public Network.Datagrams datagrams(InetSocketAddress address, DatagramHandler heard)
+  public Network.Datagrams datagrams(InetSocketAddress address, DatagramHandler handler)
       throws IOException {
     if (!address.getAddress().equals(program.machine().address())) {
       throw new IOException("cannot assign the requested address " + address);
     }
-    brassbank.sim.net.Datagrams socket =
-        program.datagrams(
+    brassbank.sim.net.DatagramSocket socket =
+        program.openDatagramSocket(
             address.getPort(),
             (from, port, bytes) ->
-                turn(() -> heard.received(new InetSocketAddress(from.address(), port), bytes)));
+                runOnLoop(
+                    () -> handler.received(new InetSocketAddress(from.address(), port), bytes)));
     return new Network.Datagrams() {
       @Override
       public void send(InetSocketAddress to, byte[] bytes) {
@@ -189,14 +196,14 @@
 
       @Override
       public void close() {
-        program.gives(socket);
+        program.closeSocket(socket);
       }
     };
   }
 
   @Override
   public void execute(Runnable task) {
-    program.later(0, () -> turn(task));
+    program.schedule(0, () -> runOnLoop(task));
   }
 
   @Override
--- a/src/test/java/brassbank/sim/MembershipTest.java
+++ b/src/test/java/brassbank/sim/MembershipTest.java
@@ -9,7 +9,7 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.fault.Script;
-import brassbank.sim.members.Spoiled;
+import brassbank.sim.members.TamperedNetwork;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -24,17 +24,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Whole proxies that keep a view of the fleet, in virtual time, under all rules. */
+/** Complete proxies with a membership view, in virtual time, under all rules. */
 class MembershipTest {
   private static final Path SCRIPTS = Path.of("src/test/resources/lab-members");
 
-  /** What breaks in any of them; each plays by itself, on a core of its own. */
+  /** Returns the breaches of all plans. Each plan runs by itself; the plans run in parallel. */
   private static List<String> broken(List<Plan> plans) {
     return plans.parallelStream()
         .flatMap(
             plan ->
-                new Run(plan, UnaryOperator.identity())
-                    .go().breaches().stream().map(breach -> plan.seed() + ": " + breach))
+                new SimulationRun(plan, UnaryOperator.identity())
+                    .execute().breaches().stream().map(breach -> plan.seed() + ": " + breach))
         .toList();
   }
 
@@ -54,22 +54,32 @@
   void holdsAllRulesAgainstDrawnFaults() {
     List<Plan> plans = new ArrayList<>();
     for (long seed = 1; seed <= 8; seed++) {
-      plans.add(Plan.drawn(seed, Plan.SECONDS, 5, Plan.HOSTS, Plan.RATE).with(Plan.View.MEMBERS));
+      plans.add(
+          Plan.drawn(
+                  seed,
+                  Plan.DEFAULT_SECONDS,
+                  5,
+                  Plan.DEFAULT_HOSTS,
+                  Plan.DEFAULT_CLIENTS_PER_SECOND)
+              .with(Plan.FleetMode.MEMBERS));
     }
     assertThat(broken(plans)).isEmpty();
   }
 
-  /** In an upgrade two processes of one name live for seconds: for the others nobody was away. */
+  /**
+   * During an upgrade two processes of one name run for seconds; for all other members the name
+   * must stay live throughout.
+   */
   @Test
-  void anUpgradeIsOneMemberAndNoFlap() throws Exception {
-    Run run =
-        new Run(
+  void anUpgradedProxyStaysLiveForAllOthers() throws Exception {
+    SimulationRun run =
+        new SimulationRun(
             Script.read(SCRIPTS.resolve("restarts-faster-than-noticed.toml")),
             UnaryOperator.identity());
     Set<String> states = new HashSet<>();
-    Set<Long> births = new HashSet<>();
+    Set<Long> startTimes = new HashSet<>();
     run.trace()
-        .listen(
+        .addListener(
             (now, event) -> {
               if (event instanceof Event.ViewSeen view
                   && now > 9_500_000
@@ -79,41 +89,44 @@
                     .forEach(
                         one -> {
                           states.add(one.state());
-                          births.add(one.birth());
+                          startTimes.add(one.birth());
                         });
               }
             });
-    assertThat(run.go().breaches()).isEmpty();
-    assertThat(births).as("two processes").hasSize(2);
+    assertThat(run.execute().breaches()).isEmpty();
+    assertThat(startTimes).as("two processes").hasSize(2);
     assertThat(states).isSubsetOf("alive", "suspect");
   }
 
-  // ------------------------------------------------------------ planted bugs
+  // Planted bugs
 
   private static Map<String, Integer> broken(UnaryOperator<Network> bug) throws Exception {
     Plan plan = Script.read(Path.of("src/test/resources/lab-planted/members-away.toml"));
     Map<String, Integer> counts = new HashMap<>();
-    new Run(plan, bug).go().breaches().forEach(one -> counts.merge(one.rule(), 1, Integer::sum));
+    new SimulationRun(plan, bug)
+        .execute()
+        .breaches()
+        .forEach(one -> counts.merge(one.rule(), 1, Integer::sum));
     return counts;
   }
 
-  /** Whoever asks another believes that it has answered. */
+  /** Every probe of another member is answered on the spot, whether or not that member runs. */
   @Test
-  void catchesTheDeadWhoAnswer() throws Exception {
+  void catchesFailedMembersThatSeemToAnswer() throws Exception {
     assertThat(broken(UnaryOperator.identity())).isEmpty();
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> forged(Message sent) {
-                    return sent.kind() != Message.Kind.PING || known(sent.target()) == null
+                  protected List<Message> forgeReplies(Message sent) {
+                    return sent.kind() != Message.Kind.PING || lastSelfUpdate(sent.target()) == null
                         ? List.of()
                         : List.of(
                             new Message(
                                 Message.Kind.ACK,
                                 sent.sequence(),
-                                known(sent.target()),
+                                lastSelfUpdate(sent.target()),
                                 sent.digest(),
                                 "",
                                 List.of()));
@@ -122,15 +135,15 @@
     assertThat(broken).containsKey("whoever is dead is dead in each view");
   }
 
-  /** Nobody reads what n3 says. */
+  /** All members ignore what n3 sends. */
   @Test
-  void catchesOneWhoIsNotListenedTo() throws Exception {
+  void catchesAMemberThatAllOthersIgnore() throws Exception {
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> heard(Message message) {
+                  protected List<Message> tamperIncoming(Message message) {
                     return message.sender().name().equals("n3")
                         ? List.of()
                         : List.of(without(message, "n3"));
@@ -140,24 +153,25 @@
   }
 
   /**
-   * Of each name only the first process is believed: the second is dead for all, and can be heard.
+   * All members accept only the first process of each name: the second is failed for all others,
+   * although it can be reached.
    */
   @Test
-  void catchesARestartThatIsNotBelieved() throws Exception {
-    Map<String, Long> births = new HashMap<>();
+  void catchesARestartThatIsNotAccepted() throws Exception {
+    Map<String, Long> startTimes = new HashMap<>();
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> heard(Message message) {
+                  protected List<Message> tamperIncoming(Message message) {
                     return first(message.sender().name(), message.sender().incarnation())
-                        ? List.of(only(message, one -> first(one.name(), one.incarnation())))
+                        ? List.of(keepUpdates(message, one -> first(one.name(), one.incarnation())))
                         : List.of();
                   }
 
                   private boolean first(String name, Incarnation incarnation) {
-                    return births.computeIfAbsent(name, n -> incarnation.startTime())
+                    return startTimes.computeIfAbsent(name, n -> incarnation.startTime())
                         == incarnation.startTime();
                   }
                 });
@@ -169,9 +183,9 @@
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> sent(InetSocketAddress to, Message message) {
+                  protected List<Message> tamperOutgoing(InetSocketAddress to, Message message) {
                     return Collections.nCopies(60, message);
                   }
                 });
@@ -179,6 +193,7 @@
   }
 
   private static Message without(Message message, String name) {
-    return Spoiled.only(message, one -> !one.name().equals(name) || one.state() != State.ALIVE);
+    return TamperedNetwork.keepUpdates(
+        message, one -> !one.name().equals(name) || one.state() != State.ALIVE);
   }
 }
--- a/src/test/java/brassbank/sim/SharesTest.java
+++ b/src/test/java/brassbank/sim/SharesTest.java
@@ -8,7 +8,7 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.fault.Script;
-import brassbank.sim.members.SpoiledSeats;
+import brassbank.sim.members.TamperedLeaseNetwork;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,19 +20,24 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whole proxies that share the fleet's budgets by who is there, in virtual time, under all rules.
+ * Complete proxies that divide the fleet's budgets among the live members, in virtual time, under
+ * all rules.
  */
 class SharesTest {
   private static final Path SCRIPTS = Path.of("src/test/resources/lab-shares");
 
   private static List<Breach> breaches(Plan plan, UnaryOperator<Network> wrapping) {
-    return new Run(plan, wrapping).go().breaches();
+    return new SimulationRun(plan, wrapping).execute().breaches();
   }
 
-  /** As above, past the rule on a cold host's calls, which the same bug breaks before. */
-  private static List<Breach> pastCalls(Plan plan, UnaryOperator<Network> wrapping) {
-    return new Run(plan, wrapping)
-        .go(breach -> !breach.rule().startsWith("a cold host's calls"))
+  /**
+   * Returns the breaches of a run that continues past the rule on a cold host's calls, which the
+   * same bug breaks earlier.
+   */
+  private static List<Breach> breachesPastColdHostCalls(
+      Plan plan, UnaryOperator<Network> wrapping) {
+    return new SimulationRun(plan, wrapping)
+        .execute(breach -> !breach.rule().startsWith("a cold host's calls"))
         .breaches();
   }
 
@@ -44,7 +49,7 @@
         plans.add(Script.read(file));
       }
     }
-    assertThat(plans).hasSizeGreaterThan(6).allMatch(Plan::shares);
+    assertThat(plans).hasSizeGreaterThan(6).allMatch(Plan::sharesBudgets);
     assertThat(
             plans.parallelStream()
                 .flatMap(plan -> breaches(plan, UnaryOperator.identity()).stream())
@@ -57,42 +62,58 @@
     assertThat(
             Stream.iterate(1L, seed -> seed + 1)
                 .limit(8)
-                .map(seed -> Plan.drawn(seed, Plan.SECONDS, 5, Plan.HOSTS, Plan.RATE))
+                .map(
+                    seed ->
+                        Plan.drawn(
+                            seed,
+                            Plan.DEFAULT_SECONDS,
+                            5,
+                            Plan.DEFAULT_HOSTS,
+                            Plan.DEFAULT_CLIENTS_PER_SECOND))
                 .toList()
                 .parallelStream()
                 .flatMap(
                     plan ->
-                        breaches(plan.with(Plan.View.SHARES), UnaryOperator.identity()).stream())
+                        breaches(plan.with(Plan.FleetMode.SHARES), UnaryOperator.identity())
+                            .stream())
                 .toList())
         .isEmpty();
   }
 
-  /** A fleet that is whole spends as one that goes by the file: the same places, to the byte. */
+  /**
+   * A complete fleet has the same budgets as one that takes them from its settings files: the
+   * statistics of both runs are identical.
+   */
   @Test
-  void changesNothingWhileAllAreThere() {
-    Plan plan = Plan.drawn(1, Plan.SECONDS, 5, Plan.HOSTS, Plan.RATE).with(List.of());
-    Run members = new Run(plan.with(Plan.View.MEMBERS), UnaryOperator.identity());
-    Run shares = new Run(plan.with(Plan.View.SHARES), UnaryOperator.identity());
-    assertThat(shares.go().service().text()).isEqualTo(members.go().service().text());
+  void changesNothingWhileAllMembersAreLive() {
+    Plan plan =
+        Plan.drawn(1, Plan.DEFAULT_SECONDS, 5, Plan.DEFAULT_HOSTS, Plan.DEFAULT_CLIENTS_PER_SECOND)
+            .with(List.of());
+    SimulationRun members =
+        new SimulationRun(plan.with(Plan.FleetMode.MEMBERS), UnaryOperator.identity());
+    SimulationRun shares =
+        new SimulationRun(plan.with(Plan.FleetMode.SHARES), UnaryOperator.identity());
+    assertThat(shares.execute().service().summary())
+        .isEqualTo(members.execute().service().summary());
   }
 
-  /** Answers of nobody: each proxy takes itself for the only one with a seat. */
+  /** Forged lease answers let each proxy take itself for the only one with a rank lease. */
   @Test
-  void catchesSeatsThatNobodyKeeps() throws Exception {
+  void catchesLeasesThatNoGrantorKeeps() throws Exception {
     Plan plan = Script.read(Path.of("src/test/resources/lab-planted/shares.toml"));
     assertThat(breaches(plan, UnaryOperator.identity())).isEmpty();
     assertThat(
-            pastCalls(
+            breachesPastColdHostCalls(
                 plan,
                 real ->
-                    new SpoiledSeats(real, "simulated") {
+                    new TamperedLeaseNetwork(real, "simulated") {
                       @Override
-                      protected LeaseMessage taken(LeaseMessage message) {
+                      protected LeaseMessage tamperIncomingLease(LeaseMessage message) {
                         return null;
                       }
 
                       @Override
-                      protected LeaseMessage forged(InetSocketAddress to, LeaseMessage sent) {
+                      protected LeaseMessage forgeReplies(InetSocketAddress to, LeaseMessage sent) {
                         if (sent.kind() != LeaseMessage.Kind.ASK) {
                           return null;
                         }
@@ -112,43 +133,44 @@
         .contains("a cold host's places, of all proxies together");
   }
 
-  private static List<String> away(List<String> events, UnaryOperator<Network> wrapping)
+  private static List<String> drainBreaches(List<String> events, UnaryOperator<Network> wrapping)
       throws Exception {
-    Run run = new Run(Script.read(SCRIPTS.resolve("two-are-sent-away-at-once.toml")), wrapping);
+    SimulationRun run =
+        new SimulationRun(Script.read(SCRIPTS.resolve("two-are-sent-away-at-once.toml")), wrapping);
     run.trace()
-        .listen(
+        .addListener(
             (now, event) -> {
               if (event instanceof Event.ProxyOnStandby || event instanceof Event.ProxyPutOff) {
                 events.add(event.text());
               }
             });
-    return run.go().breaches().stream().map(Breach::rule).toList();
+    return run.execute().breaches().stream().map(Breach::rule).toList();
   }
 
   @Test
-  void oneProxyAtATimeLeavesByOperatorsCalls() throws Exception {
+  void oneProxyAtATimeDrainsOnOperatorsCalls() throws Exception {
     List<String> events = new ArrayList<>();
-    assertThat(away(events, UnaryOperator.identity())).isEmpty();
+    assertThat(drainBreaches(events, UnaryOperator.identity())).isEmpty();
     assertThat(events)
         .containsExactly(
             "proxy-on-standby proxy=n1", "proxy-put-off proxy=n3", "proxy-put-off proxy=n4");
   }
 
-  /** Keepers that let everybody go. */
+  /** Grantors give a drain permit to every proxy. */
   @Test
-  void catchesTwoOwnersOfOneTurn() throws Exception {
+  void catchesTwoHoldersOfOneDrainPermit() throws Exception {
     assertThat(
-            away(
+            drainBreaches(
                 new ArrayList<>(),
                 real ->
-                    new SpoiledSeats(real, "simulated") {
+                    new TamperedLeaseNetwork(real, "simulated") {
                       @Override
-                      protected LeaseMessage taken(LeaseMessage message) {
+                      protected LeaseMessage tamperIncomingLease(LeaseMessage message) {
                         return message.kind() == LeaseMessage.Kind.LEAVE ? null : message;
                       }
 
                       @Override
-                      protected LeaseMessage forged(InetSocketAddress to, LeaseMessage sent) {
+                      protected LeaseMessage forgeReplies(InetSocketAddress to, LeaseMessage sent) {
                         int rank = to.getAddress().getAddress()[3] - 1;
                         return sent.kind() != LeaseMessage.Kind.LEAVE
                             ? null
--- a/src/test/java/brassbank/sim/SubsetsTest.java
+++ b/src/test/java/brassbank/sim/SubsetsTest.java
@@ -16,39 +16,41 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Whole proxies each of which asks a part of the hosts, in virtual time, under all rules. */
+/** Complete proxies that use a subset of the hosts each, in virtual time, under all rules. */
 class SubsetsTest {
-  private static final UnaryOperator<Network> AS_IT_IS = UnaryOperator.identity();
+  private static final UnaryOperator<Network> UNCHANGED = UnaryOperator.identity();
 
-  /** A calm fleet in which each host is asked by eight of sixteen, and has room. */
-  private static final Plan CALM =
-      Plan.drawn(3, Plan.LEAST_SECONDS, 16, 32, 8).with(List.of()).with(Plan.View.SUBSETS);
+  /**
+   * A fleet without faults in which each host is used by eight of sixteen proxies and has capacity.
+   */
+  private static final Plan FAULT_FREE =
+      Plan.drawn(3, Plan.MIN_SECONDS, 16, 32, 8).with(List.of()).with(Plan.FleetMode.SUBSETS);
 
-  private static List<String> broken(Run run) {
-    return run.go().breaches().stream().map(Breach::rule).toList();
+  private static List<String> broken(SimulationRun run) {
+    return run.execute().breaches().stream().map(Breach::rule).toList();
   }
 
   private static List<Plan> scripts(String folder) throws Exception {
     List<Plan> plans = new ArrayList<>();
     try (Stream<Path> files = Files.list(Path.of("src/test/resources").resolve(folder))) {
       for (Path file : files.sorted().toList()) {
-        plans.add(Script.read(file).with(Plan.View.SUBSETS));
+        plans.add(Script.read(file).with(Plan.FleetMode.SUBSETS));
       }
     }
     return plans;
   }
 
-  /** The hard cases of shares among them, on as many hosts as make a subset. */
+  /** Includes the scripts of shared budgets, with enough hosts to form a subset. */
   @Test
   void holdsAllRulesInTheLabsScripts() throws Exception {
     List<Plan> plans = scripts("lab-subsets");
     for (Plan plan : scripts("lab-shares")) {
-      plans.add(plan.onHosts(24));
+      plans.add(plan.withHosts(24));
     }
     assertThat(plans).hasSizeGreaterThan(10);
     assertThat(
             plans.parallelStream()
-                .flatMap(plan -> new Run(plan, AS_IT_IS).go().breaches().stream())
+                .flatMap(plan -> new SimulationRun(plan, UNCHANGED).execute().breaches().stream())
                 .toList())
         .isEmpty();
   }
@@ -57,32 +59,43 @@
   void holdsAllRulesAgainstDrawnFaults() {
     assertThat(
             LongStream.rangeClosed(1, 8)
-                .mapToObj(seed -> Plan.drawn(seed, Plan.SECONDS, 7, 24, Plan.RATE))
+                .mapToObj(
+                    seed ->
+                        Plan.drawn(
+                            seed, Plan.DEFAULT_SECONDS, 7, 24, Plan.DEFAULT_CLIENTS_PER_SECOND))
                 .toList()
                 .parallelStream()
                 .flatMap(
                     plan ->
-                        new Run(plan.with(Plan.View.SUBSETS), AS_IT_IS).go().breaches().stream())
+                        new SimulationRun(plan.with(Plan.FleetMode.SUBSETS), UNCHANGED)
+                            .execute().breaches().stream())
                 .toList())
         .isEmpty();
   }
 
-  /** A file with another number than the others have: all ask all. */
+  /**
+   * A settings file with another number of proxies per host than the others have: every proxy uses
+   * every host.
+   */
   @Test
-  void catchesHostsThatAllAsk() {
-    assertThat(broken(new Run(CALM, AS_IT_IS))).isEmpty();
+  void catchesHostsThatAllProxiesUse() {
+    assertThat(broken(new SimulationRun(FAULT_FREE, UNCHANGED))).isEmpty();
     assertThat(
             broken(
-                new Run(
-                    CALM, AS_IT_IS, told -> told, joining -> joining.withMinProxiesPerHost(1_000))))
+                new SimulationRun(
+                    FAULT_FREE,
+                    UNCHANGED,
+                    told -> told,
+                    joining -> joining.withMinProxiesPerHost(1_000))))
         .containsOnly("a host is asked by few, with subsets");
   }
 
-  /** Proxies that take the other zone for theirs. */
+  /** Proxies are configured with each other's zone. */
   @Test
   void catchesSubsetsOfAnotherZone() {
-    UnaryOperator<Site> turned =
+    UnaryOperator<Site> swapped =
         site -> site.withZones(List.of(site.zones().get(1), site.zones().get(0)));
-    assertThat(broken(new Run(CALM, AS_IT_IS, turned))).contains("a subset costs nobody his place");
+    assertThat(broken(new SimulationRun(FAULT_FREE, UNCHANGED, swapped)))
+        .contains("a subset costs nobody his place");
   }
 }
--- a/src/test/java/brassbank/sim/fault/ScriptTest.java
+++ b/src/test/java/brassbank/sim/fault/ScriptTest.java
@@ -9,12 +9,12 @@
 
 class ScriptTest {
   @Test
-  void readsBackWhatItHasWritten() throws Exception {
+  void writtenScriptParsesToTheSamePlan() throws Exception {
     for (long seed = 1; seed <= 20; seed++) {
       Plan plan =
           Plan.drawn(seed, 60, 3, 12, 13)
-              .with(Numbers.parse(seed % 2 == 0 ? "0-12,57" : ""))
-              .until(45);
+              .with(IndexSet.parse(seed % 2 == 0 ? "0-12,57" : ""))
+              .withSeconds(45);
       String text = Script.write(plan, "two\nlines");
       assertThat(text).startsWith("# two\n# lines\n");
       Plan read = Script.parse("x.toml", text);
@@ -40,7 +40,7 @@
         "[[fault]]~kind = \"burst\"~target = \"s-1\" | day.toml:3:1: burst takes no target",
         "[[fault]]~kind = \"burst\"~at_ms = 60001 | day.toml:3:1: 'at_ms' must be a whole number"
       })
-  void saysWhereAndWhatIsWrong(String text, String message) {
+  void errorNamesPositionAndCause(String text, String message) {
     assertThatThrownBy(() -> Script.parse("day.toml", text.replace("~", "\n")))
         .isInstanceOf(ScriptException.class)
         .hasMessageStartingWith(message);
