--- a/src/main/java/brassbank/sim/members/SimulatedCluster.java
+++ b/src/main/java/brassbank/sim/members/SimulatedCluster.java
@@ -271,14 +271,16 @@
 
   /**
    * @param maxMembers maximum number of members
-   * @param wrapping decorates the network of each member; the identity unless a test injects a bug
+   * @param networkDecorator decorates the network of each member; the identity unless a test
+   *     injects a bug
    */
-  SimulatedCluster(long seed, int maxMembers, Settings settings, UnaryOperator<Network> wrapping) {
+  SimulatedCluster(
+      long seed, int maxMembers, Settings settings, UnaryOperator<Network> networkDecorator) {
     RandomStreams draws = new RandomStreams(seed);
     fabric = new Fabric(agenda, draws, LATENCY, BUFFERS);
     stream = draws.of("flock");
     this.settings = settings;
-    this.networkDecorator = wrapping;
+    this.networkDecorator = networkDecorator;
     this.maxMembers = maxMembers;
   }
 
@@ -393,7 +395,8 @@
   }
 
   /**
-   * Returns whether all other running members consider a member live, or all consider it not live.
+   * Returns whether all other running members consider a member live or, if {@code live} is false,
+   * not live.
    */
   boolean allAgreeOn(SimulatedMember member, boolean live) {
     for (SimulatedMember one : members) {
--- a/src/main/java/brassbank/sim/net/Program.java
+++ b/src/main/java/brassbank/sim/net/Program.java
@@ -44,14 +44,14 @@
   private long pausedUntil;
 
   /**
-   * @param base descriptors that the runtime holds itself
-   * @param limit descriptors that the program may hold, including those of the runtime
+   * @param runtimeDescriptors descriptors that the runtime holds itself
+   * @param descriptorLimit descriptors that the program may hold, including those of the runtime
    */
-  public Program(Machine machine, String name, int base, int limit) {
+  public Program(Machine machine, String name, int runtimeDescriptors, int descriptorLimit) {
     this.machine = machine;
     this.name = name;
-    this.runtimeDescriptors = base;
-    this.descriptorLimit = limit;
+    this.runtimeDescriptors = runtimeDescriptors;
+    this.descriptorLimit = descriptorLimit;
   }
 
   public Machine machine() {
--- a/src/main/java/brassbank/sim/proxy/ProxyNode.java
+++ b/src/main/java/brassbank/sim/proxy/ProxyNode.java
@@ -90,28 +90,28 @@
   private long pausedUntil;
 
   /**
-   * @param told the site as described by the settings of the proxy
-   * @param wrapping decorates the network of each process; tests use it to inject bugs
-   * @param inherits whether the platform holds the listening socket, which upgrades require
-   * @param joining how the proxy joins the fleet, or null if it does not
+   * @param configuredSite the site as described by the settings of the proxy
+   * @param networkDecorator decorates the network of each process; tests use it to inject bugs
+   * @param inheritsListener whether the platform holds the listening socket, which upgrades require
+   * @param membershipConfig how the proxy joins the fleet, or null if it does not
    */
   public ProxyNode(
       World world,
-      Site told,
+      Site configuredSite,
       String name,
       int rank,
       Machine machine,
-      UnaryOperator<Network> wrapping,
-      boolean inherits,
-      MembershipConfig joining) {
+      UnaryOperator<Network> networkDecorator,
+      boolean inheritsListener,
+      MembershipConfig membershipConfig) {
     this.world = world;
-    this.configuredSite = told;
+    this.configuredSite = configuredSite;
     this.name = name;
     this.rank = rank;
     this.machine = machine;
-    this.networkDecorator = wrapping;
-    this.inheritsListener = inherits;
-    this.membershipConfig = joining;
+    this.networkDecorator = networkDecorator;
+    this.inheritsListener = inheritsListener;
+    this.membershipConfig = membershipConfig;
     this.socketLimit = world.site().sockets();
     this.address = new InetSocketAddress(machine.address(), PORT);
     this.stream = world.draws().of("proxy " + name);
