--- a/src/main/java/brassbank/rehearsal/Rehearsal.java
+++ b/src/main/java/brassbank/rehearsal/Rehearsal.java
@@ -17,28 +17,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Starts the program on loopback and leads it through what every run meets: a front's PING, flows
- * and their lines, probes, the list and the watch, a bad client, SIGHUP, and SIGTERM with a client
- * that still stands. {@code deploy/archive.sh} runs it.
+ * Starts the proxy on loopback and exercises what every run meets: the front's PING, flows and
+ * their lines, probes, the target list and its watch, a malformed request, SIGHUP, and SIGTERM
+ * while clients are connected. {@code deploy/archive.sh} runs it.
  *
- * <p>Each wait is bounded; a run that goes wrong throws, and the program is ended in any case.
+ * <p>Each wait is bounded. A failed run exits with status 1, and the proxy's process is killed in
+ * any case.
  */
 public final class Rehearsal {
-  private static final int LIMIT_MILLIS = 10_000;
-  private static final int LOOK_AGAIN_MILLIS = 10;
+  private static final int TIMEOUT_MILLIS = 10_000;
+  private static final int POLL_INTERVAL_MILLIS = 10;
 
-  /** The classes' longest deadline, in microseconds: the planned stop takes this long and 0.7 s. */
-  private static final long SHORT_DEADLINE = 600_000;
+  /** Deadline of all classes; a planned stop takes 0.7 s longer than the longest one. */
+  private static final long CLASS_DEADLINE_MICROS = 600_000;
 
-  private final List<ToyHost> hosts = new ArrayList<>();
-  private final ToyDiscovery discovery = new ToyDiscovery();
+  private final List<StubHost> hosts = new ArrayList<>();
+  private final StubDiscovery discovery = new StubDiscovery();
   private final JsonObject config;
   private final InetSocketAddress address;
   private Process process;
 
   private Rehearsal(JsonObject config) throws IOException {
     this.config = config;
-    // Not 127.0.0.1: a connect to a free port there can meet itself, and then holds the port.
+    // Not 127.0.0.1: a connect to a free port there can connect to itself and occupy the port.
     InetAddress own = InetAddress.getByName("127.0.0.2");
     try (ServerSocket free = new ServerSocket(0, 1, own)) {
       address = new InetSocketAddress(own, free.getLocalPort());
@@ -47,18 +48,18 @@
     config.addProperty("discovery", discovery.address());
     JsonObject known = config.getAsJsonObject("known");
     for (JsonElement entry : known.getAsJsonArray("endpoints")) {
-      ToyHost host = new ToyHost();
+      StubHost host = new StubHost();
       hosts.add(host);
       entry.getAsJsonObject().addProperty("address", host.address());
     }
     known.addProperty("index", 1);
-    discovery.list(known.toString());
+    discovery.setList(known.toString());
     for (JsonElement type : config.getAsJsonObject("settings").getAsJsonArray("profiles")) {
-      type.getAsJsonObject().addProperty("give-up", SHORT_DEADLINE);
+      type.getAsJsonObject().addProperty("give-up", CLASS_DEADLINE_MICROS);
     }
   }
 
-  /** Arguments: a configuration to take the settings from, and the command that serves. */
+  /** Arguments: a configuration file to take the settings from, and the command of the proxy. */
   public static void main(String[] args) throws InterruptedException {
     if (args.length < 2) {
       System.err.println("usage: Rehearsal CONFIG COMMAND...");
@@ -69,9 +70,9 @@
       rehearse(Path.of(args[0]), Arrays.asList(args).subList(1, args.length));
       status = 0;
     } catch (IOException | RuntimeException e) {
-      System.err.println("the rehearsal went wrong: " + e);
+      System.err.println("the rehearsal failed: " + e);
     }
-    // Discovery and the hosts still have threads, which would keep this program for good.
+    // The threads of the stub discovery and hosts would keep this JVM alive.
     System.exit(status);
   }
 
@@ -83,9 +84,9 @@
     try {
       Files.writeString(file, config.toString());
       rehearsal.start(file, command);
-      rehearsal.play();
+      rehearsal.exercise();
     } finally {
-      rehearsal.end();
+      rehearsal.killProcess();
       Files.delete(file);
     }
   }
@@ -97,58 +98,60 @@
     process = builder.start();
   }
 
-  private void play() throws IOException, InterruptedException {
+  private void exercise() throws IOException, InterruptedException {
     awaitPong();
-    try (ToyClient bad = new ToyClient(address, LIMIT_MILLIS)) {
+    try (StubClient bad = new StubClient(address, TIMEOUT_MILLIS)) {
       bad.send("nonsense");
-      bad.expect("ERR");
+      bad.expectLine("ERR");
     }
-    List<ToyClient> clients = new ArrayList<>();
+    List<StubClient> clients = new ArrayList<>();
     for (int i = 0; i < 2 * hosts.size(); i++) {
-      ToyClient client = new ToyClient(address, LIMIT_MILLIS);
+      StubClient client = new StubClient(address, TIMEOUT_MILLIS);
       clients.add(client);
       client.send("OPEN " + i + " key-" + i + " c=preview,t=kelvin-stone,d=600");
-      client.expect("UP");
-      client.expect("LOAD");
+      client.expectLine("UP");
+      client.expectLine("LOAD");
       client.send("m 1");
-      client.expect("m 1");
+      client.expectLine("m 1");
     }
     signal("HUP");
     JsonArray entries = config.getAsJsonObject("known").getAsJsonArray("endpoints");
-    discovery.change(entries.get(0).getAsJsonObject());
-    hosts.get(hosts.size() - 1).awaitProbe(LIMIT_MILLIS);
+    discovery.reportDraining(entries.get(0).getAsJsonObject());
+    hosts.get(hosts.size() - 1).awaitProbe(TIMEOUT_MILLIS);
     clients.remove(0).close();
     signal("TERM");
-    for (ToyClient client : clients) {
-      client.expect("MOVE");
+    for (StubClient client : clients) {
+      client.expectLine("MOVE");
       client.close();
     }
-    if (!process.waitFor(LIMIT_MILLIS, TimeUnit.MILLISECONDS) || process.exitValue() != 0) {
-      throw new IOException("the program did not end as planned");
+    if (!process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) || process.exitValue() != 0) {
+      throw new IOException(
+          "the proxy did not exit with status 0 within " + TIMEOUT_MILLIS + " ms of SIGTERM");
     }
   }
 
   private void awaitPong() throws IOException, InterruptedException {
-    for (int tries = LIMIT_MILLIS / LOOK_AGAIN_MILLIS; tries > 0; tries--) {
-      try (ToyClient front = new ToyClient(address, LIMIT_MILLIS)) {
+    for (int tries = TIMEOUT_MILLIS / POLL_INTERVAL_MILLIS; tries > 0; tries--) {
+      try (StubClient front = new StubClient(address, TIMEOUT_MILLIS)) {
         front.send("PING");
-        front.expect("PONG");
+        front.expectLine("PONG");
         return;
       } catch (ConnectException e) {
-        if (process.waitFor(LOOK_AGAIN_MILLIS, TimeUnit.MILLISECONDS)) {
+        if (process.waitFor(POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)) {
           break;
         }
       }
     }
-    throw new IOException("the program does not serve");
+    throw new IOException(
+        "the proxy did not answer PING within " + TIMEOUT_MILLIS + " ms, or has ended");
   }
 
-  /** The platform sends its signals to the process that {@code run} started; so does this. */
+  /** Sends a signal to the process that the command started, as the platform does. */
   private void signal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
   }
 
-  private void end() throws InterruptedException {
+  private void killProcess() throws InterruptedException {
     if (process != null) {
       process.destroyForcibly().waitFor();
     }
--- a/src/main/java/brassbank/rehearsal/ToyDiscovery.java
+++ b/src/main/java/brassbank/rehearsal/StubDiscovery.java
@@ -12,22 +12,22 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** Discovery: the whole list, and one watch that tells of one drain. */
-final class ToyDiscovery {
+/** A discovery that serves the whole list, and a watch that reports one draining target. */
+final class StubDiscovery {
   private static final int EMPTY_LINE_MILLIS = 500;
 
   private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
   private final CountDownLatch changed = new CountDownLatch(1);
 
-  /** Never counted down: a wait that only its time ends. */
-  private final CountDownLatch over = new CountDownLatch(1);
+  /** Never counted down: waiting on it always lasts for the time-out. */
+  private final CountDownLatch neverReleased = new CountDownLatch(1);
 
   private volatile String list;
   private volatile String change;
 
-  ToyDiscovery() throws IOException {
+  StubDiscovery() throws IOException {
     server.setExecutor(Executors.newCachedThreadPool());
-    server.createContext("/api/targets", this::answer);
+    server.createContext("/api/targets", this::handleRequest);
     server.start();
   }
 
@@ -35,12 +35,12 @@
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  void list(String whole) {
-    list = whole;
+  void setList(String json) {
+    list = json;
   }
 
-  /** Tells the watch that this target drains. */
-  void change(JsonObject entry) {
+  /** Reports to the watch that a target drains. */
+  void reportDraining(JsonObject entry) {
     JsonObject draining = entry.deepCopy();
     draining.addProperty("status", "DRAINING");
     JsonArray entries = new JsonArray();
@@ -53,28 +53,28 @@
     changed.countDown();
   }
 
-  private void answer(HttpExchange exchange) throws IOException {
+  private void handleRequest(HttpExchange exchange) throws IOException {
     exchange.sendResponseHeaders(200, 0);
     try (OutputStream body = exchange.getResponseBody()) {
-      tell(body, list);
+      writeLine(body, list);
       String query = exchange.getRequestURI().getQuery();
       if (query == null || !query.contains("follow=1")) {
         return;
       }
       while (!changed.await(EMPTY_LINE_MILLIS, TimeUnit.MILLISECONDS)) {
-        tell(body, "");
+        writeLine(body, "");
       }
-      tell(body, change);
-      // The watch stays open: the program that keeps it ends first.
-      while (!over.await(EMPTY_LINE_MILLIS, TimeUnit.MILLISECONDS)) {
-        tell(body, "");
+      writeLine(body, change);
+      // The watch stays open until the proxy closes it.
+      while (!neverReleased.await(EMPTY_LINE_MILLIS, TimeUnit.MILLISECONDS)) {
+        writeLine(body, "");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static void tell(OutputStream body, String line) throws IOException {
+  private static void writeLine(OutputStream body, String line) throws IOException {
     body.write((line + "\n").getBytes(StandardCharsets.UTF_8));
     body.flush();
   }
--- a/src/main/java/brassbank/rehearsal/ToyHost.java
+++ b/src/main/java/brassbank/rehearsal/StubHost.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A stream host that takes every flow, returns its lines, and answers probes with some load. */
-final class ToyHost {
+/** A stream host that accepts every flow, echoes its lines, and answers probes with a low load. */
+final class StubHost {
   private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   private final CountDownLatch probed = new CountDownLatch(1);
 
-  ToyHost() throws IOException {
-    daemon(this::accept);
+  StubHost() throws IOException {
+    startDaemonThread(this::accept);
   }
 
-  static void daemon(Runnable task) {
+  static void startDaemonThread(Runnable task) {
     Thread thread = new Thread(task);
     thread.setDaemon(true);
     thread.start();
@@ -29,10 +29,14 @@
     return "127.0.0.1:" + socket.getLocalPort();
   }
 
-  /** Waits for a probe to be answered; throws where none comes in time. */
+  /**
+   * Waits until a probe has been answered.
+   *
+   * @throws IOException if none arrives in time
+   */
   void awaitProbe(int limitMillis) throws IOException, InterruptedException {
     if (!probed.await(limitMillis, TimeUnit.MILLISECONDS)) {
-      throw new IOException("no probe has come");
+      throw new IOException("no probe arrived within " + limitMillis + " ms");
     }
   }
 
@@ -40,10 +44,10 @@
     try {
       while (true) {
         Socket connection = socket.accept();
-        daemon(() -> serve(connection));
+        startDaemonThread(() -> serve(connection));
       }
     } catch (IOException e) {
-      System.err.println("a toy host has ended: " + e.getMessage());
+      System.err.println("a stub host stopped accepting connections: " + e.getMessage());
     }
   }
 
@@ -66,7 +70,7 @@
         }
       }
     } catch (IOException e) {
-      // The proxy has ended the connection, as it does when it stops.
+      // The proxy has closed the connection, as it does when it stops.
     }
   }
 }
--- a/src/main/java/brassbank/sim/Run.java
+++ b/src/main/java/brassbank/sim/SimulationRun.java
@@ -9,7 +9,7 @@
 import brassbank.sim.check.Breach;
 import brassbank.sim.event.Event;
 import brassbank.sim.event.Trace;
-import brassbank.sim.fault.Kinds;
+import brassbank.sim.fault.FaultKinds;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.proxy.ProxyNode;
 import brassbank.sim.time.Agenda;
@@ -20,61 +20,61 @@
 import java.util.function.UnaryOperator;
 
 /** One run of a plan: the world is built, everybody starts, and time goes by under all checks. */
-public final class Run {
+public final class SimulationRun {
   /** More steps than this at one moment are a loop that never ends. */
-  private static final long MOST_AT_ONCE = 1_000_000;
+  private static final long MAX_STEPS_AT_ONE_TIME = 1_000_000;
 
   /** What came of a run. */
-  public record Outcome(
+  public record Result(
       Plan plan,
       List<Breach> breaches,
       long endedAt,
       long steps,
       long fingerprint,
-      Service service) {
+      ServiceStatistics service) {
     /** Virtual seconds that it lasted, rounded up. */
     public long endedAtSecond() {
       return (endedAt + Agenda.SECOND - 1) / Agenda.SECOND;
     }
 
-    public boolean sound() {
+    public boolean isSound() {
       return breaches.isEmpty();
     }
   }
 
   private final Plan plan;
-  private final Scene scene;
+  private final ScenarioRun scenario;
   private boolean logs;
 
   /**
    * @param wrapping put round the network of each proxy; the identity but where a test plants a bug
    */
-  public Run(Plan plan, UnaryOperator<Network> wrapping) {
+  public SimulationRun(Plan plan, UnaryOperator<Network> wrapping) {
     this(plan, wrapping, UnaryOperator.identity());
   }
 
   /**
    * @param told the site as the proxies are told of it; as it is but where a test plants a fault
    */
-  public Run(Plan plan, UnaryOperator<Network> wrapping, UnaryOperator<Site> told) {
+  public SimulationRun(Plan plan, UnaryOperator<Network> wrapping, UnaryOperator<Site> told) {
     this(plan, wrapping, told, UnaryOperator.identity());
   }
 
   /**
    * @param joins how proxies become members, where they do; as it is but where a test plants a file
    */
-  Run(
+  SimulationRun(
       Plan plan,
       UnaryOperator<Network> wrapping,
       UnaryOperator<Site> told,
       UnaryOperator<MembershipConfig> joins) {
-    this(plan, wrapping, told, joins, Scene.site(plan));
+    this(plan, wrapping, told, joins, ScenarioRun.site(plan));
   }
 
   /**
    * @param stated the deployment, where it is another than the plan's own
    */
-  Run(
+  SimulationRun(
       Plan plan,
       UnaryOperator<Network> wrapping,
       UnaryOperator<Site> told,
@@ -83,11 +83,12 @@
     this.plan = plan;
     Site site = told.apply(stated);
     boolean upgraded =
-        plan.faults().stream().anyMatch(fault -> fault.kind().name().equals(Kinds.UPGRADE));
-    scene =
-        new Scene(
+        plan.faults().stream()
+            .anyMatch(fault -> fault.kind().name().equals(FaultKinds.PROXY_UPGRADE));
+    scenario =
+        new ScenarioRun(
             plan,
-            Scene.House.VIRTUAL,
+            ScenarioRun.Environment.VIRTUAL,
             (world, name, rank, machine) ->
                 new ProxyNode(
                     world,
@@ -97,43 +98,45 @@
                     machine,
                     wrapping,
                     upgraded,
-                    plan.membership() ? joins.apply(Fleets.joining(plan)) : null),
+                    plan.usesMembership()
+                        ? joins.apply(SimulatedMembership.configFor(plan))
+                        : null),
             stated);
   }
 
-  /** To be called before {@link #go}, by whoever wants to see the events. */
+  /** To be called before {@link #execute}, by whoever wants to see the events. */
   public Trace trace() {
-    return scene.trace();
+    return scenario.trace();
   }
 
   /** What each host can hold once it is warm, by its name, in sessions of mean load. */
   public Map<String, Double> capacities() {
     Map<String, Double> capacities = new TreeMap<>();
-    scene.world().hosts().forEach((name, host) -> capacities.put(name, host.capacity()));
+    scenario.world().hosts().forEach((name, host) -> capacities.put(name, host.capacity()));
     return capacities;
   }
 
   /** The zones of hosts and proxies, by their names. */
   public Map<String, String> zones() {
-    return scene.zones();
+    return scenario.zones();
   }
 
   /** Puts what the proxies log into the trace. */
-  public void withLogs() {
+  public void includeLogs() {
     logs = true;
   }
 
   /** Runs it to its end, or to the first breach. Nothing of it leaves the calling thread. */
-  public Outcome go() {
-    return go(breach -> true);
+  public Result execute() {
+    return execute(breach -> true);
   }
 
   /**
-   * As {@link #go()}, but only a breach that {@code ends} says so of ends the run: a test of one
-   * rule goes on past those that the same bug breaks before.
+   * As {@link #execute()}, but only a breach that {@code ends} says so of ends the run: a test of
+   * one rule goes on past those that the same bug breaks before.
    */
-  Outcome go(Predicate<Breach> ends) {
-    Log.setThreadSink(this::logged);
+  Result execute(Predicate<Breach> ends) {
+    Log.setThreadSink(this::onLogEvent);
     try {
       return run(ends);
     } finally {
@@ -141,39 +144,39 @@
     }
   }
 
-  private Outcome run(Predicate<Breach> ends) {
-    Agenda agenda = scene.agenda();
-    scene.begin();
+  private Result run(Predicate<Breach> ends) {
+    Agenda agenda = scenario.agenda();
+    scenario.begin();
     long moment = 0;
     long atOnce = 0;
-    List<Breach> breaches = scene.checks().breaches();
-    while (breaches.stream().noneMatch(ends) && agenda.step(scene.end())) {
+    List<Breach> breaches = scenario.checks().breaches();
+    while (breaches.stream().noneMatch(ends) && agenda.step(scenario.end())) {
       atOnce = agenda.now() == moment ? atOnce + 1 : 0;
       moment = agenda.now();
-      if (atOnce > MOST_AT_ONCE) {
+      if (atOnce > MAX_STEPS_AT_ONE_TIME) {
         breaches.add(new Breach("time goes on", moment, "a loop that never ends"));
       }
     }
     if (breaches.isEmpty()) {
-      scene.checks().end(agenda.now());
+      scenario.checks().onEnd(agenda.now());
     }
-    scene.service().end(agenda.now());
-    return new Outcome(
+    scenario.service().finish(agenda.now());
+    return new Result(
         plan,
         List.copyOf(breaches),
         agenda.now(),
         agenda.steps(),
         agenda.fingerprint(),
-        scene.service());
+        scenario.service());
   }
 
   /** What a proxy logs: a failure is a rule's business, all else the trace's. */
-  private void logged(brassbank.log.Event event) {
-    String proxy = scene.world().fabric().running().name();
+  private void onLogEvent(brassbank.log.Event event) {
+    String proxy = scenario.world().fabric().runningProgram().name();
     if (event.level() == Level.ERROR) {
-      scene.world().tell(new Event.ProxyFailed(proxy, text(event)));
+      scenario.world().publish(new Event.ProxyFailed(proxy, text(event)));
     } else if (logs) {
-      scene.world().tell(new Event.ProxyLogged(proxy, text(event)));
+      scenario.world().publish(new Event.ProxyLogged(proxy, text(event)));
     }
   }
 
--- a/src/main/java/brassbank/sim/check/ViewsGrow.java
+++ b/src/main/java/brassbank/sim/check/ViewMonotonicity.java
@@ -8,22 +8,23 @@
  * A view's versions grow, and whoever was gone in it comes back by a higher incarnation only; one
  * that it has forgotten meanwhile is another's business.
  */
-final class ViewsGrow extends Rule {
-  private final Views views = new Views();
+final class ViewMonotonicity extends Rule {
+  private final ViewTracker views = new ViewTracker();
 
-  ViewsGrow() {
+  ViewMonotonicity() {
     super("the gone come back by a higher incarnation, and versions grow");
   }
 
   @Override
-  void see(long now, Event event) {
-    Event.ViewSeen before = views.see(event);
+  void onEvent(long now, Event event) {
+    Event.ViewSeen before = views.onEvent(event);
     if (before == null) {
       return;
     }
     Event.ViewSeen after = (Event.ViewSeen) event;
     if (after.version() <= before.version()) {
-      broken(now, after.proxy() + " goes from " + before.version() + " to " + after.version());
+      reportBreach(
+          now, after.proxy() + " goes from " + before.version() + " to " + after.version());
     }
     Map<String, Event.Seen> known = new HashMap<>();
     before.members().forEach(one -> known.put(one.name(), one));
@@ -38,7 +39,7 @@
       boolean gone = old.state().equals("dead") || old.state().equals("left");
       boolean live = one.state().equals("alive") || one.state().equals("suspect");
       if (lower || (gone && live && !higher)) {
-        broken(now, after.proxy() + " goes from " + old + " to " + one);
+        reportBreach(now, after.proxy() + " goes from " + old + " to " + one);
       }
     }
   }
--- a/src/test/java/brassbank/SimulatedTestBed.java
+++ b/src/test/java/brassbank/SimulatedTestBed.java
@@ -4,13 +4,13 @@
 import brassbank.proxy.Proxy;
 import brassbank.sim.net.Endpoint;
 import brassbank.sim.net.Fabric;
+import brassbank.sim.net.ListeningSocket;
 import brassbank.sim.net.Machine;
-import brassbank.sim.net.Port;
 import brassbank.sim.net.Program;
 import brassbank.sim.proxy.SimClock;
 import brassbank.sim.proxy.SimNetwork;
 import brassbank.sim.time.Agenda;
-import brassbank.sim.time.Draws;
+import brassbank.sim.time.RandomStreams;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.IOException;
@@ -35,7 +35,7 @@
   private final Fabric fabric =
       new Fabric(
           agenda,
-          new Draws(1),
+          new RandomStreams(1),
           new Fabric.Latency(30, 60, 700, 1_300, 0.2),
           new Fabric.Buffers(64 * 1024, 64 * 1024, 100_000_000));
   private final Map<String, Host> hosts = new LinkedHashMap<>();
@@ -57,7 +57,7 @@
   private Program program(String name, int number) {
     try {
       InetAddress address = InetAddress.getByAddress(new byte[] {10, 0, 0, (byte) number});
-      Machine machine = fabric.machine(name, "leith", address);
+      Machine machine = fabric.addMachine(name, "leith", address);
       return new Program(machine, name, 20, 1_024);
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -65,8 +65,8 @@
   }
 
   /** Listens at a port and passes each connection to the handler. */
-  private static Port listen(Program program, int number, Consumer<Endpoint> handler) {
-    Port[] port = new Port[1];
+  private static ListeningSocket listen(Program program, int number, Consumer<Endpoint> handler) {
+    ListeningSocket[] port = new ListeningSocket[1];
     try {
       port[0] = program.listen(number, 50, () -> handler.accept(port[0].accept()));
       return port[0];
@@ -150,7 +150,7 @@
   private final class Host {
     private final Program program;
     private final Deque<Connection> flows = new ArrayDeque<>();
-    private final Port port;
+    private final ListeningSocket port;
     private String openResponse = "UP r-1";
 
     Host(String name, int number) {
@@ -259,9 +259,9 @@
     EndpointConnection[] connection = new EndpointConnection[1];
     clientProgram.connect(
         new InetSocketAddress(proxyProgram.machine().address(), 7070),
-        new Program.Connected() {
+        new Program.ConnectHandler() {
           @Override
-          public void up(Endpoint endpoint) {
+          public void connected(Endpoint endpoint) {
             connection[0] = new EndpointConnection(endpoint);
           }
 
--- a/src/test/java/brassbank/sim/MembershipTest.java
+++ b/src/test/java/brassbank/sim/MembershipTest.java
@@ -9,7 +9,7 @@
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.fault.Script;
-import brassbank.sim.members.Spoiled;
+import brassbank.sim.members.TamperedNetwork;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -33,8 +33,8 @@
     return plans.parallelStream()
         .flatMap(
             plan ->
-                new Run(plan, UnaryOperator.identity())
-                    .go().breaches().stream().map(breach -> plan.seed() + ": " + breach))
+                new SimulationRun(plan, UnaryOperator.identity())
+                    .execute().breaches().stream().map(breach -> plan.seed() + ": " + breach))
         .toList();
   }
 
@@ -54,7 +54,14 @@
   void holdsAllRulesAgainstDrawnFaults() {
     List<Plan> plans = new ArrayList<>();
     for (long seed = 1; seed <= 8; seed++) {
-      plans.add(Plan.drawn(seed, Plan.SECONDS, 5, Plan.HOSTS, Plan.RATE).with(Plan.View.MEMBERS));
+      plans.add(
+          Plan.drawn(
+                  seed,
+                  Plan.DEFAULT_SECONDS,
+                  5,
+                  Plan.DEFAULT_HOSTS,
+                  Plan.DEFAULT_CLIENTS_PER_SECOND)
+              .with(Plan.FleetMode.MEMBERS));
     }
     assertThat(broken(plans)).isEmpty();
   }
@@ -62,14 +69,14 @@
   /** In an upgrade two processes of one name live for seconds: for the others nobody was away. */
   @Test
   void anUpgradeIsOneMemberAndNoFlap() throws Exception {
-    Run run =
-        new Run(
+    SimulationRun run =
+        new SimulationRun(
             Script.read(SCRIPTS.resolve("restarts-faster-than-noticed.toml")),
             UnaryOperator.identity());
     Set<String> states = new HashSet<>();
     Set<Long> births = new HashSet<>();
     run.trace()
-        .listen(
+        .addListener(
             (now, event) -> {
               if (event instanceof Event.ViewSeen view
                   && now > 9_500_000
@@ -83,7 +90,7 @@
                         });
               }
             });
-    assertThat(run.go().breaches()).isEmpty();
+    assertThat(run.execute().breaches()).isEmpty();
     assertThat(births).as("two processes").hasSize(2);
     assertThat(states).isSubsetOf("alive", "suspect");
   }
@@ -93,7 +100,10 @@
   private static Map<String, Integer> broken(UnaryOperator<Network> bug) throws Exception {
     Plan plan = Script.read(Path.of("src/test/resources/lab-planted/members-away.toml"));
     Map<String, Integer> counts = new HashMap<>();
-    new Run(plan, bug).go().breaches().forEach(one -> counts.merge(one.rule(), 1, Integer::sum));
+    new SimulationRun(plan, bug)
+        .execute()
+        .breaches()
+        .forEach(one -> counts.merge(one.rule(), 1, Integer::sum));
     return counts;
   }
 
@@ -104,16 +114,16 @@
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> forged(Message sent) {
-                    return sent.kind() != Message.Kind.PING || known(sent.target()) == null
+                  protected List<Message> forgeReplies(Message sent) {
+                    return sent.kind() != Message.Kind.PING || lastSelfUpdate(sent.target()) == null
                         ? List.of()
                         : List.of(
                             new Message(
                                 Message.Kind.ACK,
                                 sent.sequence(),
-                                known(sent.target()),
+                                lastSelfUpdate(sent.target()),
                                 sent.digest(),
                                 "",
                                 List.of()));
@@ -128,9 +138,9 @@
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> heard(Message message) {
+                  protected List<Message> tamperIncoming(Message message) {
                     return message.sender().name().equals("n3")
                         ? List.of()
                         : List.of(without(message, "n3"));
@@ -148,11 +158,11 @@
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> heard(Message message) {
+                  protected List<Message> tamperIncoming(Message message) {
                     return first(message.sender().name(), message.sender().incarnation())
-                        ? List.of(only(message, one -> first(one.name(), one.incarnation())))
+                        ? List.of(keepUpdates(message, one -> first(one.name(), one.incarnation())))
                         : List.of();
                   }
 
@@ -169,9 +179,9 @@
     Map<String, Integer> broken =
         broken(
             real ->
-                new Spoiled(real, "simulated") {
+                new TamperedNetwork(real, "simulated") {
                   @Override
-                  protected List<Message> sent(InetSocketAddress to, Message message) {
+                  protected List<Message> tamperOutgoing(InetSocketAddress to, Message message) {
                     return Collections.nCopies(60, message);
                   }
                 });
@@ -179,6 +189,7 @@
   }
 
   private static Message without(Message message, String name) {
-    return Spoiled.only(message, one -> !one.name().equals(name) || one.state() != State.ALIVE);
+    return TamperedNetwork.keepUpdates(
+        message, one -> !one.name().equals(name) || one.state() != State.ALIVE);
   }
 }
--- a/src/test/java/brassbank/sim/SimulationTest.java
+++ b/src/test/java/brassbank/sim/SimulationTest.java
@@ -7,7 +7,7 @@
 import brassbank.sim.check.Breach;
 import brassbank.sim.event.Event;
 import brassbank.sim.fault.Fault;
-import brassbank.sim.fault.Night;
+import brassbank.sim.fault.FleetScenario;
 import brassbank.sim.fault.Plan;
 import brassbank.sim.fault.Script;
 import brassbank.sim.proxy.ProxyNode;
@@ -35,11 +35,16 @@
   private static final long SEEDS = 16;
 
   private static Plan drawn(long seed) {
-    return Plan.drawn(seed, Plan.SECONDS, Plan.PROXIES, Plan.HOSTS, Plan.RATE);
+    return Plan.drawn(
+        seed,
+        Plan.DEFAULT_SECONDS,
+        Plan.DEFAULT_PROXIES,
+        Plan.DEFAULT_HOSTS,
+        Plan.DEFAULT_CLIENTS_PER_SECOND);
   }
 
-  private static Run.Outcome run(Plan plan) {
-    return new Run(plan, UnaryOperator.identity()).go();
+  private static SimulationRun.Result run(Plan plan) {
+    return new SimulationRun(plan, UnaryOperator.identity()).execute();
   }
 
   @Test
@@ -53,15 +58,21 @@
     assertThat(breaches).isEmpty();
   }
 
-  private static Run.Outcome night(Night night, long seed) {
-    Plan plan = night.plan(seed, Plan.SECONDS, Night.PROXIES, Night.HOSTS, Night.RATE);
-    return new Run(plan, UnaryOperator.identity()).go();
+  private static SimulationRun.Result night(FleetScenario night, long seed) {
+    Plan plan =
+        night.plan(
+            seed,
+            Plan.DEFAULT_SECONDS,
+            FleetScenario.PROXIES,
+            FleetScenario.HOSTS,
+            FleetScenario.CLIENTS_PER_SECOND);
+    return new SimulationRun(plan, UnaryOperator.identity()).execute();
   }
 
   /** Join nights broke the cold hosts' rule while sizes were taken for cores. */
   @ParameterizedTest
-  @EnumSource(Night.class)
-  void holdsAllRulesOnTheNightsOfALargeFleet(Night night) {
+  @EnumSource(FleetScenario.class)
+  void holdsAllRulesOnTheNightsOfALargeFleet(FleetScenario night) {
     for (long seed : new long[] {1, 22}) {
       assertThat(night(night, seed).breaches()).as("seed %s", seed).isEmpty();
     }
@@ -76,15 +87,22 @@
     List<Breach> breaches =
         LongStream.rangeClosed(1, 4)
             .parallel()
-            .mapToObj(seed -> Night.JOIN.plan(seed, 40, Night.PROXIES, Night.HOSTS, 60))
+            .mapToObj(
+                seed ->
+                    FleetScenario.JOIN.plan(
+                        seed, 40, FleetScenario.PROXIES, FleetScenario.HOSTS, 60))
             .map(
                 plan ->
-                    new Run(
+                    new SimulationRun(
                         plan,
                         UnaryOperator.identity(),
                         site -> site.withFallMultiple(1_000 * site.fallMultiple())))
             .flatMap(
-                run -> run.go(b -> !b.rule().startsWith("a cold host's calls")).breaches().stream())
+                run ->
+                    run
+                        .execute(b -> !b.rule().startsWith("a cold host's calls"))
+                        .breaches()
+                        .stream())
             .toList();
     assertThat(breaches).anyMatch(breach -> breach.rule().startsWith("no cold host pushed over"));
   }
@@ -95,26 +113,30 @@
     List<Breach> breaches =
         LongStream.rangeClosed(1, 6)
             .parallel()
-            .mapToObj(seed -> Night.JOIN.plan(seed, 40, Night.PROXIES, Night.HOSTS, 60))
+            .mapToObj(
+                seed ->
+                    FleetScenario.JOIN.plan(
+                        seed, 40, FleetScenario.PROXIES, FleetScenario.HOSTS, 60))
             .map(
                 plan ->
-                    new Run(
+                    new SimulationRun(
                         plan,
                         UnaryOperator.identity(),
                         site -> site.withFallMultiple(50 * site.fallMultiple())))
-            .flatMap(run -> run.go().breaches().stream())
+            .flatMap(run -> run.execute().breaches().stream())
             .toList();
     assertThat(breaches).anyMatch(breach -> breach.rule().startsWith("a cold host's calls"));
   }
 
   /** One class that may never be repeated, and one in a short window; both may fail at any time. */
-  private static Run guarded(long seed, UnaryOperator<Network> wrapping) {
+  private static SimulationRun guarded(long seed, UnaryOperator<Network> wrapping) {
     Plan plan = drawn(seed);
     Site site =
-        Scene.site(plan)
+        ScenarioRun.site(plan)
             .withRepeats(
                 new Site.Repeat("single_shot", "all", 0), new Site.Repeat("guarded", "all", 300));
-    return new Run(plan, wrapping, UnaryOperator.identity(), UnaryOperator.identity(), site);
+    return new SimulationRun(
+        plan, wrapping, UnaryOperator.identity(), UnaryOperator.identity(), site);
   }
 
   /**
@@ -128,7 +150,7 @@
                 LongStream.rangeClosed(1, SEEDS), LongStream.of(147, 181, 184, 216, 290, 352))
             .parallel()
             .mapToObj(seed -> guarded(seed, UnaryOperator.identity()))
-            .flatMap(run -> run.go().breaches().stream())
+            .flatMap(run -> run.execute().breaches().stream())
             .toList();
     assertThat(breaches).isEmpty();
   }
@@ -140,7 +162,7 @@
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
             .mapToObj(seed -> guarded(seed, PlantedBug::failedToldAsBusy))
-            .flatMap(run -> run.go().breaches().stream())
+            .flatMap(run -> run.execute().breaches().stream())
             .toList();
     assertThat(breaches).anyMatch(breach -> breach.rule().equals("no effect doubled"));
   }
@@ -167,14 +189,14 @@
   }
 
   /** How often each rule was broken by the proxies of this cast, whatever was broken before. */
-  private static Map<String, Integer> counts(Scene.Cast cast) throws Exception {
+  private static Map<String, Integer> counts(ScenarioRun.ProxyFactory cast) throws Exception {
     Plan plan = Script.read(Path.of("src/test/resources/lab/one-is-killed.toml"));
-    Scene scene = new Scene(plan, Scene.House.VIRTUAL, cast);
+    ScenarioRun scene = new ScenarioRun(plan, ScenarioRun.Environment.VIRTUAL, cast);
     scene.begin();
     while (scene.agenda().step(scene.end())) {
       // All that is due.
     }
-    return scene.checks().counts();
+    return scene.checks().breachCounts();
   }
 
   /** A kill that does not kill: its clients stand at a proxy that nobody has any longer. */
@@ -194,7 +216,7 @@
                     null) {
                   @Override
                   public void crash(long downFor) {
-                    world.tell(new Event.ProxyKilled(name, false));
+                    world.publish(new Event.ProxyKilled(name, false));
                   }
                 });
     assertThat(counts.get("no client is left that no proxy holds")).isPositive();
@@ -218,9 +240,9 @@
   }
 
   private static List<String> events(Plan plan, List<String> into) {
-    Run run = new Run(plan, UnaryOperator.identity());
-    run.trace().listen((now, event) -> into.add(now + " " + event.text()));
-    into.add(String.format("%016x", run.go().fingerprint()));
+    SimulationRun run = new SimulationRun(plan, UnaryOperator.identity());
+    run.trace().addListener((now, event) -> into.add(now + " " + event.text()));
+    into.add(String.format("%016x", run.execute().fingerprint()));
     return into;
   }
 
@@ -267,14 +289,15 @@
     Shrinker.Shrunk shrunk =
         Shrinker.shrink(
             plan,
-            smaller -> new Run(smaller, PlantedBug.DRAIN_HEARD_LATE.plant).go(),
+            smaller -> new SimulationRun(smaller, PlantedBug.DRAIN_HEARD_LATE.plant).execute(),
             (faults, clients, runs) -> {});
     assertThat(shrunk.breach().rule()).startsWith(PlantedBug.DRAIN_HEARD_LATE.rule);
     assertThat(shrunk.plan().faults()).hasSizeLessThanOrEqualTo(3);
     assertThat(shrunk.plan().clients().below(10_000)).hasSizeLessThanOrEqualTo(5);
     Path file = Files.createTempFile("brassbank", ".toml");
     Files.writeString(file, Script.write(shrunk.plan(), shrunk.breach().toString()));
-    Run.Outcome again = new Run(Script.read(file), PlantedBug.DRAIN_HEARD_LATE.plant).go();
+    SimulationRun.Result again =
+        new SimulationRun(Script.read(file), PlantedBug.DRAIN_HEARD_LATE.plant).execute();
     assertThat(again.breaches()).contains(shrunk.breach());
     Files.delete(file);
   }
--- a/src/test/java/brassbank/sim/check/ViewsGrowTest.java
+++ b/src/test/java/brassbank/sim/check/ViewMonotonicityTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /** No process of the program makes such a view, and none can be made to: these are told by hand. */
-class ViewsGrowTest {
-  private static final Truth NOBODY =
-      new Truth() {
+class ViewMonotonicityTest {
+  private static final GroundTruth NOBODY =
+      new GroundTruth() {
         @Override
         public long clientCalmSince(String flow) {
           return 0;
@@ -46,7 +46,7 @@
         }
 
         @Override
-        public List<String> hostsToUse(long forMicros) {
+        public List<String> usableHosts(long forMicros) {
           return List.of();
         }
       };
@@ -57,9 +57,9 @@
   }
 
   private static int breaches(Event first, Event second) {
-    Checks checks = new Checks(List.of(new ViewsGrow()), NOBODY);
-    checks.see(1, first);
-    checks.see(2, second);
+    Checks checks = new Checks(List.of(new ViewMonotonicity()), NOBODY);
+    checks.onEvent(1, first);
+    checks.onEvent(2, second);
     return checks.breaches().size();
   }
 
